--- /dev/null
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenSettingsTest.kt
@@ -0,0 +1,130 @@
+package org.elderhitch.golden
+
+import org.elderhitch.drmaa.DrmaaSection
+import org.elderhitch.features.FeaturesFile
+import org.elderhitch.fleet.FleetPolicy
+import org.elderhitch.json.MalformedJson
+import org.elderhitch.settings.BadScript
+import org.elderhitch.settings.LuaScript
+import org.elderhitch.settings.PolicyScript
+import org.elderhitch.settings.Settings
+import java.io.File
+import kotlin.test.Test
+import kotlin.test.assertEquals
+import kotlin.test.assertFailsWith
+import kotlin.test.assertNotNull
+import kotlin.test.assertNull
+import kotlin.test.assertTrue
+import kotlin.time.Duration.Companion.days
+import kotlin.time.Duration.Companion.seconds
+
+class GoldenSettingsTest {
+    private val features = File(assertNotNull(javaClass.getResource("/golden/settings/features-full.lua")).toURI())
+
+    private fun times(policy: FleetPolicy) =
+        listOf(policy.headroom, policy.returnAfter, policy.returnSurplusAfter, policy.returnSpotAfter)
+
+    @Test
+    fun `settings with every field are read`() {
+        val read = Settings.parse(GoldenFiles.bytes("settings/settings-full.json"))
+        assertEquals(listOf("porter-2", "west"), listOf(read.node.text, read.zone.name))
+        assertEquals(listOf("10.8.0.2:7080", "10.8.0.2:7081"), listOf(read.clientListen.text, read.clusterListen.text))
+        assertEquals(listOf("porter-0", "porter-1"), read.peers.map { it.name.text })
+        assertEquals(listOf("10.8.0.10:7081", "10.8.0.11:7081"), read.peers.map { it.address.text })
+        assertEquals(listOf("east", null), read.peers.map { it.zone?.name })
+        assertEquals(listOf("10.9.0.4:8443", "10.9.0.5:2379"), listOf(read.cloud.text, read.state.text))
+        assertEquals(listOf("east", "west"), read.zones.map { it.name })
+        val teams = read.teams.values.toList()
+        assertEquals(listOf("darkroom", "archive"), teams.map { it.name.text })
+        assertEquals(listOf(12.5 to 3.0, 0.0 to 0.0), teams.map { it.guaranteedCpus to it.guaranteedGpus })
+        assertEquals(listOf(80.0 to 24.0, null to null), teams.map { it.mostCpus to it.mostGpus })
+        val aims = listOf("wait" to "preview", "finished" to "retouch", "finished" to "sorting")
+        assertEquals(aims, read.objectives.map { it.kind to it.jobClass })
+        assertEquals(listOf(7.5.seconds, 95.5.seconds, null), read.objectives.map { it.within })
+        val times = read.workers
+        val seconds = listOf(times.report, times.lease, times.gangWait, times.gangPeer, times.cancel)
+        assertEquals(listOf(1.5, 14.0, 33.0, 4.5, 52.0).map { it.seconds }, seconds)
+        assertEquals(listOf(120.0, 35.5), listOf(read.stateLimits.requestsPerS, read.stateLimits.writesPerS))
+        assertEquals(listOf(6656, 12), listOf(read.stateLimits.valueBytes, read.stateLimits.txnOps))
+        assertEquals(7.5, read.cloudLimits.requestsPerS)
+        assertEquals(2.25.seconds, read.cloudLimits.listLag)
+        assertEquals(450, read.maxSockets)
+        assertEquals(0.35, read.cpuShare)
+    }
+
+    @Test
+    fun `settings without optional fields are read, and unknown fields are ignored`() {
+        val least = Settings.parse(GoldenFiles.bytes("settings/settings-least.json"))
+        assertEquals("", least.zone.name)
+        assertTrue(least.peers.isEmpty() && least.zones.isEmpty())
+        assertTrue(least.teams.isEmpty() && least.objectives.isEmpty())
+        assertEquals(1024, least.maxSockets)
+        assertEquals(1.0, least.cpuShare)
+        assertEquals(2.seconds, least.workers.report)
+        assertEquals(least, Settings.parse(GoldenFiles.bytes("settings/settings-unknown-fields.json")))
+    }
+
+    @Test
+    fun `bad settings are refused with their words`() =
+        BadSamples.check("settings/settings-full.json", "settings/settings-bad.tsv") {
+            assertFailsWith<MalformedJson>(it.decodeToString()) { Settings.parse(it) }.message.orEmpty()
+        }
+
+    @Test
+    fun `a policy with every key is read, and one with none is the default`() {
+        val read = PolicyScript.parse("policy.lua", GoldenFiles.text("settings/policy-full.lua"))
+        assertEquals(listOf(15, 90, 12, 120).map { it.seconds }, times(read))
+        assertEquals(listOf(2.5, 0.4), listOf(read.spareMachines, read.silentReturnShare))
+        assertEquals(false, read.useSpot)
+        val least = PolicyScript.parse("policy.lua", GoldenFiles.text("settings/policy-least.lua"))
+        assertEquals(FleetPolicy(), least)
+        assertEquals(listOf(30, 45, 10, 60).map { it.seconds }, times(least))
+        assertEquals(listOf(1.0, 0.25), listOf(least.spareMachines, least.silentReturnShare))
+        assertEquals(true, least.useSpot)
+    }
+
+    @Test
+    fun `a bad policy is refused with its words`() =
+        BadSamples.check("settings/policy-full.lua", "settings/policy-bad.tsv") {
+            val script = it.decodeToString()
+            assertFailsWith<BadScript>(script) { PolicyScript.parse("policy.lua", script) }.message.orEmpty()
+        }
+
+    @Test
+    fun `a features file with every section is read`() {
+        val read = FeaturesFile.load(features)
+        assertEquals(2, read.factories.size)
+        val rules = listOf("retouch", "preview", "sorting", "unnamed").map { read.rules.of(it) }
+        assertEquals(listOf(false, true, true, true), rules.map { it.repeats })
+        assertEquals(listOf(6, 1000, null, null), rules.map { it.attempts })
+        val section = assertNotNull(LuaScript.table("features.lua", features.readText()).section("drmaa"))
+        val drmaa = DrmaaSection().settings(section, features)
+        assertEquals(mapOf("quick" to mapOf("lotClass" to "preview", "cores" to 2L)), drmaa.categories)
+        assertEquals(listOf(5, 300, 7), listOf(drmaa.sessionsPerTeam, drmaa.resultsPerSession, drmaa.heldPerTeam))
+        assertEquals(listOf(1.5.days, 9.days), listOf(drmaa.keepResults, drmaa.keepSessions))
+    }
+
+    @Test
+    fun `a features file without sections switches nothing on`() {
+        val read = FeaturesFile.parse(File("features.lua"), GoldenFiles.text("settings/features-least.lua"))
+        assertEquals(0, read.factories.size)
+        assertEquals(false, read.rules.any)
+        assertNull(read.rules.of("retouch").attempts)
+    }
+
+    @Test
+    fun `a bad features file is refused with its words`() =
+        BadSamples.check("settings/features-full.lua", "settings/features-bad.tsv") {
+            val script = it.decodeToString()
+            assertFailsWith<BadScript>(script) { FeaturesFile.parse(features, script) }.message.orEmpty()
+        }
+
+    @Test
+    fun `the deploy file says how to build and to run`() {
+        val lines = File("deploy/service.toml").readLines().filter(String::isNotBlank)
+        assertEquals(listOf("build", "run"), lines.map { it.substringBefore(" = ") })
+        val values = lines.map { it.substringAfter(" = ") }
+        assertTrue(values.all { it.length > 2 && it.startsWith('"') && it.endsWith('"') })
+        assertTrue(values[1].endsWith(" --config\""))
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenWorkerWireTest.kt
@@ -0,0 +1,185 @@
+package org.elderhitch.golden
+
+import kotlinx.coroutines.test.runTest
+import org.elderhitch.app.world
+import org.elderhitch.http.Address
+import org.elderhitch.http.Delivery
+import org.elderhitch.http.Response
+import org.elderhitch.http.Transport
+import org.elderhitch.jobs.JobId
+import org.elderhitch.jobs.TaskId
+import org.elderhitch.json.MalformedJson
+import org.elderhitch.leadership.Term
+import org.elderhitch.workers.Attempt
+import org.elderhitch.workers.Command
+import org.elderhitch.workers.CommandOutcome
+import org.elderhitch.workers.ExitCause
+import org.elderhitch.workers.ReportCodec
+import org.elderhitch.workers.TaskPhase
+import org.elderhitch.workers.WorkerLine
+import kotlin.test.Test
+import kotlin.test.assertEquals
+import kotlin.test.assertFailsWith
+import kotlin.test.assertIs
+import kotlin.test.assertNotNull
+import kotlin.test.assertNull
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.seconds
+
+class GoldenWorkerWireTest {
+    private val commands = listOf(
+        Command.Start(TaskId(JobId("req-0611"), 3), Attempt(5)),
+        Command.Stop(TaskId(JobId("req-0612"), 0), Attempt(2), 7.5.seconds),
+        Command.Stop(TaskId(JobId("req-0612"), 1), Attempt(2), Duration.ZERO),
+        Command.Forget(TaskId(JobId("req-0613"), 99_999), Attempt(4_294_967_296)),
+    )
+    private val report = GoldenFiles.bytes("wire/checkin-full.json")
+
+    /** Answers each request with the next of [answers], and keeps what was sent. */
+    private class Worker(vararg answers: Response) : Transport {
+        private val left = ArrayDeque(answers.toList())
+        val sent = ArrayList<String>()
+
+        override suspend fun call(
+            to: Address,
+            method: String,
+            target: String,
+            body: ByteArray?,
+            timeout: Duration,
+        ): Response? = null
+
+        override suspend fun deliver(
+            to: Address,
+            method: String,
+            target: String,
+            body: ByteArray?,
+            connect: Duration,
+            timeout: Duration,
+        ): Delivery {
+            sent.add("$method $target ${body?.decodeToString().orEmpty()}")
+            return Delivery.Answered(left.removeFirst())
+        }
+    }
+
+    private suspend fun sent(answer: Response): CommandOutcome =
+        WorkerLine(Worker(answer)).send(Address("10.4.2.17:9100"), Term(34), 6, commands) { true }
+
+    @Test
+    fun `a report with every field is read`() {
+        val read = ReportCodec.decode(report)
+        assertEquals("host-000907", read.machine.text)
+        assertEquals("10.4.2.17:9100", read.address.text)
+        assertEquals("k4", read.type.name)
+        assertEquals("west", read.zone.name)
+        assertEquals(true, read.spot)
+        assertEquals(6, read.order.session)
+        assertEquals(1207, read.order.sequence)
+        assertEquals(33, read.term.number)
+        assertEquals(22.5.seconds, read.notice)
+        assertEquals(List(12) { "req-0${610 + it}" to it }, read.tasks.map { it.task.job.text to it.task.index })
+        assertEquals(List(12) { it + 1L }, read.tasks.map { it.attempt.number })
+        val phases = listOf(TaskPhase.FETCHING, TaskPhase.WAITING, TaskPhase.RUNNING, TaskPhase.SAVING)
+        assertEquals(phases + List(8) { TaskPhase.EXITED }, read.tasks.map { it.phase })
+        val causes = listOf(
+            ExitCause.DONE, ExitCause.STOPPED, ExitCause.PEERS, ExitCause.INCOMPLETE,
+            ExitCause.ERROR, ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN,
+        )
+        assertEquals(List(4) { null } + causes, read.tasks.map { it.cause })
+    }
+
+    @Test
+    fun `a report without optional fields is read, and null is as good as absent`() {
+        val least = GoldenFiles.text("wire/checkin-least.json")
+        val nulls = least.dropLast(1) + ",\"recallS\":null,\"crates\":null,\"later\":[{}]}"
+        for (text in listOf(least, nulls)) {
+            val read = ReportCodec.decode(text.encodeToByteArray())
+            assertEquals("host-000044", read.machine.text)
+            assertEquals(false, read.spot)
+            assertEquals(0, read.term.number)
+            assertNull(read.notice)
+            assertEquals(0, read.tasks.size)
+        }
+    }
+
+    @Test
+    fun `an exit without a cause, or with an unknown one, is an error`() {
+        val text = report.decodeToString()
+        for (cause in listOf("", ",\"cause\":\"bored\"", ",\"cause\":null")) {
+            val read = ReportCodec.decode(text.replace(",\"cause\":\"done\"", cause).encodeToByteArray())
+            assertEquals(ExitCause.ERROR, read.tasks[4].cause, cause)
+        }
+    }
+
+    @Test
+    fun `each bad report is refused with its words`() =
+        BadSamples.check("wire/checkin-full.json", "wire/checkin-bad.tsv") {
+            assertFailsWith<MalformedJson>(it.decodeToString()) { ReportCodec.decode(it) }.message.orEmpty()
+        }
+
+    @Test
+    fun `answers to reports have their bytes`() {
+        val full = ReportCodec.encode(Term(34), commands).decodeToString()
+        assertEquals(GoldenFiles.text("wire/checkin-answer.json"), full)
+        val empty = ReportCodec.encode(Term(1), emptyList()).decodeToString()
+        assertEquals(GoldenFiles.text("wire/checkin-answer-empty.json"), empty)
+    }
+
+    @Test
+    fun `commands to a worker's own address have their bytes`() = runTest {
+        val worker = Worker(Response(200, report), Response(200, report))
+        val line = WorkerLine(worker)
+        val outcome = line.send(Address("10.4.2.17:9100"), Term(34), 6, commands) { true }
+        assertIs<CommandOutcome.Executed>(outcome)
+        assertEquals("host-000907", outcome.report.machine.text)
+        line.send(Address("10.4.2.17:9100"), Term(34), 6, emptyList()) { true }
+        val bodies = listOf("do", "do-empty").map { "POST /do " + GoldenFiles.text("wire/$it.json") }
+        assertEquals(bodies, worker.sent)
+    }
+
+    @Test
+    fun `each answer to commands has its meaning`() = runTest {
+        assertEquals(CommandOutcome.NotExecuted, sent(Response(409, report)))
+        assertEquals(CommandOutcome.NotExecuted, sent(Response(400, ByteArray(0))))
+        assertEquals(CommandOutcome.Unknown, sent(Response(503, ByteArray(0))))
+        assertEquals(CommandOutcome.Unknown, sent(Response(200, report.copyOf(50))))
+        assertEquals(CommandOutcome.Unknown, sent(Response(200, "[]".encodeToByteArray())))
+    }
+
+    @Test
+    fun `a worker is asked, and told a token that it doesn't know`() = runTest {
+        val worker = Worker(Response(200, report), Response(200, report))
+        val outcome = WorkerLine(worker).ask(Address("10.4.2.17:9100"), Term(34)) { true }
+        assertIs<CommandOutcome.Executed>(outcome)
+        assertEquals(1207, outcome.report.order.sequence)
+        assertEquals(listOf("GET /inspect ", "POST /do " + GoldenFiles.text("wire/do-empty.json")), worker.sent)
+        val knowing = Worker(Response(200, report))
+        WorkerLine(knowing).ask(Address("10.4.2.17:9100"), Term(33)) { true }
+        assertEquals(listOf("GET /inspect "), knowing.sent)
+    }
+
+    @Test
+    fun `a node answers reports by what it knows of the leader`() = world {
+        val early = assertNotNull(call("n0", "POST", "/checkin", report))
+        assertEquals(503, early.status)
+        assertEquals(GoldenFiles.text("wire/checkin-no-leader.json"), early.body.decodeToString())
+        assertEquals(mapOf("Retry-After" to "1"), early.headers)
+        until("somebody leads", 30.seconds) { leader() != null }
+        val leader = assertNotNull(leader())
+        val other = names.first { it != leader }
+        val least = GoldenFiles.bytes("wire/checkin-least.json")
+        until("the leader is known", 30.seconds) { call(other, "POST", "/checkin", least)?.status == 421 }
+        val elsewhere = assertNotNull(call(other, "POST", "/checkin", least)).body.decodeToString()
+        assertEquals(GoldenFiles.text("wire/checkin-elsewhere.json").replace("n1", leader), elsewhere)
+        // Each report is answered once: a repeated one is no news.
+        var answer: Response? = null
+        until("the leader answers", 30.seconds) {
+            answer = call(leader, "POST", "/checkin", least)
+            answer?.status == 200
+        }
+        assertEquals(GoldenFiles.text("wire/checkin-answer-empty.json"), answer?.body?.decodeToString())
+        val bad = assertNotNull(call(other, "POST", "/checkin", "{}".encodeToByteArray()))
+        assertEquals("400 {\"error\":\"stall: missing\"}", "${bad.status} ${bad.body.decodeToString()}")
+        val wrong = assertNotNull(call(other, "GET", "/checkin", null))
+        assertEquals("405 {\"error\":\"only POST\"}", "${wrong.status} ${wrong.body.decodeToString()}")
+    }
+}
