--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -186,7 +186,8 @@
     private fun cutOff(leader: NodeName): Boolean {
         if (cluster.hears(leader)) return false
         val its = settings.nodeZones[leader]
-        if (its != null && its != settings.zone &&
+        if (its != null &&
+            its != settings.zone &&
             settings.nodeZones.none { (node, zone) -> zone == its && cluster.hears(node) }
         ) {
             return true
--- a/src/main/kotlin/org/elderhitch/delegates/FormerTerms.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/FormerTerms.kt
@@ -51,6 +51,8 @@
     public fun allStopped(leading: Tenure.Leading): Boolean = peers.all { peer ->
         val former = leading.former
         terms[peer].let { it != null && it >= leading.term } ||
-            former != null && former.node == peer && hasEnded(former, leading)
+            former != null &&
+            former.node == peer &&
+            hasEnded(former, leading)
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
@@ -112,7 +112,8 @@
     /** A job that its user holds for ever would be kept for ever. */
     private suspend fun overdue(session: SessionName, now: WallTime) {
         for ((name, held) in book.heldJobs().filter {
-            it.key.session == session && it.value.byUser &&
+            it.key.session == session &&
+                it.value.byUser &&
                 now - it.value.since > settings.keepSessions
         }) {
             try {
--- a/src/main/kotlin/org/elderhitch/drmaa/Networks.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Networks.kt
@@ -31,8 +31,10 @@
                 } catch (e: AddressStringException) {
                     throw IllegalArgumentException("\"$text\" is no IP network: ${e.message}")
                 }
-                if (address == null || text.isBlank() ||
-                    address.isAnyLocal && !address.isPrefixed
+                if (address == null ||
+                    text.isBlank() ||
+                    address.isAnyLocal &&
+                    !address.isPrefixed
                 ) {
                     throw IllegalArgumentException("\"$text\" is no IP network")
                 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
@@ -9,7 +9,6 @@
 import org.elderhitch.jobs.JobDesk
 import org.elderhitch.jobs.JobSpec
 import org.elderhitch.json.Json
-import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
 import org.elderhitch.store.CommitOutcome
 import org.elderhitch.store.Condition
--- a/src/main/kotlin/org/elderhitch/fleet/CloudTurns.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudTurns.kt
@@ -59,7 +59,8 @@
      * machine is one name more in a request, while a hire is a request of its own.
      */
     fun returns(now: Moment): Map<MachineId, ReturnReason> {
-        if (returning.isEmpty() || returnsOut >= MOST_OUT ||
+        if (returning.isEmpty() ||
+            returnsOut >= MOST_OUT ||
             now - returnedAt < span(1, RETURNS_SHARE)
         ) {
             return emptyMap()
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
@@ -165,7 +165,8 @@
     private fun buy(spec: JobSpec, zones: Map<Zone, Int>): Paper? {
         val guestOn = guestTypes(spec)
         val markets = input.catalog.markets(spec).filter {
-            (policy.useSpot || !it.spot) && it !in input.closedMarkets &&
+            (policy.useSpot || !it.spot) &&
+                it !in input.closedMarkets &&
                 allowed(spec, it, zones)
         }
         val market = markets.minWithOrNull(
@@ -299,7 +300,8 @@
     private fun surplusBoots(): List<MachineId> {
         val used = papers.filter { it.used }.mapNotNullTo(HashSet()) { it.machine?.id }
         return input.machines.filter {
-            it.use == null && it.machine.id !in used &&
+            it.use == null &&
+                it.machine.id !in used &&
                 input.now - it.hiredAt > LEAST_CHARGED
         }.map { it.machine.id }
     }
--- a/src/main/kotlin/org/elderhitch/fleet/Renter.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Renter.kt
@@ -4,7 +4,6 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import org.elderhitch.actor.Actor
-import org.elderhitch.leadership.LeadershipMessage
 import org.elderhitch.leadership.Tenure
 import org.elderhitch.leadership.Term
 import org.elderhitch.placement.KeptFree
@@ -20,7 +19,6 @@
 import org.elderhitch.workers.ForemanMessage
 import org.elderhitch.workers.MachineId
 import org.slf4j.LoggerFactory
-import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
@@ -177,7 +175,9 @@
         val machine = held[id] ?: return
         val intent = intents[machine.intent] ?: return
         val boot = catalog.types[machine.machine.type]?.boot
-        if (machine.hiredHere && !machine.cameUp && boot != null &&
+        if (machine.hiredHere &&
+            !machine.cameUp &&
+            boot != null &&
             boot.isPositive()
         ) {
             boots.add((clock.now() - machine.hiredAt) / boot)
--- a/src/main/kotlin/org/elderhitch/fleet/SpareRoom.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/SpareRoom.kt
@@ -27,7 +27,8 @@
             }
         } +
             arrivals.expected(now).filter {
-                it.spec.kind == JobKind.ARRAY && it.spec.jobClass in instant &&
+                it.spec.kind == JobKind.ARRAY &&
+                    it.spec.jobClass in instant &&
                     it.spec.priority > Priority.LOW
             }
                 .map { Headroom(it.spec, ceil(it.tasksPerS * STOPPING_S).toInt(), free = true) }
--- a/src/main/kotlin/org/elderhitch/jobs/JobDesk.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobDesk.kt
@@ -145,8 +145,10 @@
         rules.deniesRepeat(spec)?.let { return Answer.NeverRuns(it) }
         val team = teams[spec.team] ?: return Answer.NeverRuns("desk: unknown team")
         val atOnce = spec.need * if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
-        if (team.mostCpus != null && atOnce.cpus > team.mostCpus ||
-            team.mostGpus != null && atOnce.gpus > team.mostGpus
+        if (team.mostCpus != null &&
+            atOnce.cpus > team.mostCpus ||
+            team.mostGpus != null &&
+            atOnce.gpus > team.mostGpus
         ) {
             return Answer.NeverRuns("more than the team's limit")
         }
--- a/src/main/kotlin/org/elderhitch/lab/ColdStartLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/ColdStartLab.kt
@@ -143,7 +143,8 @@
         // Who is cut off, or late on its way, or waits for the state service as everybody does, says nothing of the start.
         val back = last.at + last.lasts
         val disturbed = schedule.troubles.any {
-            it.kind in UNREACHED && it.at <= back + LEASES_WITHIN &&
+            it.kind in UNREACHED &&
+                it.at <= back + LEASES_WITHIN &&
                 it.at + it.lasts >= back
         }
         val measured = Measured(disturbed)
@@ -237,7 +238,8 @@
         }
 
         private fun whole(users: StormUsers, rules: RuleBook): Boolean = users.services.all { s ->
-            rules.finalOf(s.id) != null || users.isWithdrawing(s.id) ||
+            rules.finalOf(s.id) != null ||
+                users.isWithdrawing(s.id) ||
                 (0 until s.tasks).all { rules.isOn("${s.id}/$it") }
         }
     }
--- a/src/main/kotlin/org/elderhitch/lab/DrmaaLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/DrmaaLab.kt
@@ -70,7 +70,8 @@
                 (n / PER_SECOND).seconds + random.nextInt(400).milliseconds,
                 if (cancelled) (5 + random.nextInt(30)).seconds else null,
                 random.nextDouble() < 0.1,
-                if (kind == "array" && !cancelled &&
+                if (kind == "array" &&
+                    !cancelled &&
                     random.nextDouble() < 0.03
                 ) {
                     1 + random.nextInt(2)
@@ -114,7 +115,8 @@
             "lab" to "drmaa", "seed" to seed, "jobs" to size,
             "answers_differ" to
                 pairs.count { (a, b) ->
-                    a.told != b.told || a.record?.how != b.record?.how ||
+                    a.told != b.told ||
+                        a.record?.how != b.record?.how ||
                         a.told != a.record?.how?.name?.lowercase()
                 },
             "accounts_differ" to
@@ -146,8 +148,11 @@
         if (a == null || b == null) return false
         val (one, two) = (a.account ?: return false) to (b.account ?: return false)
         if (a.how == Ending.DONE && (a.done != b.done || a.done != job.tasks)) return false
-        if (one.team != two.team || one.lowerBound.not() && one.attempts < a.done ||
-            two.lowerBound.not() && two.attempts < b.done
+        if (one.team != two.team ||
+            one.lowerBound.not() &&
+            one.attempts < a.done ||
+            two.lowerBound.not() &&
+            two.attempts < b.done
         ) {
             return false
         }
--- a/src/main/kotlin/org/elderhitch/lab/Lab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Lab.kt
@@ -17,7 +17,6 @@
 import org.elderhitch.json.MalformedJson
 import java.io.File
 import java.io.IOException
-import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
 /** An experiment's figures, and the first invariant that did not hold; null: all held. */
--- a/src/main/kotlin/org/elderhitch/lab/Network.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Network.kt
@@ -167,8 +167,11 @@
         delay(LATENCY)
         val host = to.host
         val source = machine ?: from
-        if (from to host in pairs || host to from in pairs || machine in silentWorkers ||
-            machine in mute && host !in heardByMute
+        if (from to host in pairs ||
+            host to from in pairs ||
+            machine in silentWorkers ||
+            machine in mute &&
+            host !in heardByMute
         ) {
             delay(Duration.INFINITE)
         }
@@ -180,7 +183,8 @@
         val late = if (machine != null) slowReports() else Duration.ZERO
         if (machine != null) lateCopies()?.let { by -> copied(by, to, handler, request) }
         if (machine != null && keepsCopies()) kept.add(request)
-        if (host == "state" && request.path == "/watch" &&
+        if (host == "state" &&
+            request.path == "/watch" &&
             forgottenBy.remove(from)
         ) {
             return HttpServer.refusal(GONE, "too old")
@@ -268,8 +272,11 @@
     ): Delivery {
         delay(LATENCY)
         val cut = between(from, to.host)
-        if (workerAt(to) == null || to.host in silentWorkers || from to "workers" in pairs ||
-            cut != null && (cut.mode == CutMode.RESET || random.nextDouble() >= OPEN_ALREADY)
+        if (workerAt(to) == null ||
+            to.host in silentWorkers ||
+            from to "workers" in pairs ||
+            cut != null &&
+            (cut.mode == CutMode.RESET || random.nextDouble() >= OPEN_ALREADY)
         ) {
             delay(connect)
             return Delivery.NotSent
--- a/src/main/kotlin/org/elderhitch/lab/RuleBook.kt
+++ b/src/main/kotlin/org/elderhitch/lab/RuleBook.kt
@@ -105,7 +105,9 @@
         if (job.begun == null) job.begun = clock.now()
         if (host != null) {
             val elsewhere = facts.oneZone && job.zones.any { (zone, count) -> zone != host.zone && count > 0 }
-            if (host.spot && !facts.spotAllowed || facts.zone.let { it != null && it != host.zone } ||
+            if (host.spot &&
+                !facts.spotAllowed ||
+                facts.zone.let { it != null && it != host.zone } ||
                 elsewhere
             ) {
                 broke("wrong_place", "$task on $machine in ${host.zone}, spot ${host.spot}")
@@ -170,21 +172,27 @@
     /** Whether a task of it waits that a machine has room for, under its team's limits. Gangs, and what has to be spread or together, may wait for more than room. */
     private fun waitsThoughItFits(job: History): Boolean {
         val facts = job.facts
-        if (job.accepted == null || job.final != null || job.asked != null || facts.gang || facts.spread ||
+        if (job.accepted == null ||
+            job.final != null ||
+            job.asked != null ||
+            facts.gang ||
+            facts.spread ||
             facts.oneZone
         ) {
             return false
         }
         val left = (0 until facts.tasks).any { it !in job.completed && where["${facts.id}/$it"].isNullOrEmpty() }
         val team = used[facts.team] ?: Use()
-        if (!left || exceeds(team.accelerators + facts.accelerators, limits[facts.team]) ||
+        if (!left ||
+            exceeds(team.accelerators + facts.accelerators, limits[facts.team]) ||
             exceeds(team.cores + facts.cores, cpuLimits[facts.team])
         ) {
             return false
         }
         return machines().any { host ->
             val use = load[host.id] ?: Use()
-            (!host.spot || facts.spotAllowed) && facts.zone.let { it == null || it == host.zone } &&
+            (!host.spot || facts.spotAllowed) &&
+                facts.zone.let { it == null || it == host.zone } &&
                 facts.types.let { it == null || host.type in it } &&
                 use.cores + facts.cores <= host.kind.cores + SLACK &&
                 use.accelerators + facts.accelerators <= host.kind.accelerators + SLACK
@@ -245,7 +253,8 @@
         if (status == NOT_FOUND && job.accepted.let { it != null && it < asked }) broke("forgotten", "$id got 404")
         if (status != OK && status != CREATED || word == null) return
         val final = job.final
-        if (final != null && final.second < asked &&
+        if (final != null &&
+            final.second < asked &&
             final.first != word
         ) {
             broke("went_back", "$id was ${final.first} and is $word")
--- a/src/main/kotlin/org/elderhitch/lab/Storm.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Storm.kt
@@ -120,7 +120,8 @@
                     ?: throw MalformedJson("kind: $word is unknown")
             }
             val lost = from.stringOrNull("from") ?: "all"
-            if (lost !in LOST && lost != OTHER_ZONES &&
+            if (lost !in LOST &&
+                lost != OTHER_ZONES &&
                 lost != CORE
             ) {
                 throw MalformedJson("from: $lost is none of ${LOST + OTHER_ZONES + CORE}")
--- a/src/main/kotlin/org/elderhitch/lab/StormLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/StormLab.kt
@@ -278,7 +278,8 @@
                 cut(world, trouble) { a, b ->
                     a == node &&
                         lost(world, trouble, b) ||
-                        b == node && lost(world, trouble, a)
+                        b == node &&
+                        lost(world, trouble, a)
                 }
             }
 
--- a/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
@@ -6,7 +6,6 @@
 import kotlinx.coroutines.flow.StateFlow
 import kotlinx.coroutines.launch
 import org.elderhitch.actor.Actor
-import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
 import org.elderhitch.settings.NodeName
 import org.elderhitch.store.CommitOutcome
--- a/src/main/kotlin/org/elderhitch/placement/SchedulingCycle.kt
+++ b/src/main/kotlin/org/elderhitch/placement/SchedulingCycle.kt
@@ -149,9 +149,11 @@
      * there. Seen: the first 26 machines of a morning filled up with services, and whoever came later with the same image
      * fetched it elsewhere for a minute and a half, since nothing on those machines made room.
      */
-    private fun waitsForMore(spec: JobSpec, room: Room): Boolean =
-        input.rush && !input.wholeMachines && spec.kind == JobKind.SERVICE && spec.image !in room.of.images &&
-            room.lasting + spec.need.weight > room.of.whole.weight / 2
+    private fun waitsForMore(spec: JobSpec, room: Room): Boolean = input.rush &&
+        !input.wholeMachines &&
+        spec.kind == JobKind.SERVICE &&
+        spec.image !in room.of.images &&
+        room.lasting + spec.need.weight > room.of.whole.weight / 2
 
     /** What speaks against a machine, in seconds: the fetch, and what it costs others when an empty machine is opened. */
     private fun detour(spec: JobSpec, room: Room): Double {
@@ -283,8 +285,10 @@
             if (room.yields.let { it == null || it >= spec.priority } || !usable(room)) continue
             val stops = roomAfterStops(room, spec, spec.priority) ?: continue
             val fetch = fetch(spec, room)
-            if (best == null || fetch < bestFetch ||
-                fetch == bestFetch && cost(stops, spec.need) < cost(bestStops, spec.need)
+            if (best == null ||
+                fetch < bestFetch ||
+                fetch == bestFetch &&
+                cost(stops, spec.need) < cost(bestStops, spec.need)
             ) {
                 best = room
                 bestStops = stops
--- a/src/main/kotlin/org/elderhitch/recovery/MachineReconciliation.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/MachineReconciliation.kt
@@ -75,7 +75,8 @@
     public fun row(machine: SilentMachine, takeoverOpen: Boolean, endsSoon: Boolean): SilenceRow = when {
         machine.unheard && machine.unlisted -> SilenceRow.UNLISTED
 
-        machine.unreachableSince != null && !machine.zoneDoubtful &&
+        machine.unreachableSince != null &&
+            !machine.zoneDoubtful &&
             (takeoverOpen || heardSince(machine, machine.unreachableSince)) -> SilenceRow.DEAD
 
         machine.zoneMissing -> SilenceRow.ZONE_MISSING
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepClient.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepClient.kt
@@ -83,7 +83,8 @@
             )
             // A part that was collected meanwhile is sent again.
             val again =
-                told is Told.Answer && told.status == CONFLICT &&
+                told is Told.Answer &&
+                    told.status == CONFLICT &&
                     told.body.stringOrNull("error").orEmpty().endsWith("is missing")
             if (!again || clock.now() >= until) return told
         }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepDesk.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepDesk.kt
@@ -330,7 +330,8 @@
     private suspend fun withdraw(state: SweepState, body: JsonObject): Response {
         val from = body.longOrNull("from") ?: 0
         val to = body.longOrNull("to") ?: (state.points - 1L)
-        if (from < 0 || to < from ||
+        if (from < 0 ||
+            to < from ||
             from >= state.points
         ) {
             throw MalformedJson("from, to: no points of 0 to ${state.points - 1}")
--- a/src/main/kotlin/org/elderhitch/workers/CommandList.kt
+++ b/src/main/kotlin/org/elderhitch/workers/CommandList.kt
@@ -15,8 +15,10 @@
         val placements = worker.placements.values.toList()
         placements.forEach { p -> p.stop?.let { stop(p, it, list) } }
         for (p in placements) {
-            if (p.stop != null || p.certainty == Certainty.REPORTED ||
-                p.certainty == Certainty.ASSIGNED && now < p.sendFrom
+            if (p.stop != null ||
+                p.certainty == Certainty.REPORTED ||
+                p.certainty == Certainty.ASSIGNED &&
+                now < p.sendFrom
             ) {
                 continue
             }
@@ -77,7 +79,8 @@
             p.answered = true
             list.add(Command.Start(p.task, p.attempt))
         }
-        if (p.certainty == Certainty.REPORTED && (p.phase != TaskPhase.SAVING || grace == Duration.ZERO) ||
+        if (p.certainty == Certainty.REPORTED &&
+            (p.phase != TaskPhase.SAVING || grace == Duration.ZERO) ||
             p.onItsWay
         ) {
             p.stopSent = true
--- a/src/main/kotlin/org/elderhitch/workers/Consolidation.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Consolidation.kt
@@ -28,7 +28,8 @@
         if (now < nextMove || tried[machine].let { it != null && now - it < TRY_AGAIN }) return
         tried[machine] = now
         val placements = worker.placements.values.toList()
-        if (placements.isEmpty() || !placements.all { movable(it, now) } ||
+        if (placements.isEmpty() ||
+            !placements.all { movable(it, now) } ||
             !allFit(worker, placements, catalog, usable)
         ) {
             return
@@ -42,7 +43,9 @@
     private fun movable(placement: Placement, now: Moment): Boolean {
         val job = table.jobs[placement.task.job] ?: return false
         val since = placement.runsSince ?: return false
-        return job.spec.kind == JobKind.SERVICE && !job.ended && placement.stop == null &&
+        return job.spec.kind == JobKind.SERVICE &&
+            !job.ended &&
+            placement.stop == null &&
             placement.phase == TaskPhase.RUNNING &&
             now - since > SETTLED
     }
@@ -70,7 +73,8 @@
                         other.zone,
                     )
                 }
-                zoneAllows && job.spec.mayUse(other.type, other.zone, other.spot) &&
+                zoneAllows &&
+                    job.spec.mayUse(other.type, other.zone, other.spot) &&
                     job.spec.image in other.cachedImages(type.cacheGb) &&
                     job.spec.need.fitsIn(free.getOrPut(other.id) { freeOn(other, type.resources) })
             } ?: return false
--- a/src/main/kotlin/org/elderhitch/workers/Conversation.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Conversation.kt
@@ -144,7 +144,9 @@
             val address = worker.address
             val session = worker.order?.session
             if (worker === answering || worker.calling) continue
-            if (address == null || session == null || worker.unreachable ||
+            if (address == null ||
+                session == null ||
+                worker.unreachable ||
                 worker.lastWord + workerTimes.report - now < WORTH_CALLING
             ) {
                 continue
--- a/src/main/kotlin/org/elderhitch/workers/CycleFeed.kt
+++ b/src/main/kotlin/org/elderhitch/workers/CycleFeed.kt
@@ -112,7 +112,10 @@
         for (job in table.jobs.values) {
             val spec = job.spec
             // Once the takeover is settled nothing hides, and nothing is counted.
-            if (job.ended || job.isGang || spec.priority == Priority.LOW || job.version > leading.counter ||
+            if (job.ended ||
+                job.isGang ||
+                spec.priority == Priority.LOW ||
+                job.version > leading.counter ||
                 !mayHide(spec)
             ) {
                 continue
@@ -307,7 +310,10 @@
     private fun mustBegin(view: JobView, quota: QuotaLedger, now: Moment): Boolean {
         val job = table.jobs[view.spec.id] ?: return false
         val alone = job.spec.kind == JobKind.ARRAY && !job.spec.spread && !job.spec.oneZone && !view.probe
-        return alone && job.placements.isEmpty() && job.done.count == 0 && now - job.openedAt > BEGIN_AFTER &&
+        return alone &&
+            job.placements.isEmpty() &&
+            job.done.count == 0 &&
+            now - job.openedAt > BEGIN_AFTER &&
             !quota.allows(job.spec.team, job.spec.need * view.pending.size)
     }
 
--- a/src/main/kotlin/org/elderhitch/workers/DemandReport.kt
+++ b/src/main/kotlin/org/elderhitch/workers/DemandReport.kt
@@ -24,7 +24,8 @@
         table.workers.values.filter { it.settled && it.id in cleared }.map { use(it, catalog, now, usable(it)) }
 
     fun services(): List<JobSpec> = table.jobs.values.filter {
-        it.spec.kind == JobKind.SERVICE && !it.ended &&
+        it.spec.kind == JobKind.SERVICE &&
+            !it.ended &&
             it.hold == null
     }.map { it.spec }
 
--- a/src/main/kotlin/org/elderhitch/workers/Faults.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Faults.kt
@@ -87,8 +87,8 @@
     }
 
     /** Enough to blame a machine: that a task of the job is seen running for a moment is not. */
-    private fun runsWell(job: JobState, besides: WorkerState?, now: Moment): Boolean =
-        job.done.count > 0 || job.placements.values.any { p ->
+    private fun runsWell(job: JobState, besides: WorkerState?, now: Moment): Boolean = job.done.count > 0 ||
+        job.placements.values.any { p ->
             p.worker !== besides && p.worker.erredJobs.isEmpty() && p.runsSince.let { it != null && now - it > PROVEN }
         }
 
--- a/src/main/kotlin/org/elderhitch/workers/Foreman.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Foreman.kt
@@ -479,13 +479,16 @@
         }
     }
 
-    private fun usable(worker: WorkerState, now: Moment): Boolean =
-        worker.settled && worker.lease?.unanswered == false && worker.notice == null && !worker.sick &&
-            !worker.unreachable &&
-            now > worker.doubtedUntil &&
-            now > worker.drainedUntil &&
-            worker.id in roster.cleared &&
-            !silence.isSuspect(worker, now) && worker.releaseAsked == Moment.NEVER
+    private fun usable(worker: WorkerState, now: Moment): Boolean = worker.settled &&
+        worker.lease?.unanswered == false &&
+        worker.notice == null &&
+        !worker.sick &&
+        !worker.unreachable &&
+        now > worker.doubtedUntil &&
+        now > worker.drainedUntil &&
+        worker.id in roster.cleared &&
+        !silence.isSuspect(worker, now) &&
+        worker.releaseAsked == Moment.NEVER
 
     private fun assign(task: TaskId, machine: MachineId, join: Attempt?, now: Moment, held: Duration) {
         val job = table.jobs[task.job] ?: return
--- a/src/main/kotlin/org/elderhitch/workers/Holds.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Holds.kt
@@ -58,9 +58,10 @@
 
             job.holding -> HoldAnswer.NotNow("a hold is being recorded")
 
-            job.version <= leading.counter && mayHide(
-                job.spec,
-            ) -> HoldAnswer.NotNow("a machine that may run it has not reported yet")
+            job.version <= leading.counter &&
+                mayHide(
+                    job.spec,
+                ) -> HoldAnswer.NotNow("a machine that may run it has not reported yet")
 
             kind == HoldKind.SUSPENDED && !job.spec.saves -> HoldAnswer.Inconsistent(
                 "its tasks can't save, so stopping them would lose their work",
--- a/src/main/kotlin/org/elderhitch/workers/Roster.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Roster.kt
@@ -59,7 +59,8 @@
 
     private fun boots(machine: Machine, catalog: Catalog, now: Moment): Boolean {
         val since = rentedAt[machine.id]
-        return machine.id !in mayRun && since != null &&
+        return machine.id !in mayRun &&
+            since != null &&
             catalog.types[machine.type].let { it != null && now - since < it.boot * LATE_BOOT }
     }
 
--- a/src/main/kotlin/org/elderhitch/workers/Silence.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Silence.kt
@@ -175,7 +175,8 @@
         if (table.workers.isNotEmpty() || unheard.size < RESIGN_LEAST || now - resignedDeafAt < DEAF_AGAIN) return false
         val waited = waited(leading, now)
         return waited > releaseAfter ||
-            waited > UNLISTED_PATIENCE && unheard.count(inquiry::isUnreachable) * 3 > unheard.size * 2
+            waited > UNLISTED_PATIENCE &&
+            unheard.count(inquiry::isUnreachable) * 3 > unheard.size * 2
     }
 
     /** How long this term has been able to hear anybody. */
--- a/src/test/kotlin/org/elderhitch/KnownRed.kt
+++ b/src/test/kotlin/org/elderhitch/KnownRed.kt
@@ -33,9 +33,11 @@
             val lines = text.lines().map { it.trim() }.filter { it.isNotEmpty() }.map { line ->
                 val parts = line.split('|').map { it.trim() }
                 require(
-                    parts.size == PARTS && parts.all {
-                        it.isNotEmpty()
-                    } && '#' in parts[0],
+                    parts.size == PARTS &&
+                        parts.all {
+                            it.isNotEmpty()
+                        } &&
+                        '#' in parts[0],
                 ) { "$FILE: not `class#name | cause | issue`: $line" }
                 RedLine(parts[0], parts[1], parts[2])
             }
--- a/src/test/kotlin/org/elderhitch/app/ControllersTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/ControllersTest.kt
@@ -518,7 +518,9 @@
         var late = 0
         fateOf =
             { _, commit ->
-                if ("v/a/hire/" in commit && "stalls" in commit && "\"up\"" !in commit &&
+                if ("v/a/hire/" in commit &&
+                    "stalls" in commit &&
+                    "\"up\"" !in commit &&
                     late++ == 0
                 ) {
                     Fate.Late(10.seconds)
--- a/src/test/kotlin/org/elderhitch/app/EndingNewsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/EndingNewsTest.kt
@@ -57,7 +57,8 @@
         var lost = 0
         world.fateOf =
             { node, commit ->
-                if (node == other && "v/z/end/" in commit &&
+                if (node == other &&
+                    "v/z/end/" in commit &&
                     lost++ == 0
                 ) {
                     Fate.AnswerLost
--- a/src/test/kotlin/org/elderhitch/app/HandOverMeetingsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/HandOverMeetingsTest.kt
@@ -70,8 +70,10 @@
 
                     // It hears no worker any more, and lets others claim.
                     Change.RESIGNATION -> cut(CutMode.HOLD) { a, b ->
-                        a == led && b.startsWith("host-") ||
-                            b == led && a.startsWith("host-")
+                        a == led &&
+                            b.startsWith("host-") ||
+                            b == led &&
+                            a.startsWith("host-")
                     }.let { cut ->
                         world.outside.launch {
                             delay(25.seconds)
--- a/src/test/kotlin/org/elderhitch/app/LeaseDelegatesTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/LeaseDelegatesTest.kt
@@ -76,7 +76,8 @@
                     val before = onMachine.toMap()
                     val cut = Cut(mode) { from, to ->
                         (zoneOf(from) to zoneOf(to)).let { (a, b) ->
-                            a != null && b != null &&
+                            a != null &&
+                                b != null &&
                                 a != b
                         }
                     }
--- a/src/test/kotlin/org/elderhitch/jobs/JobBookTest.kt
+++ b/src/test/kotlin/org/elderhitch/jobs/JobBookTest.kt
@@ -123,7 +123,8 @@
             assertTrue(
                 kinds.zipWithNext().none { (a, b) ->
                     a == b
-                } && kinds.count { it } <= 1,
+                } &&
+                    kinds.count { it } <= 1,
                 "seed $seed: opened and ended once at most: $kinds",
             )
         }
--- a/src/test/kotlin/org/elderhitch/recovery/ReconciliationTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/ReconciliationTest.kt
@@ -74,7 +74,9 @@
         assertEquals(TaskVerdict.SURPLUS, TaskReconciliation.row(task).verdict)
         assertEquals(TaskVerdict.SWAP, TaskReconciliation.row(task.copy(elsewhere = Elsewhere.LATER)).verdict)
         for (saving in everyTask().filter {
-            it.saving && it.elsewhere > Elsewhere.UNSENT && it.here != Here.THIS_ATTEMPT &&
+            it.saving &&
+                it.elsewhere > Elsewhere.UNSENT &&
+                it.here != Here.THIS_ATTEMPT &&
                 it.exists &&
                 it.job == JobStanding.OPEN
         }) {
@@ -170,12 +172,14 @@
                         assertTrue(machine.mute && patience >= times.mute, "$machine: $row after $patience")
                     }
                     // A whole zone is silent: its machines run on, and their return would end all that is there.
-                    if (machine.zoneCut && machine.zoneDoubtful &&
+                    if (machine.zoneCut &&
+                        machine.zoneDoubtful &&
                         machine.settled
                     ) {
                         assertTrue(patience >= times.cut, "$machine: $row after $patience")
                     }
-                    if (machine.zoneMissing && machine.zoneDoubtful &&
+                    if (machine.zoneMissing &&
+                        machine.zoneDoubtful &&
                         !machine.unlisted
                     ) {
                         assertTrue(patience >= times.cut, "$machine: $row after $patience")
--- a/src/test/kotlin/org/elderhitch/workers/DueTimesTest.kt
+++ b/src/test/kotlin/org/elderhitch/workers/DueTimesTest.kt
@@ -139,7 +139,8 @@
                     assertTrue(
                         inTime.none {
                             it.work > other.work
-                        } || among.getValue(other.id).at > other.aims.first(),
+                        } ||
+                            among.getValue(other.id).at > other.aims.first(),
                         "round $round",
                     )
                 }
