--- a/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
@@ -5,10 +5,9 @@
 import org.elderhitch.jobs.Priority
 import org.elderhitch.jobs.Resources
 import org.elderhitch.placement.Fits
-import org.elderhitch.placement.Unplaced
+import org.elderhitch.placement.UnplacedTasks
 import org.elderhitch.settings.Zone
-import org.elderhitch.time.Moment
-import org.elderhitch.workers.MachineId
+import org.elderhitch.time.MonotonicInstant
 import kotlin.math.ceil
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -24,20 +23,23 @@
     /** The same for machines beyond those that the arrivals of a boot's time could fill. */
     val returnSurplusAfter: Duration = 10.seconds,
     val useSpot: Boolean = true,
-    /** The part of a zone's machines that may be returned within 5 s for nothing but their silence (`docs/design/recovery.md`). */
+    /**
+     * The part of a zone's machines that may be returned within 5 s for nothing but their silence
+     * (`docs/design/recovery.md`).
+     */
     val silentReturnShare: Double = 0.25,
 )
 
 public class PlanInput(
     public val catalog: Catalog,
     public val machines: List<PlannedMachine>,
-    public val unplaced: List<Unplaced>,
+    public val unplaced: List<UnplacedTasks>,
     /** Shapes of the services that run, the most common first, with the room in tasks that each should find free. */
     public val headroom: List<Headroom>,
     /** How many machines the tasks would fill that arrive while one boots. */
     public val arriving: Double,
     public val closedMarkets: Set<Market>,
-    public val now: Moment,
+    public val now: MonotonicInstant,
     /** How many times their usual time machines may take to boot before they are given up. */
     public val hopelessBoot: Double = FleetPlan.HOPELESS_BOOT,
     /** How many times their usual time until something else is rented in their place. */
@@ -49,13 +51,13 @@
 /** [free]: at once, not only after less important tasks have made room. */
 public class Headroom(public val spec: JobSpec, public val tasks: Int, public val free: Boolean = false)
 
-public data class Hiring(val market: Market, val count: Int) {
-    public fun chunked(most: Int): List<Hiring> =
-        (0 until count step most).map { Hiring(market, minOf(most, count - it)) }
+public data class ProvisioningRequest(val market: Market, val count: Int) {
+    public fun chunked(most: Int): List<ProvisioningRequest> =
+        (0 until count step most).map { ProvisioningRequest(market, minOf(most, count - it)) }
 }
 
 public class PlanOutput(
-    public val hire: List<Hiring>,
+    public val hire: List<ProvisioningRequest>,
     public val release: List<MachineId>,
     /** A machine whose services would do as well elsewhere. */
     public val drain: MachineId?,
@@ -101,19 +103,21 @@
         }
         // Work that could run nowhere else chooses before its equals.
         for (need in input.unplaced.sortedWith(
-            compareByDescending<Unplaced> {
+            compareByDescending<UnplacedTasks> {
                 it.spec.priority
             }.thenBy { input.catalog.fitting(it.spec).size },
         )) {
             place(need.spec, need.count.coerceAtMost(MOST_TASKS), HashMap(need.zones))
         }
         keepHeadroom()
-        return PlanOutput(bought.map { (market, count) -> Hiring(market, count) }, releases(), drain())
+        return PlanOutput(bought.map { (market, count) -> ProvisioningRequest(market, count) }, releases(), drain())
     }
 
     private fun market(machine: Machine) = Market(machine.type, machine.zone, machine.spot)
 
-    /** Some machines take several times as long to boot, and some never do: they count for nothing until they are up. */
+    /**
+     * Some machines take several times as long to boot, and some never do: they count for nothing until they are up.
+     */
     private fun late(planned: PlannedMachine, type: TypeInfo): Boolean =
         input.now - planned.hiredAt > type.boot * input.lateBoot
 
@@ -121,7 +125,8 @@
         spec.mayUse(market.type, market.zone, market.spot) && spec.zoneAllows(zones, market.zone)
 
     /**
-     * Tasks of one shape, one after the other. Room only shrinks and zones only fill, so that what a task passed over is
+     * Tasks of one shape, one after the other. Room only shrinks and zones only fill, so that what a task passed over
+     * is
      * of no use to the next one either; and the paper used last has the least room left, so it stays the first choice.
      */
     private fun place(spec: JobSpec, count: Int, zones: MutableMap<Zone, Int>) {
@@ -202,7 +207,10 @@
         return share * if (market.spot) type.spotPrice else type.price
     }
 
-    /** Room that services find free, or, where their users can wait that long, held only by tasks that would make room for them. */
+    /**
+     * Room that services find free, or, where their users can wait that long, held only by tasks that would make room
+     * for them.
+     */
     private fun keepHeadroom() {
         val spare = ArrayList<Spare>()
         for (planned in input.machines) {
--- a/src/main/kotlin/org/elderhitch/fleet/Inventory.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Inventory.kt
@@ -1,7 +1,6 @@
 package org.elderhitch.fleet
 
-import org.elderhitch.time.Moment
-import org.elderhitch.workers.MachineId
+import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
@@ -16,17 +15,22 @@
 )
 
 /**
- * Reconciles the cloud's lists with the machines of this term. A list describes a moment up to twice its lag ago ([lag]), and may be older than the one before: so
+ * Reconciles the cloud's lists with the machines of this term. A list describes a moment up to twice its lag ago
+ * ([lag]), and may be older than the one before: so
  * nothing is gone by its word that may have been rented since, and nobody's is what may just have been returned.
  */
 internal class Inventory(lag: Duration) {
     private val behind = lag * 2 + MARGIN
-    private val unknownSince = HashMap<MachineId, Moment>()
+    private val unknownSince = HashMap<MachineId, MonotonicInstant>()
 
     fun newTerm() = unknownSince.clear()
 
     /** [listed] was asked for at [asked]. */
-    fun reconcile(listed: List<ListedMachine>, asked: Moment, held: Map<MachineId, HeldMachine>): InventoryVerdict {
+    fun reconcile(
+        listed: List<ListedMachine>,
+        asked: MonotonicInstant,
+        held: Map<MachineId, ProvisionedMachine>,
+    ): InventoryVerdict {
         val names = listed.mapTo(HashSet()) { it.machine.id }
         unknownSince.keys.retainAll(names)
         val unknown = ArrayList<Machine>()
--- a/src/main/kotlin/org/elderhitch/fleet/HireIntent.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntent.kt
@@ -4,11 +4,13 @@
 import org.elderhitch.json.JsonObject
 import org.elderhitch.settings.Zone
 import org.elderhitch.store.Revision
-import org.elderhitch.time.Moment
-import org.elderhitch.workers.MachineId
+import org.elderhitch.time.MonotonicInstant
 
-/** A request to rent, recorded before it is made and completed with the machines' names: what every later term knows of them. */
-internal class HireIntent(val name: String, val market: Market, val count: Int) {
+/**
+ * A request to rent, recorded before it is made and completed with the machines' names: what every later term knows of
+ * them.
+ */
+internal class ProvisioningIntent(val name: String, val market: Market, val count: Int) {
     var machines: List<MachineId>? = null
 
     /** That of its key: each write is conditional on it, or one carried out late would undo a newer one. */
@@ -28,7 +30,7 @@
 
     /** Names machines that are gone; its value in the state service is to be written anew. */
     var outdated = false
-    var retryAt = Moment.NEVER
+    var retryAt = MonotonicInstant.NEVER
 
     /** Leaves out what is not [there] any more. */
     fun shorten(there: (MachineId) -> Boolean) {
@@ -50,10 +52,10 @@
     }
 
     companion object {
-        fun decode(name: String, value: JsonObject, at: Revision): HireIntent {
+        fun decode(name: String, value: JsonObject, at: Revision): ProvisioningIntent {
             val market =
                 Market(MachineType(value.string("rig")), Zone(value.string("hall")), value.boolean("borrowedRigs"))
-            return HireIntent(name, market, value.count("count").toInt()).apply {
+            return ProvisioningIntent(name, market, value.count("count").toInt()).apply {
                 version = at
                 machines = value.stringsOrNull("stalls")?.map(::MachineId)
                 value.stringsOrNull("up")?.mapTo(up, ::MachineId)
--- a/src/main/kotlin/org/elderhitch/fleet/Returns.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/TerminationQueue.kt
@@ -2,18 +2,22 @@
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
-import org.elderhitch.leadership.Tenure
-import org.elderhitch.recovery.OrderKind
-import org.elderhitch.recovery.Orders
-import org.elderhitch.recovery.RegretKind
-import org.elderhitch.time.Moment
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.recovery.ActionKind
+import org.elderhitch.recovery.ActionLedger
+import org.elderhitch.recovery.NeedlessActionKind
+import org.elderhitch.scheduler.SchedulerMessage
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
-import org.elderhitch.workers.ForemanMessage
-import org.elderhitch.workers.MachineId
 import org.slf4j.LoggerFactory
 
 /** A machine that an intent of this term names. */
-internal class HeldMachine(val machine: Machine, val intent: String, val hiredAt: Moment, val hiredHere: Boolean) {
+internal class ProvisionedMachine(
+    val machine: Machine,
+    val intent: String,
+    val hiredAt: MonotonicInstant,
+    val hiredHere: Boolean,
+) {
     var failed = false
 
     /** It came up in an earlier term. */
@@ -27,48 +31,51 @@
 }
 
 /** Machines on their way back to the cloud: asked for, waiting for their turn, or under way. */
-internal class Returns(
+internal class TerminationQueue(
     private val scope: CoroutineScope,
     private val cloud: CloudClient,
-    private val turns: CloudTurns,
-    private val orders: Orders,
-    private val held: Map<MachineId, HeldMachine>,
+    private val turns: CloudCallScheduler,
+    private val orders: ActionLedger,
+    private val held: Map<MachineId, ProvisionedMachine>,
     private val clock: SteadyClock,
     private val ports: FleetPorts,
     private val tell: (FleetMessage) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
 
-    fun want(leading: Tenure.Leading?, machines: List<MachineId>, reason: ReturnReason) {
+    fun want(leadership: LeadershipState.Leader?, machines: List<MachineId>, reason: TerminationReason) {
         val wanted = machines.filter { held[it]?.releasing != true }
         wanted.forEach { held[it]?.releasing = true }
         turns.wantReturned(wanted, reason)
-        leading?.let { send(it, clock.now()) }
+        leadership?.let { send(it, clock.now()) }
     }
 
-    /** Before an idle machine is returned the foreman gives it nothing more: a task that came there while its return waited for its turn was lost. */
+    /**
+     * Before an idle machine is returned the foreman gives it nothing more: a task that came there while its return
+     * waited for its turn was lost.
+     */
     fun cordon(machines: List<MachineId>) {
         machines.forEach { held[it]?.releasing = true }
-        ports.foreman(ForemanMessage.Cordon(machines))
+        ports.scheduler(SchedulerMessage.CordonMachines(machines))
     }
 
-    fun cordoned(leading: Tenure.Leading?, message: FleetMessage.Cordoned) {
+    fun cordoned(leadership: LeadershipState.Leader?, message: FleetMessage.MachinesCordoned) {
         message.inUse.forEach { held[it]?.releasing = false }
-        turns.wantReturned(message.empty, ReturnReason.IDLE)
-        leading?.let { send(it, clock.now()) }
+        turns.wantReturned(message.empty, TerminationReason.IDLE)
+        leadership?.let { send(it, clock.now()) }
     }
 
     /** Its worker speaks; if its return for silence has not gone out, it goes on. */
     fun spare(machine: MachineId) {
         if (!turns.spare(machine)) return
         log.info("return spared machine={}", machine)
-        orders.regrets(RegretKind.RETURN_SPARED)
+        orders.regrets(NeedlessActionKind.RETURN_SPARED)
         held[machine]?.releasing = false
-        ports.foreman(ForemanMessage.Spared(machine))
+        ports.scheduler(SchedulerMessage.TerminationCancelled(machine))
     }
 
-    fun send(leading: Tenure.Leading, now: Moment) {
-        if (!leading.mayCommand(now)) return
+    fun send(leadership: LeadershipState.Leader, now: MonotonicInstant) {
+        if (!leadership.maySendCommands(now)) return
         while (true) {
             val batch = turns.returns(now).ifEmpty { return }
             for ((reason, its) in batch.entries.groupBy({
@@ -78,23 +85,31 @@
             }
             for ((machine, reason) in batch) {
                 val market = held[machine]?.market
-                if (reason == ReturnReason.IDLE &&
+                if (reason == TerminationReason.IDLE &&
                     market != null
                 ) {
                     orders.returnedIdle(market, now)
                 } else {
-                    orders.gave(OrderKind.RETURN, 1, now)
+                    orders.gave(ActionKind.RETURN, 1, now)
                 }
             }
             val names = batch.keys.toList()
             scope.launch {
-                tell(FleetMessage.Released(leading.term, names, cloud.release(names) { ports.entitled(leading) }))
+                tell(
+                    FleetMessage.MachinesTerminated(
+                        leadership.term,
+                        names,
+                        cloud.release(names) {
+                            ports.entitled(leadership)
+                        },
+                    ),
+                )
             }
         }
     }
 
     /** What is gone by the cloud's word. */
-    fun answered(message: FleetMessage.Released): List<MachineId> {
+    fun answered(message: FleetMessage.MachinesTerminated): List<MachineId> {
         turns.returned()
         if (message.done) return message.machines
         message.machines.forEach { held[it]?.releasing = false }
--- a/src/main/kotlin/org/elderhitch/workers/CommandList.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/CommandPlanner.kt
@@ -1,15 +1,21 @@
-package org.elderhitch.workers
+package org.elderhitch.heartbeat
 
-import org.elderhitch.time.Moment
+import org.elderhitch.tasks.Certainty
+import org.elderhitch.tasks.Placement
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.WorkerState
+import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
 /** What a worker is to do, from what it reports and what was decided since. */
-internal class CommandList(private val table: TaskTable) {
+internal class CommandPlanner(private val table: TaskTable) {
     /**
-     * For the answer to a report: stops, then starts, then what may be forgotten. What an answer can't hold stays as it is
-     * for the next one: a start that counted as sent and was cut off at the end would be waited for in vain. [endings]: stops that come before all else, by [endings].
+     * For the answer to a report: stops, then starts, then what may be forgotten. What an answer can't hold stays as it
+     * is
+     * for the next one: a start that counted as sent and was cut off at the end would be waited for in vain. [endings]:
+     * stops that come before all else, by [endings].
      */
-    fun of(worker: WorkerState, now: Moment, endings: List<Command>): List<Command> {
+    fun of(worker: WorkerState, now: MonotonicInstant, endings: List<Command>): List<Command> {
         table.undelivered.remove(worker)
         val list = ArrayList(endings)
         val placements = worker.placements.values.toList()
@@ -37,19 +43,23 @@
             if (task.phase == TaskPhase.EXITED &&
                 mayForget(worker, task)
             ) {
-                list.add(Command.Forget(task.task, task.attempt))
+                list.add(Command.Reap(task.task, task.attempt))
             }
         }
         return if (list.size > MAX_COMMANDS) list.subList(0, MAX_COMMANDS) else list
     }
 
     /**
-     * The stops of all tasks on the worker, those that it [named] and those of the table, whose job's ending has been read: they go with every answer, since an ending is
-     * permanent and a worker that is answered without them keeps such tasks. Null: they can't all be told, so nothing may renew its lease. That is so if it names a
-     * job which may have ended before what is known here, and if a start of an ended job is on its way to it, which only a leader inside its window may cut short. More than an
-     * answer holds are told in several, one at each report; outside the window there may be no next one, so all or none.
+     * The stops of all tasks on the worker, those that it [named] and those of the table, whose job's ending has been
+     * read: they go with every answer, since an ending is
+     * permanent and a worker that is answered without them keeps such tasks. Null: they can't all be told, so nothing
+     * may renew its lease. That is so if it names a
+     * job which may have ended before what is known here, and if a start of an ended job is on its way to it, which
+     * only a leader inside its window may cut short. More than an
+     * answer holds are told in several, one at each report; outside the window there may be no next one, so all or
+     * none.
      */
-    fun endings(worker: WorkerState, named: List<TaskReport>, complete: Boolean, mayStart: Boolean): List<Command>? {
+    fun endings(worker: WorkerState, named: List<TaskStatus>, complete: Boolean, mayStart: Boolean): List<Command>? {
         val stops = LinkedHashSet<Command>()
         for (task in named) {
             if (task.phase != TaskPhase.EXITED &&
@@ -89,7 +99,7 @@
         }
     }
 
-    private fun mayForget(worker: WorkerState, task: TaskReport): Boolean {
+    private fun mayForget(worker: WorkerState, task: TaskStatus): Boolean {
         val job = table.jobs[task.task.job]
         // The result is kept by the worker until it is recorded.
         val unrecorded = job != null && !job.ended && task.cause == ExitCause.DONE && task.task.index !in job.finished
@@ -98,7 +108,7 @@
     }
 
     /** For the worker's own address: what was decided since its last report, and nothing that has been sent before. */
-    fun urgent(worker: WorkerState, now: Moment): List<Command> {
+    fun urgent(worker: WorkerState, now: MonotonicInstant): List<Command> {
         val list = ArrayList<Command>()
         for (p in worker.placements.values) {
             if (list.size == MAX_COMMANDS) break
--- a/src/main/kotlin/org/elderhitch/workers/Conversation.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatHandler.kt
@@ -1,62 +1,82 @@
-package org.elderhitch.workers
+package org.elderhitch.heartbeat
 
+import org.elderhitch.failuredetection.FailureDetector
+import org.elderhitch.failuredetection.WorkerProber
 import org.elderhitch.fleet.FleetMessage
+import org.elderhitch.fleet.MachineId
 import org.elderhitch.jobs.Image
 import org.elderhitch.leadership.LeadershipMessage
-import org.elderhitch.leadership.Tenure
-import org.elderhitch.recovery.OrderKind
-import org.elderhitch.recovery.Orders
-import org.elderhitch.recovery.RegretKind
-import org.elderhitch.settings.WorkerTimes
-import org.elderhitch.time.Moment
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.recovery.ActionKind
+import org.elderhitch.recovery.ActionLedger
+import org.elderhitch.recovery.NeedlessActionKind
+import org.elderhitch.recovery.Takeover
+import org.elderhitch.recovery.TaskReconciler
+import org.elderhitch.scheduler.EventLog
+import org.elderhitch.scheduler.SchedulerMessage
+import org.elderhitch.scheduler.SchedulerPorts
+import org.elderhitch.settings.WorkerTimeouts
+import org.elderhitch.tasks.Certainty
+import org.elderhitch.tasks.MachineRegistry
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.WorkerState
+import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration.Companion.seconds
 
-/** What a term's leader and its workers say to each other: reports and their answers, commands and questions to their own addresses. */
-internal class Conversation(
+/**
+ * What a term's leader and its workers say to each other: reports and their answers, commands and questions to their
+ * own addresses.
+ */
+internal class HeartbeatHandler(
     private val table: TaskTable,
     private val takeover: Takeover,
-    private val reconciler: Reconciler,
-    private val commands: CommandList,
-    private val silence: Silence,
-    private val inquiry: Inquiry,
-    private val roster: Roster,
-    private val workerTimes: WorkerTimes,
+    private val taskReconciler: TaskReconciler,
+    private val commands: CommandPlanner,
+    private val failureDetector: FailureDetector,
+    private val workerProber: WorkerProber,
+    private val machineRegistry: MachineRegistry,
+    private val workerTimes: WorkerTimeouts,
     private val events: EventLog,
-    private val ports: ForemanPorts,
-    private val orders: Orders,
+    private val ports: SchedulerPorts,
+    private val orders: ActionLedger,
     private val hinted: (MachineId) -> Map<Image, Double>?,
     private val onSettled: () -> Unit,
 ) {
     /** [cycle]: gives away the room that a report brought, before it is answered. */
     fun report(
-        leading: Tenure.Leading,
-        report: Report,
-        now: Moment,
+        leadership: LeadershipState.Leader,
+        report: Heartbeat,
+        now: MonotonicInstant,
         tableComplete: Boolean,
         cycle: (WorkerState) -> Unit,
-    ): ReportAnswer {
-        if (report.term > leading.term) {
-            ports.leadership(LeadershipMessage.TermSeen(report.term))
-            return ReportAnswer.Elsewhere(null)
+    ): HeartbeatResponse {
+        if (report.term > leadership.term) {
+            ports.leadership(LeadershipMessage.TermObserved(report.term))
+            return HeartbeatResponse.Redirect(null)
         }
         // A message from a machine that is surely gone was held up on its way.
-        if (report.machine in roster.gone) orders.spoke(report.machine, now)
-        if (!leading.mayAnswer(now) || report.machine in roster.gone) return ReportAnswer.Elsewhere(null)
+        if (report.machine in machineRegistry.gone) orders.spoke(report.machine, now)
+        if (!leadership.mayAnswerHeartbeats(now) ||
+            report.machine in machineRegistry.gone
+        ) {
+            return HeartbeatResponse.Redirect(null)
+        }
         val worker = table.workers.getOrPut(report.machine) { worker(report, now) }
-        // Late reports tell what was: answering one would renew nothing, and believing one would free a task, or bring back one that was lost.
-        if (worker.lease?.judge(report.order.session) == Word.STALE) return ReportAnswer.Elsewhere(null)
+        // Late reports tell what was: answering one would renew nothing, and believing one would free a task, or bring
+        // back one that was lost.
+        if (worker.lease?.judge(report.order.session) == MessageFreshness.STALE) return HeartbeatResponse.Redirect(null)
         val order = worker.order
         if (order != null && report.order <= order) {
             // But one that a command to the worker's own address has overtaken is no late one: it waits for its answer.
-            if (now - worker.calledAt > WorkerTimes.ANSWER_WAIT) return ReportAnswer.Elsewhere(null)
+            if (now - worker.calledAt > WorkerTimeouts.ANSWER_WAIT) return HeartbeatResponse.Redirect(null)
             val stops =
                 commands.endings(worker, report.tasks + worker.tasks, tableComplete, mayStart = false)
-                    ?: return ReportAnswer.Elsewhere(null)
-            renew(leading, worker, report, now)
-            return ReportAnswer.Accepted(leading.term, stops)
+                    ?: return HeartbeatResponse.Redirect(null)
+            renew(leadership, worker, report, now)
+            return HeartbeatResponse.Accepted(leadership.term, stops)
         }
-        heard(leading, worker, report, now)
-        val obeys = report.term == leading.term
+        heard(leadership, worker, report, now)
+        val obeys = report.term == leadership.term
         if (obeys &&
             tableComplete
         ) {
@@ -64,39 +84,59 @@
         } else if (!obeys &&
             takeover.closing(now)
         ) {
-            return ReportAnswer.Elsewhere(null)
+            return HeartbeatResponse.Redirect(null)
         }
-        val mayCommand = obeys && tableComplete && leading.mayCommand(now)
+        val maySendCommands = obeys && tableComplete && leadership.maySendCommands(now)
         val stops =
-            commands.endings(worker, report.tasks, tableComplete, mayCommand) ?: return ReportAnswer.Elsewhere(null)
-        // It is answered in any case, so its session goes on: the scheduling cycle may give it something in this very answer.
-        renew(leading, worker, report, now)
+            commands.endings(worker, report.tasks, tableComplete, maySendCommands)
+                ?: return HeartbeatResponse.Redirect(null)
+        // It is answered in any case, so its session goes on: the scheduling cycle may give it something in this very
+        // answer.
+        renew(leadership, worker, report, now)
         // It may still execute an earlier leader's command; its list counts once it has seen our term. And without the
         // jobs its tasks can't be judged: it is kept, and its next report is.
-        if (!mayCommand) return ReportAnswer.Accepted(leading.term, stops)
+        if (!maySendCommands) return HeartbeatResponse.Accepted(leadership.term, stops)
         // Room that this report brings is given away in its own answer: the next report may be seconds off.
         cycle(worker)
-        return ReportAnswer.Accepted(leading.term, commands.of(worker, now, stops).also { given(worker, it, now) })
+        return HeartbeatResponse.Accepted(
+            leadership.term,
+            commands.of(worker, now, stops).also {
+                given(worker, it, now)
+            },
+        )
     }
 
     /** The report is being answered, so its session goes on. */
-    private fun renew(leading: Tenure.Leading, worker: WorkerState, report: Report, now: Moment) {
+    private fun renew(
+        leadership: LeadershipState.Leader,
+        worker: WorkerState,
+        report: Heartbeat,
+        now: MonotonicInstant,
+    ) {
         worker.answered(now)
         worker.lastReport = now
         // One that an answer to a command has settled since holds nothing that this term doesn't know.
-        if (report.term < leading.term && !worker.settled) takeover.answered(worker.id, now)
+        if (report.term < leadership.term && !worker.settled) takeover.answered(worker.id, now)
     }
 
-    private fun worker(report: Report, now: Moment): WorkerState =
+    private fun worker(report: Heartbeat, now: MonotonicInstant): WorkerState =
         WorkerState(report.machine, report.type, report.zone, report.spot, now).also { fresh ->
             hinted(report.machine)?.forEach { (image, gb) -> fresh.usesImage(image, gb) }
         }
 
     /** A word that is newer than all before it. */
-    private fun heard(leading: Tenure.Leading, worker: WorkerState, report: Report, now: Moment) {
+    private fun heard(
+        leadership: LeadershipState.Leader,
+        worker: WorkerState,
+        report: Heartbeat,
+        now: MonotonicInstant,
+    ) {
         orders.spoke(worker.id, now)
-        if (worker.hears(report.order.session, now, obeys = report.term == leading.term) == Word.NEW_SESSION) {
-            // Commands to its own address name the session: those of an earlier one are never executed now, and what ran in it is gone.
+        if (worker.hears(report.order.session, now, obeys = report.term == leadership.term) ==
+            MessageFreshness.NEW_SESSION
+        ) {
+            // Commands to its own address name the session: those of an earlier one are never executed now, and what
+            // ran in it is gone.
             worker.loose.clear()
             table.loseSent(worker)
         }
@@ -109,18 +149,25 @@
             table.dirty = true
         }
         worker.notice = report.notice
-        if (worker.releaseAsked != Moment.NEVER || !worker.settled) ports.fleet(FleetMessage.Heard(worker.id))
-        silence.heard(worker)
-        inquiry.heard(worker.id)
-        silence.back(worker, now)
-        if (report.machine !in roster.known) ports.fleet(FleetMessage.Stray(report))
-        if (worker.id in roster.known && worker.id !in roster.cleared && now - worker.clearAsked > CLEAR_AGAIN) {
+        if (worker.releaseAsked != MonotonicInstant.NEVER ||
+            !worker.settled
+        ) {
+            ports.fleet(FleetMessage.HeartbeatReceived(worker.id))
+        }
+        failureDetector.heard(worker)
+        workerProber.heard(worker.id)
+        failureDetector.back(worker, now)
+        if (report.machine !in machineRegistry.known) ports.fleet(FleetMessage.OrphanDetected(report))
+        if (worker.id in machineRegistry.known &&
+            worker.id !in machineRegistry.cleared &&
+            now - worker.clearAsked > CLEAR_AGAIN
+        ) {
             worker.clearAsked = now
-            ports.fleet(FleetMessage.CameUp(worker.id))
+            ports.fleet(FleetMessage.MachineUp(worker.id))
         }
     }
 
-    private fun settle(worker: WorkerState, report: Report, inReply: Boolean = false) {
+    private fun settle(worker: WorkerState, report: Heartbeat, inReply: Boolean = false) {
         if (!worker.settled) {
             worker.settled = true
             takeover.heard(worker.id)
@@ -129,15 +176,17 @@
             }
             table.dirty = true
         }
-        reconciler.apply(worker, report, inReply)
+        taskReconciler.apply(worker, report, inReply)
         onSettled()
     }
 
     /**
-     * Sends what was decided to workers whose next report is not due soon. In an answer it would be as safe and cheaper,
-     * but a task would wait for half a report's time, and an intent that is older than a scheduling cycle's budget is dropped.
+     * Sends what was decided to workers whose next report is not due soon. In an answer it would be as safe and
+     * cheaper,
+     * but a task would wait for half a report's time, and an intent that is older than a scheduling cycle's budget is
+     * dropped.
      */
-    fun sendUrgent(leading: Tenure.Leading, now: Moment, answering: WorkerState?) {
+    fun sendUrgent(leadership: LeadershipState.Leader, now: MonotonicInstant, answering: WorkerState?) {
         val workers = table.undelivered.iterator()
         while (workers.hasNext()) {
             val worker = workers.next()
@@ -156,11 +205,11 @@
             if (urgent.isEmpty()) continue
             worker.calling = true
             given(worker, urgent, now)
-            ports.command(leading, address, worker.id, session, urgent)
+            ports.command(leadership, address, worker.id, session, urgent)
         }
     }
 
-    private fun given(worker: WorkerState, commands: List<Command>, now: Moment) {
+    private fun given(worker: WorkerState, commands: List<Command>, now: MonotonicInstant) {
         for (command in commands) {
             when (command) {
                 is Command.Start -> orders.started(command.task, now)
@@ -172,12 +221,16 @@
                     now,
                 )
 
-                is Command.Forget -> orders.gave(OrderKind.REAP, 1, now)
+                is Command.Reap -> orders.gave(ActionKind.REAP, 1, now)
             }
         }
     }
 
-    fun commanded(leading: Tenure.Leading, message: ForemanMessage.Commanded, now: Moment) {
+    fun commanded(
+        leadership: LeadershipState.Leader,
+        message: SchedulerMessage.CommandsDelivered,
+        now: MonotonicInstant,
+    ) {
         val worker = table.workers[message.machine] ?: return
         worker.calling = false
         worker.calledAt = now
@@ -200,8 +253,8 @@
         placements.forEach { it.onItsWay = false }
         if (outcome is CommandOutcome.Executed) {
             val report = outcome.report
-            if (report.machine == worker.id && report.term == leading.term && isNews(worker, report)) {
-                heard(leading, worker, report, now)
+            if (report.machine == worker.id && report.term == leadership.term && isNews(worker, report)) {
+                heard(leadership, worker, report, now)
                 settle(worker, report, inReply = true)
             }
             return
@@ -218,31 +271,32 @@
     }
 
     fun asked(
-        leading: Tenure.Leading,
+        leadership: LeadershipState.Leader,
         machine: MachineId,
         outcome: CommandOutcome,
-        now: Moment,
+        now: MonotonicInstant,
         tableComplete: Boolean,
     ) {
-        if (machine in roster.gone) return
-        inquiry.took(machine, connection = outcome != CommandOutcome.Unreachable, now)
-        if (outcome !is CommandOutcome.Executed) orders.regrets(RegretKind.ASK_IN_VAIN)
+        if (machine in machineRegistry.gone) return
+        workerProber.took(machine, connection = outcome != CommandOutcome.Unreachable, now)
+        if (outcome !is CommandOutcome.Executed) orders.regrets(NeedlessActionKind.ASK_IN_VAIN)
         val said = (outcome as? CommandOutcome.Executed)?.report
         // A machine's address may be another's by now.
         if (said == null || said.machine != machine) return
-        if (said.term > leading.term) {
-            ports.leadership(LeadershipMessage.TermSeen(said.term))
+        if (said.term > leadership.term) {
+            ports.leadership(LeadershipMessage.TermObserved(said.term))
             return
         }
         val worker = table.workers.getOrPut(said.machine) { worker(said, now) }
         if (!isNews(worker, said)) return
         worker.calledAt = now
-        heard(leading, worker, said, now)
-        if (said.term == leading.term && tableComplete) settle(worker, said, inReply = true)
+        heard(leadership, worker, said, now)
+        if (said.term == leadership.term && tableComplete) settle(worker, said, inReply = true)
     }
 
-    private fun isNews(worker: WorkerState, report: Report): Boolean =
-        worker.lease?.judge(report.order.session) != Word.STALE && worker.order.let { it == null || report.order > it }
+    private fun isNews(worker: WorkerState, report: Heartbeat): Boolean =
+        worker.lease?.judge(report.order.session) != MessageFreshness.STALE &&
+            worker.order.let { it == null || report.order > it }
 
     private companion object {
         val CLEAR_AGAIN = 2.seconds
--- a/src/main/kotlin/org/elderhitch/workers/WorkerLine.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/WorkerClient.kt
@@ -1,4 +1,4 @@
-package org.elderhitch.workers
+package org.elderhitch.heartbeat
 
 import kotlinx.coroutines.sync.Semaphore
 import kotlinx.coroutines.sync.withPermit
@@ -11,22 +11,8 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What became of commands that were sent to a worker's own address. */
-public sealed interface CommandOutcome {
-    public data class Executed(val report: Report) : CommandOutcome
-
-    /** Surely not executed, now or later. */
-    public data object NotExecuted : CommandOutcome
-
-    /** The same, and the worker took no connection. */
-    public data object Unreachable : CommandOutcome
-
-    /** Executed, or not, or still to be executed. */
-    public data object Unknown : CommandOutcome
-}
-
 /** Sends commands to workers' own addresses, a few at a time: sockets are for those who call. */
-public class WorkerLine(private val transport: Transport) {
+public class WorkerClient(private val transport: Transport) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
     private val turns = Semaphore(AT_ONCE)
     private val questions = Semaphore(QUESTIONS_AT_ONCE)
@@ -45,7 +31,7 @@
                 to,
                 "POST",
                 "/do",
-                ReportCodec.encodeDirect(term, session, commands),
+                HeartbeatCodec.encodeDirect(term, session, commands),
                 CONNECT,
                 TIMEOUT,
             )
@@ -82,7 +68,7 @@
             at,
             "POST",
             "/do",
-            ReportCodec.encodeDirect(term, said.report.order.session, emptyList()),
+            HeartbeatCodec.encodeDirect(term, said.report.order.session, emptyList()),
             CONNECT,
             TIMEOUT,
         )
@@ -90,7 +76,7 @@
     }
 
     private fun executed(body: ByteArray): CommandOutcome = try {
-        CommandOutcome.Executed(ReportCodec.decode(body))
+        CommandOutcome.Executed(HeartbeatCodec.decode(body))
     } catch (e: MalformedJson) {
         log.info("malformed answer from=worker reason=\"{}\"", e.message)
         CommandOutcome.Unknown
--- a/src/main/kotlin/org/elderhitch/http/HttpClient.kt
+++ b/src/main/kotlin/org/elderhitch/http/HttpClient.kt
@@ -1,7 +1,7 @@
 package org.elderhitch.http
 
 import kotlinx.coroutines.withTimeoutOrNull
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.slf4j.LoggerFactory
 import java.io.IOException
@@ -19,7 +19,11 @@
     private val clock: SteadyClock,
     private val limits: Limits = Limits(headers = 16 * 1024, body = 16 * 1024 * 1024),
 ) : Transport {
-    private class Connection(val channel: AsynchronousSocketChannel, val parser: MessageParser, var usedAt: Moment) {
+    private class Connection(
+        val channel: AsynchronousSocketChannel,
+        val parser: MessageParser,
+        var usedAt: MonotonicInstant,
+    ) {
         var reusable = false
     }
 
--- a/src/main/kotlin/org/elderhitch/http/HttpServer.kt
+++ b/src/main/kotlin/org/elderhitch/http/HttpServer.kt
@@ -7,7 +7,7 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.withTimeoutOrNull
 import org.elderhitch.json.Json
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.slf4j.LoggerFactory
 import java.io.IOException
@@ -35,7 +35,7 @@
     private val slow: Duration = 10.seconds,
 ) {
     private class Connection(val channel: AsynchronousSocketChannel) {
-        var quietSince: Moment = Moment.FOREVER
+        var quietSince: MonotonicInstant = MonotonicInstant.FOREVER
     }
 
     private val log = LoggerFactory.getLogger("elderhitch.http")
@@ -73,7 +73,8 @@
     }
 
     private fun shed(): Boolean {
-        val oldest = open.filter { it.quietSince < Moment.FOREVER }.minByOrNull { it.quietSince } ?: return false
+        val oldest =
+            open.filter { it.quietSince < MonotonicInstant.FOREVER }.minByOrNull { it.quietSince } ?: return false
         oldest.channel.closeQuietly()
         open.remove(oldest)
         return true
@@ -118,7 +119,7 @@
 
     private suspend fun readMessage(connection: Connection, parser: MessageParser, buffer: ByteBuffer): Message? {
         if (parser.idle) connection.quietSince = clock.now()
-        var started = Moment.FOREVER
+        var started = MonotonicInstant.FOREVER
         while (true) {
             if (buffer.position() > 0) {
                 buffer.flip()
@@ -126,11 +127,11 @@
                 buffer.position(taken)
                 buffer.compact()
                 if (message != null) {
-                    connection.quietSince = Moment.FOREVER
+                    connection.quietSince = MonotonicInstant.FOREVER
                     return message
                 }
             }
-            if (!parser.idle && started == Moment.FOREVER) started = clock.now()
+            if (!parser.idle && started == MonotonicInstant.FOREVER) started = clock.now()
             val patience = if (parser.idle) idle else slow - (clock.now() - started)
             val read = withTimeoutOrNull(patience) { connection.channel.readInto(buffer) } ?: return null
             if (read < 0) return null
@@ -151,7 +152,10 @@
     }
 
     public companion object {
-        /** After a crash of all controllers each worker and user comes back within a second, while the process that has just started is slow. */
+        /**
+         * After a crash of all controllers each worker and user comes back within a second, while the process that has
+         * just started is slow.
+         */
         private const val BACKLOG = 1024
         private const val BUFFER = 4096
         private const val HEAD_SIZE = 160
--- a/src/main/kotlin/org/elderhitch/jobs/Admission.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/Admission.kt
@@ -8,7 +8,8 @@
     override fun compareTo(other: Footprint): Int = bytes.compareTo(other.bytes)
 
     public companion object {
-        // Measured on loopback (docs/design/features.md): an open job of four tasks takes 0.7 KB while it waits, and as much again
+        // Measured on loopback (docs/design/features.md): an open job of four tasks takes 0.7 KB while it waits, and as
+        // much again
         // for a moment in each node that starts and lists it.
         private const val JOB = 1_400L
         private const val BITS_PER_BYTE = 8
@@ -23,7 +24,8 @@
         public fun of(spec: JobSpec): Footprint = Footprint(JOB + spec.tasks.toLong() * BIT_SETS / BITS_PER_BYTE)
 
         /**
-         * What a controller with so large a heap can hold and still start on: without this bound one accepted jobs until it ended for
+         * What a controller with so large a heap can hold and still start on: without this bound one accepted jobs
+         * until it ended for
          * memory, and none could start again on what was recorded.
          */
         public fun bound(heapBytes: Long): Footprint = Footprint(
@@ -35,7 +37,10 @@
     }
 }
 
-/** Whether one more job may be accepted: all nodes go by the smallest of their bounds, as each must be able to start on all of it. */
+/**
+ * Whether one more job may be accepted: all nodes go by the smallest of their bounds, as each must be able to start on
+ * all of it.
+ */
 public class Admission(private val own: Footprint, private val peers: () -> Footprint?) {
     public val bound: Footprint get() = peers()?.let { minOf(it, own) } ?: own
 
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/jobs/Attempt.kt
@@ -0,0 +1,7 @@
+package org.elderhitch.jobs
+
+/** Tells one start of a task from another. */
+@JvmInline
+public value class Attempt(public val number: Long) {
+    override fun toString(): String = number.toString()
+}
--- a/src/main/kotlin/org/elderhitch/jobs/FinishedTasks.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/CompletedTasks.kt
@@ -4,10 +4,11 @@
 import java.util.BitSet
 
 /**
- * Which tasks of a job are finished. In the state service they stand in blocks of [BLOCK] tasks, one value a block, each
+ * Which tasks of a job are finished. In the state service they stand in blocks of [BLOCK] tasks, one value a block,
+ * each
  * either ranges ("0-5,7") or, where that is shorter, a bitmap: at most [MAX_VALUE_CHARS] characters whatever happened.
  */
-public class FinishedTasks(public val tasks: Int) {
+public class CompletedTasks(public val tasks: Int) {
     private val bits = BitSet(tasks)
 
     public val count: Int get() = bits.cardinality()
@@ -19,7 +20,7 @@
     public fun firstMissing(from: Int): Int = bits.nextClearBit(from)
 
     /** Those of these tasks that [other] lacks. */
-    public fun beyond(other: FinishedTasks): List<Int> {
+    public fun beyond(other: CompletedTasks): List<Int> {
         val fresh = bits.clone() as BitSet
         fresh.andNot(other.bits)
         return fresh.stream().boxed().toList()
@@ -30,9 +31,9 @@
         bits.set(index)
     }
 
-    public fun copy(): FinishedTasks = FinishedTasks(tasks).also { it.addAll(this) }
+    public fun copy(): CompletedTasks = CompletedTasks(tasks).also { it.addAll(this) }
 
-    public fun addAll(other: FinishedTasks) {
+    public fun addAll(other: CompletedTasks) {
         bits.or(other.bits)
     }
 
--- a/src/main/kotlin/org/elderhitch/jobs/Recorder.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/CompletionWriter.kt
@@ -1,42 +1,49 @@
 package org.elderhitch.jobs
 
-import org.elderhitch.leadership.Tenure
+import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.store.CommitOutcome
 import org.elderhitch.store.Condition
 import org.elderhitch.store.Keys
-import org.elderhitch.store.Purpose
 import org.elderhitch.store.ReadOutcome
+import org.elderhitch.store.RequestPriority
 import org.elderhitch.store.Revision
 import org.elderhitch.store.StateClient
 import org.elderhitch.store.Write
-import org.elderhitch.workers.FinishedBatch
 
 /** What one job's newly finished tasks need written, and under which conditions. */
-internal class RecordItem(
+internal class CompletionWrite(
     val job: JobId,
     val fresh: List<Int>,
     val conditions: List<Condition>,
     val writes: List<Write>,
-    val ending: EndRecord?,
+    val ending: TerminalRecord?,
 )
 
 /**
- * Writes finished tasks, packed, once per scheduling cycle, and decides that a job is done: on the key of its ending, which a
+ * Writes finished tasks, packed, once per scheduling cycle, and decides that a job is done: on the key of its ending,
+ * which a
  * withdrawal would create as well, so that exactly one of them wins.
  */
-public class Recorder(private val client: StateClient, private val book: JobBook, private val txnOps: Int) {
+public class CompletionWriter(
+    private val client: StateClient,
+    private val jobRegistry: JobRegistry,
+    private val txnOps: Int,
+) {
     /** What was recorded; null: another term has begun. */
-    public suspend fun record(leading: Tenure.Leading, batches: List<FinishedBatch>): Map<JobId, List<Int>>? {
+    public suspend fun record(
+        leadership: LeadershipState.Leader,
+        batches: List<CompletionBatch>,
+    ): Map<JobId, List<Int>>? {
         val recorded = HashMap<JobId, List<Int>>()
         val queue = ArrayDeque(batches.flatMap(::items))
         while (queue.isNotEmpty()) {
-            val group = ArrayList<RecordItem>()
+            val group = ArrayList<CompletionWrite>()
             while (queue.isNotEmpty() &&
                 (group.isEmpty() || group.sumOf { it.writes.size } + queue.first().writes.size <= txnOps)
             ) {
                 group.add(queue.removeFirst())
             }
-            when (val outcome = commit(leading, group)) {
+            when (val outcome = commit(leadership, group)) {
                 is CommitOutcome.Committed -> group.forEach { done(it, recorded) }
 
                 is CommitOutcome.Conflict -> {
@@ -44,7 +51,7 @@
                     // Withdrawn meanwhile, or an earlier try of ours came through: the rest goes on without those.
                     for (item in group) {
                         if (item.conditions.any { it.key in outcome.failed }) continue
-                        if (commit(leading, listOf(item)) is CommitOutcome.Committed) done(item, recorded)
+                        if (commit(leadership, listOf(item)) is CommitOutcome.Committed) done(item, recorded)
                     }
                 }
 
@@ -54,28 +61,29 @@
         return recorded
     }
 
-    private fun done(item: RecordItem, recorded: MutableMap<JobId, List<Int>>) {
+    private fun done(item: CompletionWrite, recorded: MutableMap<JobId, List<Int>>) {
         recorded[item.job] = recorded[item.job].orEmpty() + item.fresh
-        item.ending?.let { book.tell(JobMessage.EndedHere(item.job, it)) }
+        item.ending?.let { jobRegistry.tell(JobMessage.TerminalStateRecorded(item.job, it)) }
     }
 
-    private suspend fun commit(leading: Tenure.Leading, items: List<RecordItem>): CommitOutcome = client.commit(
-        listOf(Condition(Keys.TERM, leading.counter)) + items.flatMap { it.conditions }.distinct(),
-        items.flatMap { it.writes },
-        if (items.any { it.ending != null }) Purpose.END else Purpose.PROGRESS,
-    )
+    private suspend fun commit(leadership: LeadershipState.Leader, items: List<CompletionWrite>): CommitOutcome =
+        client.commit(
+            listOf(Condition(Keys.TERM, leadership.counter)) + items.flatMap { it.conditions }.distinct(),
+            items.flatMap { it.writes },
+            if (items.any { it.ending != null }) RequestPriority.END else RequestPriority.PROGRESS,
+        )
 
-    internal fun items(batch: FinishedBatch): List<RecordItem> {
+    internal fun items(batch: CompletionBatch): List<CompletionWrite> {
         val open = Condition(Keys.job(batch.job), batch.version)
         if (batch.state.all) {
-            val ending = EndRecord(Ending.DONE, batch.state.tasks, batch.account)
+            val ending = TerminalRecord(TerminalState.DONE, batch.state.tasks, batch.account)
             return listOf(
-                RecordItem(
+                CompletionWrite(
                     batch.job,
                     batch.fresh,
-                    listOf(open, Condition(Keys.end(batch.job), Revision.ABSENT)),
+                    listOf(open, Condition(Keys.terminalRecord(batch.job), Revision.ABSENT)),
                     listOfNotNull(
-                        Write.Put(Keys.end(batch.job), ending.encode()),
+                        Write.Put(Keys.terminalRecord(batch.job), ending.encode()),
                         Write.Drop(Keys.job(batch.job)),
                         if (batch.held) Write.Drop(Keys.hold(batch.job)) else null,
                     ),
@@ -83,37 +91,43 @@
                 ),
             )
         }
-        return batch.fresh.groupBy(FinishedTasks::blockOf).map { (block, tasks) ->
+        return batch.fresh.groupBy(CompletedTasks::blockOf).map { (block, tasks) ->
             val write = Write.Put(Keys.finished(batch.job, block), mapOf("f" to batch.state.pack(block)))
-            // A write without an answer may be carried out late: without the version it would undo a newer one, and tasks that were
+            // A write without an answer may be carried out late: without the version it would undo a newer one, and
+            // tasks that were
             // told as done would be open again for whoever starts then.
             val before = Condition(write.key, batch.blockVersions[block] ?: Revision.ABSENT)
-            RecordItem(batch.job, tasks, listOf(open, before), listOf(write), null)
+            CompletionWrite(batch.job, tasks, listOf(open, before), listOf(write), null)
         }
     }
 
-    /** Keeps a job from being started; [before]: the version of its hold's key. Whoever has begun another term meanwhile may have started it: then nothing is written. */
+    /**
+     * Keeps a job from being started; [before]: the version of its hold's key. Whoever has begun another term meanwhile
+     * may have started it: then nothing is written.
+     */
     public suspend fun hold(
-        leading: Tenure.Leading,
+        leadership: LeadershipState.Leader,
         job: JobId,
         version: Revision,
         before: Revision,
-        hold: Hold,
+        hold: JobHold,
     ): CommitOutcome {
         val conditions =
             listOf(
-                Condition(Keys.TERM, leading.counter),
+                Condition(Keys.TERM, leadership.counter),
                 Condition(Keys.job(job), version),
                 Condition(Keys.hold(job), before),
             )
         var outcome: CommitOutcome = CommitOutcome.Unknown
         repeat(HOLD_TRIES) {
-            outcome = client.commit(conditions, listOf(Write.Put(Keys.hold(job), hold.encode())), Purpose.RECORD)
+            outcome =
+                client.commit(conditions, listOf(Write.Put(Keys.hold(job), hold.encode())), RequestPriority.RECORD)
             if ((outcome as? CommitOutcome.Conflict)?.failed == setOf(Keys.hold(job))) {
                 // Nobody else holds jobs in this term: a hold that is there is the one that an earlier try left.
                 val there =
-                    client.read(Keys.hold(job), Purpose.RECORD) as? ReadOutcome.Found ?: return CommitOutcome.Unknown
-                return if (Hold.decode(there.entry.value, there.entry.version)?.effective !=
+                    client.read(Keys.hold(job), RequestPriority.RECORD) as? ReadOutcome.Found
+                        ?: return CommitOutcome.Unknown
+                return if (JobHold.decode(there.entry.value, there.entry.version)?.effective !=
                     null
                 ) {
                     CommitOutcome.Committed(there.entry.version)
@@ -127,21 +141,21 @@
     }
 
     /** A hold that was recorded while its job ended keeps nothing any more. */
-    public suspend fun forgetHold(leading: Tenure.Leading, job: JobId) {
+    public suspend fun forgetHold(leadership: LeadershipState.Leader, job: JobId) {
         client.commit(
-            listOf(Condition(Keys.TERM, leading.counter), Condition(Keys.job(job), Revision.ABSENT)),
+            listOf(Condition(Keys.TERM, leadership.counter), Condition(Keys.job(job), Revision.ABSENT)),
             listOf(Write.Drop(Keys.hold(job))),
-            Purpose.OTHER,
+            RequestPriority.OTHER,
         )
     }
 
     /** The finished blocks of an ended job say nothing that its ending doesn't. */
-    public suspend fun forget(leading: Tenure.Leading, job: JobId, blocks: Collection<Int>) {
+    public suspend fun forget(leadership: LeadershipState.Leader, job: JobId, blocks: Collection<Int>) {
         for (chunk in blocks.chunked(txnOps)) {
             client.commit(
-                listOf(Condition(Keys.TERM, leading.counter), Condition(Keys.job(job), Revision.ABSENT)),
+                listOf(Condition(Keys.TERM, leadership.counter), Condition(Keys.job(job), Revision.ABSENT)),
                 chunk.map { Write.Drop(Keys.finished(job, it)) },
-                Purpose.OTHER,
+                RequestPriority.OTHER,
             )
         }
     }
--- a/src/main/kotlin/org/elderhitch/jobs/Job.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/Job.kt
@@ -108,15 +108,21 @@
 }
 
 /** How a job ended, for ever. */
-public enum class Ending { DONE, WITHDRAWN }
+public enum class TerminalState(
+    /** The word of the protocol and of stored records. */
+    public val word: String,
+) {
+    DONE("done"),
+    CANCELLED("withdrawn"),
+}
 
 /** What a user is told about a job. */
-public data class Standing(val word: String, val done: Int, val running: Int) {
+public data class JobStatus(val word: String, val done: Int, val running: Int) {
     public companion object {
-        public fun ended(how: Ending, done: Int): Standing =
-            Standing(if (how == Ending.DONE) "done" else "withdrawn", done, 0)
+        public fun ended(how: TerminalState, done: Int): JobStatus =
+            JobStatus(if (how == TerminalState.DONE) "done" else "withdrawn", done, 0)
 
-        public fun open(done: Int, running: Int): Standing = Standing(
+        public fun open(done: Int, running: Int): JobStatus = JobStatus(
             if (running >
                 0
             ) {
--- a/src/main/kotlin/org/elderhitch/jobs/Account.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobAccount.kt
@@ -6,10 +6,11 @@
 
 /**
  * What became of a job's work, written with its ending. Seconds are task-seconds as the leader saw them: each end of a
- * run to within the time between two reports that reached a leader. [lowerBound]: part of it happened under an earlier term, or unseen by the node that
+ * run to within the time between two reports that reached a leader. [lowerBound]: part of it happened under an earlier
+ * term, or unseen by the node that
  * wrote this, so there was at least as much of everything.
  */
-public data class Account(
+public data class JobAccount(
     val team: TeamName,
     val jobClass: String,
     /** Starts that were seen on a machine. */
@@ -33,8 +34,11 @@
 
         private fun tenths(seconds: Double): Double = Math.rint(seconds * TENTHS) / TENTHS
 
-        /** Throws [org.elderhitch.json.MalformedJson]. Thousands are remembered, of few teams and classes: these are kept once. */
-        public fun decode(from: JsonObject): Account = Account(
+        /**
+         * Throws [org.elderhitch.json.MalformedJson]. Thousands are remembered, of few teams and classes: these are
+         * kept once.
+         */
+        public fun decode(from: JsonObject): JobAccount = JobAccount(
             TeamName(
                 from.string("team").intern(),
             ),
@@ -47,7 +51,7 @@
         )
 
         /** Of a job whose work this node did not see. */
-        public fun unseen(spec: JobSpec, end: WallTime): Account =
-            Account(spec.team, spec.jobClass, 0, 0, 0.0, 0.0, null, end, lowerBound = true)
+        public fun unseen(spec: JobSpec, end: WallTime): JobAccount =
+            JobAccount(spec.team, spec.jobClass, 0, 0, 0.0, 0.0, null, end, lowerBound = true)
     }
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobCodec.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobCodec.kt
@@ -85,7 +85,7 @@
         "repeatOf" to spec.repeatOf?.text,
     ).filterValues { it != null }
 
-    public fun standing(id: JobId, standing: Standing): ByteArray = Json.bytes(
+    public fun standing(id: JobId, standing: JobStatus): ByteArray = Json.bytes(
         linkedMapOf(
             "id" to id.text,
             "standing" to standing.word,
--- a/src/main/kotlin/org/elderhitch/lab/ColdStartLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/ColdStartLab.kt
@@ -3,21 +3,25 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import org.elderhitch.app.Rehearsal
+import org.elderhitch.app.ClassArchiveTraining
 import org.elderhitch.fleet.FleetPolicy
 import org.elderhitch.json.Json
 import org.elderhitch.json.JsonObject
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** How a cold start goes: all controllers down for [down], [waves] times, the state service down for [outage] around the last of them; null: drawn by the seed. */
+/**
+ * How a cold start goes: all controllers down for [down], [waves] times, the state service down for [outage] around the
+ * last of them; null: drawn by the seed.
+ */
 internal class ColdStartPlan(val down: Duration?, val outage: Duration?, val waves: Int?)
 
 /**
- * All controllers go down, once or several times in a row, and come back, while machines die, hang, are taken or cut off, and messages are late. It is a storm
+ * All controllers go down, once or several times in a row, and come back, while machines die, hang, are taken or cut
+ * off, and messages are late. It is a storm
  * whose schedule is such a start, with what happened after the last of them measured.
  */
 internal class ColdStartLab(
@@ -140,7 +144,8 @@
 
     private fun play(schedule: Schedule, policy: FleetPolicy): Measured {
         val last = schedule.troubles.last { it.kind == Kind.CRASH_ALL }
-        // Who is cut off, or late on its way, or waits for the state service as everybody does, says nothing of the start.
+        // Who is cut off, or late on its way, or waits for the state service as everybody does, says nothing of the
+        // start.
         val back = last.at + last.lasts
         val disturbed = schedule.troubles.any {
             it.kind in UNREACHED &&
@@ -177,13 +182,22 @@
             }.groupBy({ it.first }, { it.second }).mapValues { it.value.sum() }
 
         fun figures(): Map<String, Any?> = linkedMapOf(
-            "claimed_ms" to claimed, "first_201_ms" to accepted, "leases_renewed_2s" to renewed, "settled_ms" to settled,
+            "claimed_ms" to claimed,
+            "first_201_ms" to accepted,
+            "leases_renewed_2s" to renewed,
+            "settled_ms" to settled,
             "placed_again_ms" to placed,
             "peak" to peak, "lost_needlessly" to lostByReturn, "lost_by_lease" to lostByLease,
             "regret" to ordersOf("regret"),
         )
 
-        suspend fun watch(scope: CoroutineScope, world: World, users: StormUsers, rules: RuleBook, startsAt: Moment) {
+        suspend fun watch(
+            scope: CoroutineScope,
+            world: SimulatedCluster,
+            users: SimulatedUsers,
+            rules: InvariantChecker,
+            startsAt: MonotonicInstant,
+        ) {
             delay(startsAt - world.clock.now())
             val term = term(world)
             val before = world.lapses
@@ -215,17 +229,17 @@
             }
         }
 
-        private fun term(world: World): String = Json.text(
+        private fun term(world: SimulatedCluster): String = Json.text(
             world.platform.state.value("v/a/term")?.let { value ->
                 value.names.associateWith { value.raw(it) }
             }.orEmpty(),
         )
 
-        private suspend fun submissions(world: World, startsAt: Moment) {
+        private suspend fun submissions(world: SimulatedCluster, startsAt: MonotonicInstant) {
             var n = 0
             while (accepted == null && world.clock.now() - startsAt < MOST) {
                 val body = Json.bytes(
-                    Rehearsal.exampleJob("req-cold-${n++}", "array") + mapOf("crates" to 1, "haulS" to 1.0),
+                    ClassArchiveTraining.exampleJob("req-cold-${n++}", "array") + mapOf("crates" to 1, "haulS" to 1.0),
                 )
                 if (world.call(world.names[n % world.names.size], "POST", "/work", body)?.status ==
                     CREATED
@@ -237,7 +251,7 @@
             }
         }
 
-        private fun whole(users: StormUsers, rules: RuleBook): Boolean = users.services.all { s ->
+        private fun whole(users: SimulatedUsers, rules: InvariantChecker): Boolean = users.services.all { s ->
             rules.finalOf(s.id) != null ||
                 users.isWithdrawing(s.id) ||
                 (0 until s.tasks).all { rules.isOn("${s.id}/$it") }
--- a/src/main/kotlin/org/elderhitch/lab/DrmaaLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/DrmaaLab.kt
@@ -3,27 +3,29 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import org.elderhitch.app.Rehearsal
+import org.elderhitch.app.ClassArchiveTraining
 import org.elderhitch.drmaa.Drmaa
 import org.elderhitch.drmaa.DrmaaSettings
 import org.elderhitch.drmaa.Networks
 import org.elderhitch.drmaa.Tokens
 import org.elderhitch.features.FeatureFactory
 import org.elderhitch.features.Features
-import org.elderhitch.jobs.Account
 import org.elderhitch.jobs.ClassRules
-import org.elderhitch.jobs.EndRecord
-import org.elderhitch.jobs.Ending
+import org.elderhitch.jobs.JobAccount
 import org.elderhitch.jobs.JobId
+import org.elderhitch.jobs.TerminalRecord
+import org.elderhitch.jobs.TerminalState
 import org.elderhitch.store.Keys
-import org.elderhitch.store.Subject
-import org.elderhitch.time.Moment
+import org.elderhitch.store.StoredKey
+import org.elderhitch.time.MonotonicInstant
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** One job of the mix. Those that are cancelled never end by themselves, so that both paths must give the same answer. */
+/**
+ * One job of the mix. Those that are cancelled never end by themselves, so that both paths must give the same answer.
+ */
 internal class MixJob(
     val number: Int,
     val kind: String,
@@ -84,7 +86,7 @@
 }
 
 /** How a job of the mix ended, by its ending and by what its user was told. */
-internal class MixOutcome(val told: String?, val record: EndRecord?)
+internal class MixOutcome(val told: String?, val record: TerminalRecord?)
 
 /** The same mix with the same troubles, natively and through DRMAA: both must give the same answers and accounts. */
 internal class DrmaaLab(private val seed: Long, private val size: Int, private val progress: (String) -> Unit) {
@@ -144,10 +146,10 @@
         sorted.getOrNull(((sorted.size - 1) * share).toInt())?.inWholeMilliseconds
 
     /** Lower bounds are compared as such: what a takeover did not see is not the same in two runs. */
-    private fun alike(job: MixJob, a: EndRecord?, b: EndRecord?): Boolean {
+    private fun alike(job: MixJob, a: TerminalRecord?, b: TerminalRecord?): Boolean {
         if (a == null || b == null) return false
         val (one, two) = (a.account ?: return false) to (b.account ?: return false)
-        if (a.how == Ending.DONE && (a.done != b.done || a.done != job.tasks)) return false
+        if (a.how == TerminalState.DONE && (a.done != b.done || a.done != job.tasks)) return false
         if (one.team != two.team ||
             one.lowerBound.not() &&
             one.attempts < a.done ||
@@ -156,11 +158,11 @@
         ) {
             return false
         }
-        if (a.how != Ending.DONE || !exact(one) || !exact(two)) return true
+        if (a.how != TerminalState.DONE || !exact(one) || !exact(two)) return true
         return one.attempts == two.attempts && Math.abs(one.usefulS - two.usefulS) <= job.tasks * REPORT_SLACK_S
     }
 
-    private fun exact(account: Account): Boolean = !account.lowerBound && account.lost == 0L
+    private fun exact(account: JobAccount): Boolean = !account.lowerBound && account.lost == 0L
 
     private fun path(mix: List<MixJob>, drmaa: Boolean): Pair<List<MixOutcome>, Long> {
         val time = VirtualTime()
@@ -178,13 +180,15 @@
                 Features.NONE
             }
             val world =
-                World(
+                SimulatedCluster(
                     this,
                     time.clock,
                     WorldSettings(seed = seed, features = features, requestsPerS = 300.0, writesPerS = 60.0),
                 )
             world.platform.state.onPut =
-                { key -> (Keys.subject(key) as? Subject.End)?.let { endedAt[it.id.text] = world.clock.now() } }
+                { key ->
+                    (Keys.subject(key) as? StoredKey.TerminalRecord)?.let { endedAt[it.id.text] = world.clock.now() }
+                }
             val failing = mix.filter { it.failures > 0 }.associate { it.number to it.failures }
             val runner = if (drmaa) DrmaaRunner(world, mix) else NativeRunner(world, mix)
             world.failing =
@@ -208,13 +212,13 @@
         }
     }
 
-    private suspend fun watchQuota(world: World) {
+    private suspend fun watchQuota(world: SimulatedCluster) {
         while (true) {
             val used = world.onMachine.size * MixJob.GPUS
             if (used > MOST_GPUS &&
                 quotaBroken++ < SHOWN
             ) {
-                progress("quota broken: $used GPUs in use at ${world.wall.now()}")
+                progress("quota broken: $used GPUs in use at ${world.wallClock.now()}")
             }
             delay(100.milliseconds)
         }
@@ -222,9 +226,9 @@
 
     /** Each comes at its part of the time that the submissions take, the same in both paths. */
     private val span = (size / 6.0).seconds
-    private val quiet = ArrayList<Pair<Moment, Moment>>()
+    private val quiet = ArrayList<Pair<MonotonicInstant, MonotonicInstant>>()
 
-    private suspend fun troubles(world: World) {
+    private suspend fun troubles(world: SimulatedCluster) {
         val random = Random(seed + 1)
         val until = world.clock.now() + span
         world.fateOf = { _, commit ->
@@ -264,7 +268,7 @@
         }
     }
 
-    private suspend fun during(world: World, after: Double, trouble: suspend () -> Unit) {
+    private suspend fun during(world: SimulatedCluster, after: Double, trouble: suspend () -> Unit) {
         delay(span * after)
         val from = world.clock.now()
         trouble()
@@ -280,13 +284,14 @@
         }
     }
 
-    private val answeredAt = HashMap<Int, Moment>()
-    private val endedAt = HashMap<String, Moment>()
+    private val answeredAt = HashMap<Int, MonotonicInstant>()
+    private val endedAt = HashMap<String, MonotonicInstant>()
 
-    private fun World.ending(id: String): EndRecord? = platform.state.value(Keys.end(JobId(id)))?.let(EndRecord::decode)
+    private fun SimulatedCluster.ending(id: String): TerminalRecord? =
+        platform.state.value(Keys.terminalRecord(JobId(id)))?.let(TerminalRecord::decode)
 
     /** Submits the mix by one path, and says how each job ended. */
-    private abstract inner class Runner(protected val world: World, protected val mix: List<MixJob>) {
+    private abstract inner class Runner(protected val world: SimulatedCluster, protected val mix: List<MixJob>) {
         val ids = HashMap<Int, String>()
         private val numbers = HashMap<String, Int>()
         protected val told = HashMap<Int, String>()
@@ -294,7 +299,7 @@
         fun numberOf(id: String): Int? = numbers[id]
 
         /** Answers about jobs whose submission has not been answered yet: that may take longer than the job itself. */
-        private val early = HashMap<String, Pair<String, Moment>>()
+        private val early = HashMap<String, Pair<String, MonotonicInstant>>()
 
         protected fun accepted(job: MixJob, id: String) {
             ids[job.number] = id
@@ -302,7 +307,7 @@
             early.remove(id)?.let { (word, at) -> answered(id, word, at) }
         }
 
-        protected fun answered(id: String, word: String, at: Moment) {
+        protected fun answered(id: String, word: String, at: MonotonicInstant) {
             val number = numberOf(id)
             if (number == null) {
                 early[id] = word to at
@@ -338,11 +343,11 @@
         }
     }
 
-    private inner class NativeRunner(world: World, mix: List<MixJob>) : Runner(world, mix) {
+    private inner class NativeRunner(world: SimulatedCluster, mix: List<MixJob>) : Runner(world, mix) {
         override suspend fun serve(scope: CoroutineScope, job: MixJob) {
             val id = "req-${job.number}"
             accepted(job, id)
-            val body = Rehearsal.exampleJob(id, job.kind) + job.needs + mapOf("crates" to job.tasks)
+            val body = ClassArchiveTraining.exampleJob(id, job.kind) + job.needs + mapOf("crates" to job.tasks)
             repeat(if (job.twice) 2 else 1) {
                 check(world.ask("POST", "/work", body).first in WireClient.OK..CREATED) { "$id was refused" }
             }
@@ -359,7 +364,7 @@
     }
 
     /** A few sessions, each with two programs that wait for any result, and one that submits. */
-    private inner class DrmaaRunner(world: World, mix: List<MixJob>) : Runner(world, mix) {
+    private inner class DrmaaRunner(world: SimulatedCluster, mix: List<MixJob>) : Runner(world, mix) {
         private val submitters = ArrayList<WireClient>()
         private val random = Random(seed + 2)
         private val requests = HashMap<String, String>()
@@ -428,7 +433,10 @@
         const val ASTRAY = 0.003
         const val LOST_ANSWERS = 0.05
 
-        /** A run is seen from report to report. One sent to a node that stands still is given up after 4 s, and sent to the next one a second later. */
+        /**
+         * A run is seen from report to report. One sent to a node that stands still is given up after 4 s, and sent to
+         * the next one a second later.
+         */
         const val REPORT_SLACK_S = 7.0
         val SETTLE = 3.seconds
         val POLL = 5.seconds
--- a/src/main/kotlin/org/elderhitch/lab/Encounters.kt
+++ b/src/main/kotlin/org/elderhitch/lab/FaultScenarios.kt
@@ -10,15 +10,16 @@
     /** Rows of meetings for odd seeds, overlapping troubles for even ones. */
     USUAL("usual"),
 
-    /** [Encounters]. */
+    /** [FaultScenarios]. */
     ENCOUNTERS("encounters"),
 }
 
 /**
- * Meetings of what users do with what fails: each a user's habit that lasts (close looks, withdrawals at the end, odd requests, a swarm), a trouble of messages or machines, and
+ * Meetings of what users do with what fails: each a user's habit that lasts (close looks, withdrawals at the end, odd
+ * requests, a swarm), a trouble of messages or machines, and
  * a change of leader or an outage in its middle. In one of three storms the teams are at their limits throughout.
  */
-internal object Encounters {
+internal object FaultScenarios {
     fun draw(seed: Long, machines: Int, span: Duration, lease: Duration): Schedule {
         val random = Random(seed xor SALT)
         val habits = listOf(
--- a/src/main/kotlin/org/elderhitch/lab/RuleBook.kt
+++ b/src/main/kotlin/org/elderhitch/lab/InvariantChecker.kt
@@ -2,7 +2,7 @@
 
 import org.elderhitch.standin.StandInMachine
 import org.elderhitch.standin.TaskWatch
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -21,7 +21,7 @@
     val jobClass: String = "",
     /** Its tasks run until it is withdrawn. */
     val endless: Boolean = false,
-    val submittedAt: Moment = Moment.NEVER,
+    val submittedAt: MonotonicInstant = MonotonicInstant.NEVER,
 
     /** At most half of its tasks, rounded up, may be in one zone. */
     val spread: Boolean = false,
@@ -33,10 +33,11 @@
 )
 
 /**
- * Watches over the rules of PROTOCOL ("Rules"), from what happens on machines and what users are told. A task counts as on its machine
+ * Watches over the rules of PROTOCOL ("Rules"), from what happens on machines and what users are told. A task counts as
+ * on its machine
  * from its start on, image or not: stricter than the bench.
  */
-internal class RuleBook(
+internal class InvariantChecker(
     private val clock: SteadyClock,
     private val cancel: Duration,
     private val limits: Map<String, Double>,
@@ -47,15 +48,15 @@
     private val machines: () -> Collection<StandInMachine> = { emptyList() },
 ) : TaskWatch {
     private class History(val facts: JobFacts) {
-        var accepted: Moment? = null
-        var begun: Moment? = null
-        var asked: Moment? = null
-        var withdrawn: Moment? = null
-        var final: Pair<String, Moment>? = null
+        var accepted: MonotonicInstant? = null
+        var begun: MonotonicInstant? = null
+        var asked: MonotonicInstant? = null
+        var cancelled: MonotonicInstant? = null
+        var final: Pair<String, MonotonicInstant>? = null
         val completed = HashSet<Int>()
         val zones = HashMap<String, Int>()
-        var failingSince: Moment? = null
-        var waitingSince: Moment? = null
+        var failingSince: MonotonicInstant? = null
+        var waitingSince: MonotonicInstant? = null
     }
 
     /** What a team's tasks, or a machine's, use. */
@@ -73,21 +74,24 @@
     private val where = HashMap<String, MutableSet<String>>()
     private val used = HashMap<String, Use>()
     private val load = HashMap<String, Use>()
-    private val answeredPolls = ArrayDeque<Pair<Moment, Boolean>>()
+    private val answeredPolls = ArrayDeque<Pair<MonotonicInstant, Boolean>>()
     private var starts = 0L
-    private var over: Moment? = null
+    private var over: MonotonicInstant? = null
 
     /** Broken rules: name and what happened, in order. */
     val broken = ArrayList<Pair<String, String>>()
 
-    /** Starts of tasks whose job had been confirmed as withdrawn, and the longest time after that. No rule as long as they are gone in time, but useless to everyone. */
+    /**
+     * Starts of tasks whose job had been confirmed as withdrawn, and the longest time after that. No rule as long as
+     * they are gone in time, but useless to everyone.
+     */
     var startsWithdrawn = 0
         private set
     var latestStart: Duration = Duration.ZERO
         private set
 
     private fun broke(rule: String, what: String) {
-        broken.add(rule to "at ${(clock.now() - Moment(0)).inWholeMilliseconds} ms: $what")
+        broken.add(rule to "at ${(clock.now() - MonotonicInstant(0)).inWholeMilliseconds} ms: $what")
     }
 
     private fun historyOf(task: String): History? = jobs[task.substringBeforeLast('/')]
@@ -145,7 +149,7 @@
         ) {
             broke("quota", "${facts.team} uses ${inUse.cores} cores after the start of $task")
         }
-        job.withdrawn?.let { told ->
+        job.cancelled?.let { told ->
             startsWithdrawn++
             latestStart = maxOf(latestStart, clock.now() - told)
             if (clock.now() - told > cancel) broke("ran_cancelled", "$task starts on $machine")
@@ -169,7 +173,10 @@
     /** What a team's tasks use of accelerators and cores. */
     fun usedBy(team: String): Pair<Double, Double> = used[team].let { (it?.accelerators ?: 0.0) to (it?.cores ?: 0.0) }
 
-    /** Whether a task of it waits that a machine has room for, under its team's limits. Gangs, and what has to be spread or together, may wait for more than room. */
+    /**
+     * Whether a task of it waits that a machine has room for, under its team's limits. Gangs, and what has to be spread
+     * or together, may wait for more than room.
+     */
     private fun waitsThoughItFits(job: History): Boolean {
         val facts = job.facts
         if (job.accepted == null ||
@@ -209,14 +216,14 @@
                 job.waitingSince = since
                 if (since == null || now - since < LONG) continue
                 broke("left_waiting", "${job.facts.id} waits for ${now - since} though a machine has room for it")
-                job.waitingSince = Moment.FOREVER
+                job.waitingSince = MonotonicInstant.FOREVER
             }
         }
         for (job in jobs.values) {
-            val told = job.withdrawn ?: continue
+            val told = job.cancelled ?: continue
             if (now - told <= cancel || job.zones.values.all { it <= 0 }) continue
             broke("ran_cancelled", "${job.facts.id} is on a machine ${now - told} after its withdrawal")
-            job.withdrawn = Moment.FOREVER
+            job.cancelled = MonotonicInstant.FOREVER
         }
     }
 
@@ -227,7 +234,7 @@
     }
 
     /** An answer to a submission or its repetition, asked at [asked]. */
-    fun submitted(id: String, status: Int, word: String?, asked: Moment) {
+    fun submitted(id: String, status: Int, word: String?, asked: MonotonicInstant) {
         val job = jobs.getValue(id)
         if (status in OK..CREATED) {
             if (job.facts.impossible) broke("accepted_impossible", "$id can't run, or lacks a field, and got $status")
@@ -244,7 +251,7 @@
     }
 
     /** An answer to a poll or a withdrawal, asked at [asked]; [word]: null unless the status is 200. */
-    fun told(id: String, status: Int, word: String?, asked: Moment) {
+    fun told(id: String, status: Int, word: String?, asked: MonotonicInstant) {
         val job = jobs[id]
         if (job == null) {
             if (status == OK) broke("invented", "$id, which nobody submitted, is $word")
@@ -265,7 +272,7 @@
         ) {
             broke("not_done", "$id is done with ${job.completed.size} of ${job.facts.tasks} tasks completed")
         }
-        if (word == "withdrawn" && job.withdrawn == null) job.withdrawn = clock.now()
+        if (word == "withdrawn" && job.cancelled == null) job.cancelled = clock.now()
         if (final == null && (word == "done" || word == "withdrawn")) job.final = word to clock.now()
     }
 
@@ -302,7 +309,7 @@
     }
 
     /** When the first of a job's tasks was on a machine; null: none has been. */
-    fun begunAt(id: String): Moment? = jobs[id]?.begun
+    fun begunAt(id: String): MonotonicInstant? = jobs[id]?.begun
 
     /** How a job stands by what its user was last told for good; null: it is open. */
     fun finalOf(id: String): String? = jobs[id]?.final?.first
--- a/src/main/kotlin/org/elderhitch/lab/Lab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Lab.kt
@@ -22,7 +22,9 @@
 /** An experiment's figures, and the first invariant that did not hold; null: all held. */
 internal class LabResult(val figures: Map<String, Any?>, val broken: String?)
 
-/** Runs a direction's experiment against the stand-ins. Progress goes to standard error, the figures to standard output. */
+/**
+ * Runs a direction's experiment against the stand-ins. Progress goes to standard error, the figures to standard output.
+ */
 internal class LabCommand : CoreCliktCommand(name = "lab") {
     private val name by argument(help = "which experiment").choice("drmaa", "storm", "sweep", "coldstart")
     private val seed by option("--seed").long().default(1)
--- a/src/main/kotlin/org/elderhitch/lab/Network.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Network.kt
@@ -38,7 +38,8 @@
 }
 
 /**
- * The network of a world. Hosts are nodes (`n0`), machines (`host-000001`), `state`, `cloud` and `user`. A request that meets a cut gets no
+ * The network of a world. Hosts are nodes (`n0`), machines (`host-000001`), `state`, `cloud` and `user`. A request that
+ * meets a cut gets no
  * answer; where packets are held, it may be carried out when the cut is over (PROTOCOL, "Delayed messages").
  */
 internal class Network(
@@ -234,7 +235,9 @@
         return HttpServer.refusal(BUSY, "refused")
     }
 
-    /** On a connection that is open already the request waits for the end of the cut, and its caller gives up before. */
+    /**
+     * On a connection that is open already the request waits for the end of the cut, and its caller gives up before.
+     */
     private suspend fun astrayAt(cut: Cut, to: Address, handler: Handler, request: Request): Nothing {
         if (cut.mode == CutMode.HOLD && random.nextDouble() < OPEN_ALREADY) {
             outside.launch {
--- a/src/main/kotlin/org/elderhitch/lab/Standstill.kt
+++ b/src/main/kotlin/org/elderhitch/lab/ProcessingCost.kt
@@ -7,7 +7,7 @@
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.InternalCoroutinesApi
 import kotlinx.coroutines.Runnable
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import kotlin.coroutines.CoroutineContext
 import kotlin.coroutines.EmptyCoroutineContext
@@ -15,7 +15,10 @@
 import kotlin.time.Duration.Companion.microseconds
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What a node's work costs in processor time, at its share of a core. `docs/design/storm.md` says where the figures were measured. */
+/**
+ * What a node's work costs in processor time, at its share of a core. `docs/design/storm.md` says where the figures
+ * were measured.
+ */
 internal class CostModel(private val share: Double) {
     fun of(path: String): Duration = when (path) {
         "/checkin" -> REPORT
@@ -35,16 +38,17 @@
 }
 
 /**
- * A node's processor: holds back all that the node would run while it stands still, and until what it was charged for is done. Timers that
+ * A node's processor: holds back all that the node would run while it stands still, and until what it was charged for
+ * is done. Timers that
  * end meanwhile are due at once afterwards.
  */
 @OptIn(InternalCoroutinesApi::class, ExperimentalCoroutinesApi::class)
-internal class Standstill(private val inner: CoroutineDispatcher, private val clock: SteadyClock) :
+internal class ProcessingCost(private val inner: CoroutineDispatcher, private val clock: SteadyClock) :
     CoroutineDispatcher(),
     Delay {
     private val timers = inner as Delay
     private val waiting = ArrayDeque<Pair<CoroutineContext, Runnable>>()
-    private var busyUntil = Moment.NEVER
+    private var busyUntil = MonotonicInstant.NEVER
     private var draining = false
     var frozen = false
 
--- a/src/main/kotlin/org/elderhitch/lab/Served.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Served.kt
@@ -1,13 +1,14 @@
 package org.elderhitch.lab
 
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Of each class and each team, which share of the jobs that were due is served: started if they run for ever, else ended. Looked at once: a day on which less than
+ * Of each class and each team, which share of the jobs that were due is served: started if they run for ever, else
+ * ended. Looked at once: a day on which less than
  * half of any is served has failed, however well the others fare.
  */
-internal class Served(jobs: List<JobFacts>, cameBefore: Moment) {
+internal class Served(jobs: List<JobFacts>, cameBefore: MonotonicInstant) {
     private val due = jobs.filter { it.submittedAt <= cameBefore }
 
     /** Who is served least, and its share; null: nothing was due, or nobody has looked. */
@@ -15,7 +16,7 @@
         private set
     private var looked = false
 
-    fun look(rules: RuleBook, users: StormUsers) {
+    fun look(rules: InvariantChecker, users: SimulatedUsers) {
         if (looked) return
         looked = true
         val open = due.filter { !users.isWithdrawing(it.id) }
@@ -33,13 +34,16 @@
         it.jobClass
     }.mapValues { (_, its) -> its.sortedByDescending { it.tasks }.take((its.size + LARGEST_OF - 1) / LARGEST_OF) }
 
-    /** The largest jobs too have to begin within four minutes: one that did not, asked when the storm is over; null: there is none. */
-    fun late(rules: RuleBook, users: StormUsers): String? =
+    /**
+     * The largest jobs too have to begin within four minutes: one that did not, asked when the storm is over; null:
+     * there is none.
+     */
+    fun late(rules: InvariantChecker, users: SimulatedUsers): String? =
         largest(due.filter { !users.isWithdrawing(it.id) }).values.flatten()
             .firstOrNull { job -> rules.begunAt(job.id).let { it == null || it - job.submittedAt > BEGIN_WITHIN } }
             ?.let { "${it.id}, among the largest of class ${it.jobClass}, did not begin within $BEGIN_WITHIN" }
 
-    private fun isServed(job: JobFacts, rules: RuleBook): Boolean =
+    private fun isServed(job: JobFacts, rules: InvariantChecker): Boolean =
         rules.finalOf(job.id) != null || job.endless && (0 until job.tasks).any { rules.isOn("${job.id}/$it") }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/lab/World.kt
+++ b/src/main/kotlin/org/elderhitch/lab/SimulatedCluster.kt
@@ -8,10 +8,11 @@
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.cancel
 import kotlinx.coroutines.delay
+import org.elderhitch.app.ClassArchiveTraining
 import org.elderhitch.app.Controller
-import org.elderhitch.app.Rehearsal
 import org.elderhitch.features.Features
 import org.elderhitch.fleet.FleetPolicy
+import org.elderhitch.fleet.MachineId
 import org.elderhitch.http.Address
 import org.elderhitch.http.Response
 import org.elderhitch.jobs.Footprint
@@ -23,11 +24,10 @@
 import org.elderhitch.standin.StandInPlatform
 import org.elderhitch.standin.StandInType
 import org.elderhitch.standin.TaskWatch
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.elderhitch.time.WallClock
 import org.elderhitch.time.WallTime
-import org.elderhitch.workers.MachineId
 import kotlin.coroutines.ContinuationInterceptor
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -66,13 +66,13 @@
 
 /** Three controllers against the stand-ins, over a network that can be cut, in virtual time. */
 @OptIn(ExperimentalCoroutinesApi::class)
-internal class World(
+internal class SimulatedCluster(
     val outside: CoroutineScope,
     val clock: SteadyClock,
     private val made: WorldSettings = WorldSettings(),
 ) : TaskWatch {
     private val random = Random(made.seed)
-    val wall = WallClock { WallTime(WALL_START + clock.now().nanos / NANOS_PER_MS) }
+    val wallClock = WallClock { WallTime(WALL_START + clock.now().nanos / NANOS_PER_MS) }
 
     /** Which tasks fail as soon as they start. */
     var failing: (task: String, machine: String) -> Boolean = { _, _ -> false }
@@ -83,7 +83,7 @@
     var lateCommands: () -> Duration? by network::lateCommands
     var silentWorkers: Set<String?> by network::silentWorkers
     var slowAnswers: () -> Duration by network::slowAnswers
-    private val standstills = HashMap<String, Standstill>()
+    private val standstills = HashMap<String, ProcessingCost>()
     private val controllers = HashMap<String, Controller>()
     private val everSeen = HashMap<String, StandInMachine>()
     val names = listOf("n0", "n1", "n2")
@@ -96,7 +96,7 @@
     var alsoTold: TaskWatch? = null
 
     /** When machines last had no room for what they were to start. */
-    val refusedAt = HashMap<String, Moment>()
+    val refusedAt = HashMap<String, MonotonicInstant>()
 
     /** The most tasks that were on machines at a time. */
     var mostAtOnce = 0
@@ -151,7 +151,7 @@
 
     fun startNode(name: String) {
         val context = outside.coroutineContext
-        val standstill = Standstill(context[ContinuationInterceptor] as CoroutineDispatcher, clock)
+        val standstill = ProcessingCost(context[ContinuationInterceptor] as CoroutineDispatcher, clock)
         standstills[name] = standstill
         val scope = CoroutineScope(context + SupervisorJob(context[Job]) + standstill)
         network.nodes[name] = scope
@@ -165,7 +165,7 @@
                 network.transport(
                     name,
                 ),
-                clock, wall, Random(random.nextLong()), made.features, made.bound(name), { looks ->
+                clock, wallClock, Random(random.nextLong()), made.features, made.bound(name), { looks ->
                     made.onCycle(looks)
                     made.costs?.let { standstill.charge(it.cycle(looks)) }
                 },
@@ -227,7 +227,7 @@
         network.transport("user").call(Address("$node:80"), "POST", path, body, timeout)
 
     suspend fun submit(id: String, kind: String, tasks: Int, runs: Double, extra: Map<String, Any?> = emptyMap()) {
-        val body = Rehearsal.exampleJob(id, kind) + mapOf("crates" to tasks, "haulS" to runs) + extra
+        val body = ClassArchiveTraining.exampleJob(id, kind) + mapOf("crates" to tasks, "haulS" to runs) + extra
         val (status, answer) = ask("POST", "/work", body)
         check(status in OK..CREATED) { "$id: $status $answer" }
     }
--- a/src/main/kotlin/org/elderhitch/lab/StormUsers.kt
+++ b/src/main/kotlin/org/elderhitch/lab/SimulatedUsers.kt
@@ -3,23 +3,24 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import org.elderhitch.app.Rehearsal
+import org.elderhitch.app.ClassArchiveTraining
 import org.elderhitch.http.Address
 import org.elderhitch.http.Response
 import org.elderhitch.json.Json
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The users of a storm: services that stay, arrays and gangs that come and go. They submit, repeat, poll and withdraw as PROTOCOL has it, at
+ * The users of a storm: services that stay, arrays and gangs that come and go. They submit, repeat, poll and withdraw
+ * as PROTOCOL has it, at
  * whichever node, and every answer goes into the rule book.
  */
-internal class StormUsers(
-    private val world: World,
-    private val rules: RuleBook,
+internal class SimulatedUsers(
+    private val world: SimulatedCluster,
+    private val rules: InvariantChecker,
     private val machines: Int,
     private val shape: Shape,
     seed: Long,
@@ -27,7 +28,10 @@
     /** For what users do besides: how often that is depends on the answers that they get. */
     private val random = Random(seed xor ASKING)
 
-    /** What jobs come, and when, in the order of their coming: the same for a seed whatever the code makes of it, so that two versions are held to the same day. */
+    /**
+     * What jobs come, and when, in the order of their coming: the same for a seed whatever the code makes of it, so
+     * that two versions are held to the same day.
+     */
     private val coming = Random(seed xor COMING)
 
     /** Jobs whose submission was answered, by kind. */
@@ -36,7 +40,10 @@
     private val withdrawing = HashSet<String>()
     private val bodies = HashMap<String, ByteArray>()
 
-    /** Whether users look closely at what they were told, and which share of the jobs that complete is withdrawn at that moment. */
+    /**
+     * Whether users look closely at what they were told, and which share of the jobs that complete is withdrawn at that
+     * moment.
+     */
     var looksClosely = false
     var withdrawsAtEnd = 0.0
 
@@ -51,7 +58,7 @@
     var givenUp = 0
         private set
 
-    fun begin(scope: CoroutineScope, until: Moment) {
+    fun begin(scope: CoroutineScope, until: MonotonicInstant) {
         if (shape == Shape.TYPES) return beginMixed(scope, until)
         repeat(machines / SERVICES_PER) { service(scope) }
         val perSecond = minOf(MOST_PER_S, machines / ARRAYS_PER)
@@ -65,7 +72,8 @@
     }
 
     /**
-     * Three classes without accelerators: large tasks that fit only the large machines and ask for a third of those, small ones that ask for more than
+     * Three classes without accelerators: large tasks that fit only the large machines and ask for a third of those,
+     * small ones that ask for more than
      * the small machines have, and urgent small ones.
      */
     private class Mixed(
@@ -78,7 +86,7 @@
         val coresPerMachine: Double,
     )
 
-    private fun beginMixed(scope: CoroutineScope, until: Moment) {
+    private fun beginMixed(scope: CoroutineScope, until: MonotonicInstant) {
         for (kind in MIXED) {
             scope.launch {
                 // One row of jobs a class: whose turn it is when two come at once is none of their business.
@@ -108,7 +116,11 @@
                 cores = kind.cores,
             )
         val body = mapOf(
-            "lotClass" to kind.name, "desk" to team, "cores" to kind.cores, "accelerators" to 0.0, "memGb" to kind.memGb,
+            "lotClass" to kind.name,
+            "desk" to team,
+            "cores" to kind.cores,
+            "accelerators" to 0.0,
+            "memGb" to kind.memGb,
             "urgency" to kind.urgency,
             "pullGb" to 1.0, "catchImage" to "img-${kind.name}-${coming.nextInt(6)}", "closingS" to kind.runsS * 3.0,
         )
@@ -157,7 +169,13 @@
                 2 + coming.nextInt(
                     3,
                 ),
-                1.0, spotAllowed = false, jobClass = "service", endless = true, submittedAt = world.clock.now(), spread = true, cores = 4.0,
+                1.0,
+                spotAllowed = false,
+                jobClass = "service",
+                endless = true,
+                submittedAt = world.clock.now(),
+                spread = true,
+                cores = 4.0,
             )
         val body = mapOf(
             "cores" to 4.0,
@@ -201,7 +219,13 @@
                 1 + coming.nextInt(
                     3,
                 ),
-                8.0, spotAllowed = false, oneZone = true, gang = true, jobClass = "gang", submittedAt = world.clock.now(), cores = 43.0,
+                8.0,
+                spotAllowed = false,
+                oneZone = true,
+                gang = true,
+                jobClass = "gang",
+                submittedAt = world.clock.now(),
+                cores = 43.0,
             )
         val body = mapOf(
             "cores" to 43.0,
@@ -226,7 +250,7 @@
     private suspend fun submit(facts: JobFacts, kind: String, runs: Double, extra: Map<String, Any?>): Boolean {
         rules.submits(facts)
         val body = Json.bytes(
-            Rehearsal.exampleJob(facts.id, kind) + mapOf("crates" to facts.tasks, "haulS" to runs) + extra,
+            ClassArchiveTraining.exampleJob(facts.id, kind) + mapOf("crates" to facts.tasks, "haulS" to runs) + extra,
         )
         bodies[facts.id] = body
         val began = world.clock.now()
@@ -268,11 +292,11 @@
         if (withdrawAfter == null) return
         scope.launch {
             delay(withdrawAfter)
-            withdraw(facts)
+            cancel(facts)
         }
     }
 
-    private suspend fun withdraw(facts: JobFacts) {
+    private suspend fun cancel(facts: JobFacts) {
         if (!withdrawing.add(facts.id)) return
         rules.asksToWithdraw(facts.id)
         while (rules.finalOf(facts.id) == null) {
@@ -317,10 +341,13 @@
             return
         }
         habits++
-        world.outside.launch { withdraw(facts) }
+        world.outside.launch { cancel(facts) }
     }
 
-    /** Once: a repeated submission, the withdrawal of a job that is done, and a job that fits nothing, is of no team or lacks a field. */
+    /**
+     * Once: a repeated submission, the withdrawal of a job that is done, and a job that fits nothing, is of no team or
+     * lacks a field.
+     */
     suspend fun oddRequest() {
         habits++
         when (random.nextInt(3)) {
@@ -337,7 +364,7 @@
                 val facts =
                     JobFacts("req-odd-%05d".format(next++), "team", 1, 1.0, spotAllowed = true, impossible = true)
                 rules.submits(facts)
-                val spec = Rehearsal.exampleJob(facts.id, "array")
+                val spec = ClassArchiveTraining.exampleJob(facts.id, "array")
                 val wrong = listOf(
                     spec + ("desk" to "nobody"),
                     spec + ("cores" to 4000.0),
@@ -364,7 +391,7 @@
         for (facts in running) {
             scope.launch {
                 delay(random.nextInt(0, 200).milliseconds)
-                withdraw(facts)
+                cancel(facts)
             }
         }
         val ids = running.map { it.id }.toSet()
@@ -413,7 +440,7 @@
             if (rules.finalOf(facts.id) == null &&
                 random.nextDouble() < share
             ) {
-                scope.launch { withdraw(facts) }
+                scope.launch { cancel(facts) }
             }
         }
     }
--- a/src/main/kotlin/org/elderhitch/lab/Storm.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Storm.kt
@@ -60,7 +60,9 @@
     /** A share of the jobs that end is withdrawn at that moment. */
     AT_END("withdrawals_at_end"),
 
-    /** Users ask all nodes within milliseconds after a job was accepted, ended or withdrawn, and repeat its submission. */
+    /**
+     * Users ask all nodes within milliseconds after a job was accepted, ended or withdrawn, and repeat its submission.
+     */
     LOOKS("close_looks"),
 
     /** Users repeat submissions, withdraw what is done, and submit what can't run or lacks a field. */
@@ -209,8 +211,10 @@
         }
 
         /**
-         * Overlapping troubles of all kinds; as likely longer than a lease as shorter. Each schedule prefers some kinds to others. Seed 0 is the
-         * shape of the day on which a rule broke first: one zone, cut for longer than a lease, all connections reset (`docs/incidents/sessions-told.md`).
+         * Overlapping troubles of all kinds; as likely longer than a lease as shorter. Each schedule prefers some kinds
+         * to others. Seed 0 is the
+         * shape of the day on which a rule broke first: one zone, cut for longer than a lease, all connections reset
+         * (`docs/incidents/sessions-told.md`).
          */
         fun draw(seed: Long, machines: Int, span: Duration, lease: Duration): Schedule {
             if (seed ==
@@ -249,7 +253,8 @@
         }
 
         /**
-         * Troubles that meet, as the operators have seen rules broken by them (`docs/design/meetings.md`): one begins within seconds of the other, or while it lasts. [lease]: the
+         * Troubles that meet, as the operators have seen rules broken by them (`docs/design/meetings.md`): one begins
+         * within seconds of the other, or while it lasts. [lease]: the
          * time to cancel is 30 s longer.
          */
         fun meetings(seed: Long, machines: Int, span: Duration, lease: Duration): Schedule {
@@ -316,7 +321,8 @@
                     next(Kind.OUTAGE, some(2.0, 9.0), if (random.nextBoolean()) beyond else some(5.0, 30.0)),
                 )
 
-                // The stop of what was just withdrawn is lost, and then nobody may command; or the controllers don't hear each other either.
+                // The stop of what was just withdrawn is lost, and then nobody may command; or the controllers don't
+                // hear each other either.
                 7 -> listOf(
                     next(Kind.DEAF, Duration.ZERO, some(4.0, 9.0), share = 0.5),
                     next(Kind.WITHDRAWALS, some(0.1, 3.0), Duration.ZERO, share = 0.4),
@@ -393,7 +399,15 @@
 
                 Kind.WITHDRAWALS -> Trouble(kind, at, share = 0.1 + random.nextDouble() * 0.4)
 
-                Kind.MUTE, Kind.LOST_ANSWERS, Kind.AT_END, Kind.LOOKS, Kind.ODD, Kind.CALLED_OFF, Kind.FAST_BOOT, Kind.SWARM, Kind.KEPT_COPIES,
+                Kind.MUTE,
+                Kind.LOST_ANSWERS,
+                Kind.AT_END,
+                Kind.LOOKS,
+                Kind.ODD,
+                Kind.CALLED_OFF,
+                Kind.FAST_BOOT,
+                Kind.SWARM,
+                Kind.KEPT_COPIES,
                 Kind.COPIES, Kind.SLOW_STATE,
                 -> Trouble(
                     kind,
--- a/src/main/kotlin/org/elderhitch/lab/StormLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/StormLab.kt
@@ -15,7 +15,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What came of one storm. [broken]: rules by name and what happened; [recovered]: after the last trouble; null: not within the bound. [served]: the least share, of
+ * What came of one storm. [broken]: rules by name and what happened; [recovered]: after the last trouble; null: not
+ * within the bound. [served]: the least share, of
  * any class or team, of what was due; null: nothing was.
  */
 internal class StormOutcome(
@@ -34,13 +35,16 @@
         ?: "held, recovered after $recovered"
 }
 
-/** Plays a schedule of overlapping troubles against whole controllers in virtual time, and watches over the rules and the recovery. */
+/**
+ * Plays a schedule of overlapping troubles against whole controllers in virtual time, and watches over the rules and
+ * the recovery.
+ */
 internal class StormLab(
     private val schedule: Schedule,
     private val share: Double?,
     private val policy: FleetPolicy = FleetPolicy(),
     /** Told when the troubles are about to begin. */
-    private val onBegin: CoroutineScope.(World, StormUsers, RuleBook) -> Unit = { _, _, _ -> },
+    private val onBegin: CoroutineScope.(SimulatedCluster, SimulatedUsers, InvariantChecker) -> Unit = { _, _, _ -> },
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.lab")
     private val random = Random(schedule.seed xor SALT)
@@ -53,7 +57,7 @@
         val time = VirtualTime()
         return time.run {
             val perZone = (schedule.machines + ZONE_KINDS - 1) / ZONE_KINDS
-            val world = World(
+            val world = SimulatedCluster(
                 this,
                 time.clock,
                 WorldSettings(
@@ -76,7 +80,7 @@
                     nodeZones = listOf("a", "b", "c"), leaseS = pace.leaseS, boot = BOOT, fetchRate = 1.0,
                     costs = share?.let(::CostModel),
                     otherTeams = if (mixed) {
-                        StormUsers.TEAMS.associateWith { 0.0 }
+                        SimulatedUsers.TEAMS.associateWith { 0.0 }
                     } else {
                         mapOf("few" to schedule.machines * GPUS * FEW * schedule.room)
                     },
@@ -92,7 +96,7 @@
             )
             world.platform.cloud.listLag = 2.seconds
             val rules =
-                RuleBook(
+                InvariantChecker(
                     time.clock,
                     (pace.leaseS + CANCEL_BEYOND_LEASE).seconds,
                     world.limits,
@@ -100,7 +104,7 @@
                     world.cpuLimits,
                     world::machinesUp,
                 )
-            val users = StormUsers(world, rules, schedule.machines, schedule.shape, schedule.seed)
+            val users = SimulatedUsers(world, rules, schedule.machines, schedule.shape, schedule.seed)
             world.alsoTold = object : TaskWatch by rules {
                 override fun completed(task: String) {
                     rules.completed(task)
@@ -156,21 +160,22 @@
 
     private val mixed = schedule.shape == Shape.TYPES
 
-    private fun figures(world: World, users: StormUsers, rules: RuleBook): Map<String, Any?> = linkedMapOf(
-        "jobs" to users.services.size + users.batches.size,
-        "given_up" to users.givenUp,
-        "submit_p95_ms" to users.waited.sorted().let { it.getOrNull((it.size * P95).toInt())?.inWholeMilliseconds },
-        "starts" to world.startsOf.values.sum(),
-        "starts_withdrawn" to rules.startsWithdrawn,
-        "latest_start_ms" to rules.latestStart.inWholeMilliseconds,
-        "habits" to users.habits,
-        "machines" to world.platform.workers().size,
-    )
+    private fun figures(world: SimulatedCluster, users: SimulatedUsers, rules: InvariantChecker): Map<String, Any?> =
+        linkedMapOf(
+            "jobs" to users.services.size + users.batches.size,
+            "given_up" to users.givenUp,
+            "submit_p95_ms" to users.waited.sorted().let { it.getOrNull((it.size * P95).toInt())?.inWholeMilliseconds },
+            "starts" to world.startsOf.values.sum(),
+            "starts_withdrawn" to rules.startsWithdrawn,
+            "latest_start_ms" to rules.latestStart.inWholeMilliseconds,
+            "habits" to users.habits,
+            "machines" to world.platform.workers().size,
+        )
 
     private suspend fun recovery(
-        world: World,
-        users: StormUsers,
-        rules: RuleBook,
+        world: SimulatedCluster,
+        users: SimulatedUsers,
+        rules: InvariantChecker,
         bound: Duration,
         meanwhile: (Duration) -> Unit,
     ): Pair<Duration?, String?> {
@@ -184,8 +189,11 @@
         return null to "not recovered within $bound: $missing"
     }
 
-    /** What is not yet as it should be; null: all that can be placed is placed, and the leader's table equals what the machines run. */
-    private suspend fun missing(world: World, users: StormUsers, rules: RuleBook): String? {
+    /**
+     * What is not yet as it should be; null: all that can be placed is placed, and the leader's table equals what the
+     * machines run.
+     */
+    private suspend fun missing(world: SimulatedCluster, users: SimulatedUsers, rules: InvariantChecker): String? {
         val table = world.survey() ?: return "no leader whose table is complete"
         val really = HashMap<String, String>()
         for ((machine, worker) in world.platform.workers()) for (task in worker.present().keys) really[task] = machine
@@ -218,7 +226,7 @@
         return null
     }
 
-    private fun nodeOf(world: World, target: Int): String = if (target ==
+    private fun nodeOf(world: SimulatedCluster, target: Int): String = if (target ==
         Trouble.LEADER
     ) {
         world.leader() ?: world.names[0]
@@ -226,7 +234,7 @@
         world.names[target % world.names.size]
     }
 
-    private suspend fun play(scope: CoroutineScope, world: World, users: StormUsers, trouble: Trouble) {
+    private suspend fun play(scope: CoroutineScope, world: SimulatedCluster, users: SimulatedUsers, trouble: Trouble) {
         val network = world.network
         val cloud = world.platform.cloud
         fun draw(): Boolean = random.nextDouble() < trouble.share
@@ -423,13 +431,13 @@
         }
     }
 
-    private fun parts(world: World, trouble: Trouble, zone: String, a: String, b: String): Boolean {
+    private fun parts(world: SimulatedCluster, trouble: Trouble, zone: String, a: String, b: String): Boolean {
         val (here, there) = world.zoneOf(a) to world.zoneOf(b)
         if (trouble.from == Trouble.OTHER_ZONES && (here == null || there == null)) return false
         return (here == zone) != (there == zone)
     }
 
-    private fun lost(world: World, trouble: Trouble, host: String): Boolean = when (trouble.from) {
+    private fun lost(world: SimulatedCluster, trouble: Trouble, host: String): Boolean = when (trouble.from) {
         "state" -> host == "state"
         "workers" -> host.startsWith("host-")
         "peers" -> host in world.names
@@ -437,14 +445,14 @@
         else -> true
     }
 
-    private suspend fun cut(world: World, trouble: Trouble, separates: (String, String) -> Boolean) {
+    private suspend fun cut(world: SimulatedCluster, trouble: Trouble, separates: (String, String) -> Boolean) {
         val cut = Cut(trouble.mode, separates)
         world.network.cuts.add(cut)
         delay(trouble.lasts)
         world.network.heal(cut)
     }
 
-    private suspend fun crash(world: World, nodes: List<String>, lasts: Duration) {
+    private suspend fun crash(world: SimulatedCluster, nodes: List<String>, lasts: Duration) {
         val up = nodes.filter { down.add(it) }
         up.forEach(world::crash)
         delay(lasts)
@@ -485,7 +493,10 @@
         private const val SLOW_CLOUD = 1.5
         private const val USUAL_CLOUD = 10.0
 
-        /** Jobs that came so long before the last trouble ended are due some time after it: half of each class and each team must be served by then. */
+        /**
+         * Jobs that came so long before the last trouble ended are due some time after it: half of each class and each
+         * team must be served by then.
+         */
         private val DUE = 60.seconds
         private val SERVED_AFTER = 45.seconds
         private const val HALF = 0.5
--- a/src/main/kotlin/org/elderhitch/lab/Storms.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Storms.kt
@@ -55,7 +55,7 @@
 
     private fun drawn(seed: Long): Schedule = when (draw) {
         Draw.USUAL -> Schedule.of(seed, machines, span, StormLab.leaseOf(seed))
-        Draw.ENCOUNTERS -> Encounters.draw(seed, machines, span, StormLab.leaseOf(seed))
+        Draw.ENCOUNTERS -> FaultScenarios.draw(seed, machines, span, StormLab.leaseOf(seed))
     }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/lab/SweepLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/SweepLab.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import org.elderhitch.app.Rehearsal
+import org.elderhitch.app.ClassArchiveTraining
 import org.elderhitch.features.FeatureFactory
 import org.elderhitch.features.Features
 import org.elderhitch.http.Address
@@ -20,7 +20,7 @@
 import org.elderhitch.sweeps.Sweeps
 import org.elderhitch.sweeps.SweepsSettings
 import org.elderhitch.sweeps.Told
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.WallTime
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -29,20 +29,26 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A sweep of many points beside other users' jobs: submitted, run with a leader's crash, a cut, a frozen leader and lost transactions, partly withdrawn.
+ * A sweep of many points beside other users' jobs: submitted, run with a leader's crash, a cut, a frozen leader and
+ * lost transactions, partly withdrawn.
  * Each point must reach one final answer, the same on every node, and nothing of a withdrawn one may run on.
  */
 internal class SweepLab(private val seed: Long, private val points: Int, private val progress: (String) -> Unit) {
     private val random = Random(seed)
     private val id = SweepId("lab$seed")
 
-    /** Points that are half started when they are withdrawn: a few seconds after the sweep was accepted, and not before. */
-    private val withdrawn =
+    /**
+     * Points that are half started when they are withdrawn: a few seconds after the sweep was accepted, and not before.
+     */
+    private val cancelled =
         minOf(FIRST_WITHDRAWN, points / 2) until minOf(FIRST_WITHDRAWN, points / 2) + maxOf(1, points / 10)
     private val rounds = HashMap<Boolean, MutableList<Long>>()
 
-    /** Of what is withdrawn every other point would never end by itself: that it ends is the withdrawal's doing alone. The others race with it. */
-    private fun isEndless(point: Int): Boolean = point in withdrawn && point % 2 == 0
+    /**
+     * Of what is withdrawn every other point would never end by itself: that it ends is the withdrawal's doing alone.
+     * The others race with it.
+     */
+    private fun isEndless(point: Int): Boolean = point in cancelled && point % 2 == 0
 
     /** What the user uploads for the workers, who fetch it. */
     private val description = Description.parse(
@@ -60,7 +66,7 @@
             var sweepOpen = false
             var ofSweep = 0L
             var ofSingles = 0L
-            val world = World(
+            val world = SimulatedCluster(
                 this,
                 time.clock,
                 WorldSettings(
@@ -92,7 +98,7 @@
             }
             world.platform.state.onPut = count
             world.platform.state.onDrop = count
-            val rules = RuleBook(time.clock, 41.seconds, world.limits, world::machine)
+            val rules = InvariantChecker(time.clock, 41.seconds, world.limits, world::machine)
             world.alsoTold = rules
             for (n in 0 until points) {
                 rules.submits(
@@ -115,7 +121,7 @@
             for (n in 0 until points) rules.submitted(id.point(n).text, 200, "queued", began)
             launch { troubles(world) }
             launch { polls(world, rules) }
-            withdraw(world, rules)
+            cancel(world, rules)
             val ended = ended(world)
             progress("ended after ${time.clock.now() - began}: $ended")
             val (without, two) = answers(world, rules)
@@ -133,7 +139,7 @@
         allChanges: Long,
         singleChanges: Double,
         others: Others,
-        rules: RuleBook,
+        rules: InvariantChecker,
         without: Int,
         two: Int,
         ended: Boolean,
@@ -190,7 +196,7 @@
         return Math.rint(bytes * MS) / MS
     }
 
-    private fun client(world: World): SweepClient = SweepClient(
+    private fun client(world: SimulatedCluster): SweepClient = SweepClient(
         world.names.map {
             Address("$it:80")
         },
@@ -198,32 +204,32 @@
         world.clock,
     )
 
-    private suspend fun submit(world: World): Boolean {
+    private suspend fun submit(world: SimulatedCluster): Boolean {
         // The first tries lose their answers: before half of the parts, and after the manifest.
         var lost = 0
         world.fateOf = { _, commit -> if ("sweeps/" in commit && lost++ < 2) Fate.AnswerLost else Fate.Answered }
         val told = client(world).submit(id, description.pack(), VALUE, dry = false, 60.seconds)
         val again = client(world).submit(id, description.pack(), VALUE, dry = false, 60.seconds)
         world.fateOf = { _, _ -> Fate.Answered }
-        return told is Told.Answer && told.status in OK..CREATED && again is Told.Answer && again.status == OK
+        return told is Told.Response && told.status in OK..CREATED && again is Told.Response && again.status == OK
     }
 
     /** The same points as single jobs: some of them tell what each costs. */
-    private suspend fun singles(world: World) {
+    private suspend fun singles(world: SimulatedCluster) {
         repeat(SINGLES) { n ->
-            val body = Rehearsal.exampleJob("req-single-$n", "array") + mapOf("crates" to 1, "haulS" to 1.0)
+            val body = ClassArchiveTraining.exampleJob("req-single-$n", "array") + mapOf("crates" to 1, "haulS" to 1.0)
             world.ask("POST", "/work", body)
         }
     }
 
-    private suspend fun singlesDone(world: World) = world.until("single jobs done", 5.minutes) {
+    private suspend fun singlesDone(world: SimulatedCluster) = world.until("single jobs done", 5.minutes) {
         (0 until SINGLES).all {
             world.platform.state.value("v/z/end/req-single-$it") !=
                 null
         }
     }
 
-    private suspend fun troubles(world: World) {
+    private suspend fun troubles(world: SimulatedCluster) {
         // Some blocks are written late, over newer ones if they could be, or their writer never hears of it.
         world.fateOf =
             { _, commit ->
@@ -266,7 +272,7 @@
     }
 
     /** Users who ask for some point at some node, all the time: what they were told for good must stay. */
-    private suspend fun polls(world: World, rules: RuleBook) {
+    private suspend fun polls(world: SimulatedCluster, rules: InvariantChecker) {
         while (true) {
             val point = random.nextInt(points)
             val asked = world.clock.now()
@@ -276,33 +282,33 @@
         }
     }
 
-    private suspend fun withdraw(world: World, rules: RuleBook) {
+    private suspend fun cancel(world: SimulatedCluster, rules: InvariantChecker) {
         delay(12.seconds)
-        withdrawn.forEach { rules.asksToWithdraw(id.point(it).text) }
+        cancelled.forEach { rules.asksToWithdraw(id.point(it).text) }
         val told = client(world).ask(
             "POST",
             "/sweeps/$id/withdraw",
             mapOf(
-                "from" to withdrawn.first,
-                "to" to withdrawn.last,
+                "from" to cancelled.first,
+                "to" to cancelled.last,
             ),
             120.seconds,
         )
-        if (told !is Told.Answer || told.status != OK) progress("withdrawal not answered")
+        if (told !is Told.Response || told.status != OK) progress("withdrawal not answered")
     }
 
-    private suspend fun ended(world: World): Boolean {
+    private suspend fun ended(world: SimulatedCluster): Boolean {
         val until = world.clock.now() + LIMIT
         while (world.clock.now() < until) {
             val told = client(world).ask("GET", "/sweeps/$id", null, 10.seconds)
-            if (told is Told.Answer && told.body.raw("open") == 0L) return true
+            if (told is Told.Response && told.body.raw("open") == 0L) return true
             delay(2.seconds)
         }
         return false
     }
 
     /** Asks every node for every point; with many points, all of them of one node and a part of the others. */
-    private suspend fun answers(world: World, rules: RuleBook): Pair<Int, Int> {
+    private suspend fun answers(world: SimulatedCluster, rules: InvariantChecker): Pair<Int, Int> {
         var without = 0
         var two = 0
         val told = HashMap<Int, String>()
@@ -315,7 +321,7 @@
                 rules.told(id.point(point).text, status, word, asked)
                 if (word != "done" && word != "withdrawn") without++
                 if (word != null && told.getOrPut(point) { word } != word) two++
-                if (word == "withdrawn" && point !in withdrawn) two++
+                if (word == "withdrawn" && point !in cancelled) two++
             }
         }
         progress("done ${told.values.count { it == "done" }}, withdrawn ${told.values.count { it == "withdrawn" }}")
@@ -323,18 +329,20 @@
     }
 
     /** Other users, who submit a job each half second: how long each waits for its answer. */
-    private inner class Others(private val world: World) {
-        private val waited = ArrayList<Pair<Moment, Duration>>()
+    private inner class Others(private val world: SimulatedCluster) {
+        private val waited = ArrayList<Pair<MonotonicInstant, Duration>>()
         private var n = 0
 
         /** Until then there is no other trouble than the sweep itself. */
-        var calmUntil: Moment = Moment.FOREVER
+        var calmUntil: MonotonicInstant = MonotonicInstant.FOREVER
 
         suspend fun run(scope: CoroutineScope) {
             while (true) {
                 scope.launch {
-                    val began: Moment = world.clock.now()
-                    val body = Rehearsal.exampleJob("req-other-${n++}", "array") + mapOf("crates" to 1, "haulS" to 2.0)
+                    val began: MonotonicInstant = world.clock.now()
+                    val body =
+                        ClassArchiveTraining.exampleJob("req-other-${n++}", "array") +
+                            mapOf("crates" to 1, "haulS" to 2.0)
                     world.ask("POST", "/work", body)
                     waited.add(began to world.clock.now() - began)
                 }
--- a/src/main/kotlin/org/elderhitch/lab/VirtualTime.kt
+++ b/src/main/kotlin/org/elderhitch/lab/VirtualTime.kt
@@ -11,29 +11,32 @@
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.async
 import kotlinx.coroutines.cancel
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import java.util.PriorityQueue
 import kotlin.coroutines.CoroutineContext
 
-/** Runs coroutines in the order of their simulated times, on one thread, without waiting. The same seed gives the same run. */
+/**
+ * Runs coroutines in the order of their simulated times, on one thread, without waiting. The same seed gives the same
+ * run.
+ */
 @OptIn(InternalCoroutinesApi::class, kotlinx.coroutines.ExperimentalCoroutinesApi::class)
 internal class VirtualTime :
     CoroutineDispatcher(),
     Delay {
-    private class Due(val atMs: Long, val order: Long, val run: Runnable) {
+    private class ScheduledRun(val atMs: Long, val order: Long, val run: Runnable) {
         var cancelled = false
     }
 
-    private val queue = PriorityQueue<Due>(compareBy<Due> { it.atMs }.thenBy { it.order })
+    private val queue = PriorityQueue<ScheduledRun>(compareBy<ScheduledRun> { it.atMs }.thenBy { it.order })
     private var order = 0L
     private var failure: Throwable? = null
     var nowMs = 0L
         private set
-    val clock = SteadyClock { Moment(nowMs * NANOS_PER_MS) }
+    val clock = SteadyClock { MonotonicInstant(nowMs * NANOS_PER_MS) }
 
-    private fun add(afterMs: Long, run: Runnable): Due =
-        Due(nowMs + afterMs.coerceAtLeast(0), order++, run).also(queue::add)
+    private fun add(afterMs: Long, run: Runnable): ScheduledRun =
+        ScheduledRun(nowMs + afterMs.coerceAtLeast(0), order++, run).also(queue::add)
 
     override fun dispatch(context: CoroutineContext, block: Runnable) {
         add(0, block)
@@ -51,7 +54,9 @@
         return DisposableHandle { due.cancelled = true }
     }
 
-    /** Runs [body] to its end, and whatever else is launched in the scope for as long. Throws what a coroutine threw. */
+    /**
+     * Runs [body] to its end, and whatever else is launched in the scope for as long. Throws what a coroutine threw.
+     */
     fun <T> run(body: suspend CoroutineScope.() -> T): T {
         val scope =
             CoroutineScope(SupervisorJob() + this + CoroutineExceptionHandler { _, e -> failure = failure ?: e })
--- a/src/main/kotlin/org/elderhitch/lab/WireClient.kt
+++ b/src/main/kotlin/org/elderhitch/lab/WireClient.kt
@@ -10,9 +10,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The DRMAA wire as a client program speaks it, in virtual time: asks node after node, each request under its own number. */
+/**
+ * The DRMAA wire as a client program speaks it, in virtual time: asks node after node, each request under its own
+ * number.
+ */
 internal class WireClient(
-    private val world: World,
+    private val world: SimulatedCluster,
     private var token: String,
     private val tag: String,
     private val shift: Int = 0,
@@ -21,7 +24,7 @@
     var session = ""
         private set
 
-    class Answer(val status: Int, val body: JsonObject) {
+    class WireResponse(val status: Int, val body: JsonObject) {
         val fault: String? get() = body.stringOrNull("exception")
     }
 
@@ -44,7 +47,7 @@
         patience: Duration = 60.seconds,
         node: String? = null,
         timeout: Duration = 24.seconds,
-    ): Answer {
+    ): WireResponse {
         val until = world.clock.now() + patience
         var tries = shift
         while (true) {
@@ -54,20 +57,22 @@
             if (response != null &&
                 (response.status != BUSY || over)
             ) {
-                return Answer(response.status, Json.parseObject(response.body))
+                return WireResponse(response.status, Json.parseObject(response.body))
             }
-            if (over) return Answer(BUSY, JsonObject.of(mapOf("error" to "no answer")))
+            if (over) return WireResponse(BUSY, JsonObject.of(mapOf("error" to "no answer")))
             delay(if (response == null) 100.milliseconds else 1.seconds)
         }
     }
 
-    suspend fun run(template: Map<String, Any?>, members: Int? = null, request: String = request()): Answer {
+    suspend fun run(template: Map<String, Any?>, members: Int? = null, request: String = request()): WireResponse {
         val bulk = members?.let { mapOf("bulk" to mapOf("start" to 1, "end" to it, "step" to 1)) }.orEmpty()
         return ask("run", mapOf("request" to request, "template" to template) + bulk)
     }
 
-    /** One wait of the binding: asked again under the same number until there is an answer, or [limit] is over (null). */
-    suspend fun wait(job: String, limit: Duration, request: String = request(), node: String? = null): Answer? {
+    /**
+     * One wait of the binding: asked again under the same number until there is an answer, or [limit] is over (null).
+     */
+    suspend fun wait(job: String, limit: Duration, request: String = request(), node: String? = null): WireResponse? {
         val until = world.clock.now() + limit
         while (world.clock.now() < until) {
             val hold = minOf(until - world.clock.now(), HOLD)
--- a/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
@@ -14,12 +14,12 @@
 import org.elderhitch.store.Keys
 import org.elderhitch.store.LeaseId
 import org.elderhitch.store.LeaseOutcome
-import org.elderhitch.store.Purpose
 import org.elderhitch.store.ReadOutcome
+import org.elderhitch.store.RequestPriority
 import org.elderhitch.store.Revision
 import org.elderhitch.store.StateClient
 import org.elderhitch.store.Write
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.slf4j.LoggerFactory
 import kotlin.random.Random
@@ -27,51 +27,37 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-public sealed interface LeadershipMessage {
-    /** The leader's key as the state service has it; null: absent. */
-    public data class LeaderSeen(val entry: Entry?) : LeadershipMessage
-
-    /** A worker or controller knows this term. */
-    public data class TermSeen(val term: Term) : LeadershipMessage
-
-    /** This node leads but can't do the work; another should. */
-    public data class Resign(val reason: String) : LeadershipMessage
-
-    /** The leader's table holds all that was recorded at [since]. */
-    public data class Proven(val since: Moment) : LeadershipMessage
-
-    public data object Wake : LeadershipMessage
-}
-
 /**
  * Claims the lead in one conditional transaction that raises the permanent counter and puts the leased leader key, and
- * then renews the lease. The window runs from when a renewal was sent, so it ends here before the lease ends there; and from when the last proof was
- * sent that this node's table lacks nothing, if that is older: a lease says who leads, not that its holder knows what users were told.
+ * then renews the lease. The window runs from when a renewal was sent, so it ends here before the lease ends there; and
+ * from when the last proof was
+ * sent that this node's table lacks nothing, if that is older: a lease says who leads, not that its holder knows what
+ * users were told.
  */
 public class Leadership(
     scope: CoroutineScope,
     private val node: NodeName,
     private val incarnation: Incarnation,
     private val client: StateClient,
-    private val times: TenureTimes,
+    private val times: LeadershipTimeouts,
     private val clock: SteadyClock,
     private val random: Random,
 ) : Actor<LeadershipMessage>(scope) {
     private val log = LoggerFactory.getLogger("elderhitch.leadership")
-    private val state = MutableStateFlow<Tenure>(Tenure.Following(null, Term.NONE))
+    private val state = MutableStateFlow<LeadershipState>(LeadershipState.Follower(null, Term.NONE))
     private var loaded = false
     private var leader: LeaderRecord? = null
     private var claiming = false
     private var highestSeen = Term.NONE
-    private var notBefore = Moment.NEVER
+    private var notBefore = MonotonicInstant.NEVER
 
     /** When the last proof was sent that nothing is missing here, in whatever role. */
-    private var proven = Moment.NEVER
+    private var proven = MonotonicInstant.NEVER
 
     /** When the last renewal of the present term that succeeded was sent. */
-    private var renewed = Moment.NEVER
+    private var renewed = MonotonicInstant.NEVER
 
-    public val tenure: StateFlow<Tenure> = state
+    public val leadershipState: StateFlow<LeadershipState> = state
 
     private data class LeaderRecord(
         val node: NodeName,
@@ -82,23 +68,23 @@
 
     override fun receive(message: LeadershipMessage) {
         when (message) {
-            is LeadershipMessage.LeaderSeen -> {
+            is LeadershipMessage.LeaderObserved -> {
                 loaded = true
                 leader = message.entry?.let(::leaderRecord)
-                leader?.let { sawTerm(it.term) }
+                leader?.let { observeTerm(it.term) }
                 follow()
             }
 
-            is LeadershipMessage.TermSeen -> sawTerm(message.term)
+            is LeadershipMessage.TermObserved -> observeTerm(message.term)
 
             is LeadershipMessage.Resign -> resign(message.reason)
 
-            is LeadershipMessage.Proven -> if (message.since > proven) {
+            is LeadershipMessage.FreshAsOf -> if (message.since > proven) {
                 proven = message.since
                 entitle()
             }
 
-            LeadershipMessage.Wake -> Unit
+            LeadershipMessage.RetryClaim -> Unit
         }
         maybeClaim()
     }
@@ -116,9 +102,9 @@
     }
 
     private fun follow() {
-        if (state.value is Tenure.Leading) return
+        if (state.value is LeadershipState.Leader) return
         val record = leader
-        val next = Tenure.Following(record?.node?.takeIf { it != node }, record?.term ?: highestSeen)
+        val next = LeadershipState.Follower(record?.node?.takeIf { it != node }, record?.term ?: highestSeen)
         if (next != state.value) {
             log.info("following leader={} term={}", next.leader ?: "none", next.term)
             state.value = next
@@ -126,33 +112,35 @@
     }
 
     /** A term above ours means that we lead no more, whatever our clock says. */
-    private fun sawTerm(term: Term) {
+    private fun observeTerm(term: Term) {
         if (term > highestSeen) highestSeen = term
-        val leading = state.value as? Tenure.Leading ?: return
-        if (term > leading.term) stepDown("term $term seen")
+        val leadership = state.value as? LeadershipState.Leader ?: return
+        if (term > leadership.term) stepDown("term $term seen")
     }
 
     private fun stepDown(reason: String) {
-        val leading = state.value as? Tenure.Leading ?: return
-        log.info("term ended term={} reason=\"{}\"", leading.term, reason)
-        state.value = Tenure.Following(leader?.node?.takeIf { it != node }, highestSeen)
+        val leadership = state.value as? LeadershipState.Leader ?: return
+        log.info("term ended term={} reason=\"{}\"", leadership.term, reason)
+        state.value = LeadershipState.Follower(leader?.node?.takeIf { it != node }, highestSeen)
     }
 
     private fun resign(reason: String) {
-        val leading = state.value as? Tenure.Leading ?: return
+        val leadership = state.value as? LeadershipState.Leader ?: return
         notBefore = clock.now() + RESIGN_PAUSE
         leader = null
         stepDown(reason)
         scope.launch {
-            client.end(leading.lease)
+            client.end(leadership.lease)
             delay(RESIGN_PAUSE)
-            tell(LeadershipMessage.Wake)
+            tell(LeadershipMessage.RetryClaim)
         }
     }
 
-    /** Free to claim: nobody's key is there, or it is one that an earlier run or claim of this very node left behind. */
+    /**
+     * Free to claim: nobody's key is there, or it is one that an earlier run or claim of this very node left behind.
+     */
     private fun maybeClaim() {
-        if (!loaded || claiming || state.value is Tenure.Leading || clock.now() < notBefore) return
+        if (!loaded || claiming || state.value is LeadershipState.Leader || clock.now() < notBefore) return
         val record = leader
         if (record != null && record.node != node) return
         claiming = true
@@ -164,10 +152,10 @@
                 if (now == null || now.node == node) claim(now)
             } finally {
                 claiming = false
-                if (state.value !is Tenure.Leading) {
+                if (state.value !is LeadershipState.Leader) {
                     scope.launch {
                         delay(CLAIM_RETRY)
-                        tell(LeadershipMessage.Wake)
+                        tell(LeadershipMessage.RetryClaim)
                     }
                 }
             }
@@ -175,13 +163,13 @@
     }
 
     private suspend fun claim(old: LeaderRecord?) {
-        val counter = when (val read = client.read(Keys.TERM, Purpose.LEADERSHIP)) {
+        val counter = when (val read = client.read(Keys.TERM, RequestPriority.LEADERSHIP)) {
             is ReadOutcome.Found -> read.entry
             ReadOutcome.Absent -> null
             ReadOutcome.Unavailable -> return
         }
         val before = counter?.let(::counterTerm) ?: Term.NONE
-        val former = counter?.let(::formerLeader)
+        val previousLeader = counter?.let(::formerLeader)
         val term = Term(before.number + 1)
         val sent = clock.now()
         val lease = (client.grant(times.window) as? LeaseOutcome.Held)?.lease ?: return
@@ -200,14 +188,14 @@
                     lease,
                 ),
             ),
-            Purpose.LEADERSHIP,
+            RequestPriority.LEADERSHIP,
         )
         val version = when (outcome) {
             is CommitOutcome.Committed -> outcome.revision
 
             // It may still be applied. Only the counter tells; and each claim has a mark of its own there.
             CommitOutcome.Unknown -> {
-                val read = client.read(Keys.TERM, Purpose.LEADERSHIP) as? ReadOutcome.Found ?: return
+                val read = client.read(Keys.TERM, RequestPriority.LEADERSHIP) as? ReadOutcome.Found ?: return
                 if (read.entry.value.raw("claim") != nonce) return
                 read.entry.version
             }
@@ -217,45 +205,62 @@
                 return
             }
         }
-        won(term, version, lease, sent, former)
+        won(term, version, lease, sent, previousLeader)
     }
 
-    private fun won(term: Term, version: Revision, lease: LeaseId, sent: Moment, former: Former?) {
+    private fun won(
+        term: Term,
+        version: Revision,
+        lease: LeaseId,
+        sent: MonotonicInstant,
+        previousLeader: PreviousLeader?,
+    ) {
         if (highestSeen > term) {
             log.info("claim outdated term={} seen={}", term, highestSeen)
             return
         }
         highestSeen = term
-        log.info("term begins term={} node={} former={}", term, node, former?.node ?: "none")
+        log.info("term begins term={} node={} former={}", term, node, previousLeader?.node ?: "none")
         renewed = sent
         val rights = times.rights(renewed, proven)
-        state.value = Tenure.Leading(term, version, lease, rights.windowEnd, rights.holdEnd, former, clock.now())
+        state.value =
+            LeadershipState.Leader(
+                term,
+                version,
+                lease,
+                rights.commandWindowEnd,
+                rights.answerWindowEnd,
+                previousLeader,
+                clock.now(),
+            )
         scope.launch { renew(term, lease) }
     }
 
     /** What a leader may do, anew from both proofs. */
     private fun entitle() {
-        val leading = state.value as? Tenure.Leading ?: return
+        val leadership = state.value as? LeadershipState.Leader ?: return
         val rights = times.rights(renewed, proven)
-        state.value = leading.copy(windowEnd = rights.windowEnd, holdEnd = rights.holdEnd)
+        state.value =
+            leadership.copy(commandWindowEnd = rights.commandWindowEnd, answerWindowEnd = rights.answerWindowEnd)
     }
 
     private suspend fun renew(term: Term, lease: LeaseId) {
         var pause = times.renewEvery
         while (true) {
             delay(pause)
-            if ((state.value as? Tenure.Leading)?.term != term) return
+            if ((state.value as? LeadershipState.Leader)?.term != term) return
             val sent = clock.now()
             val outcome = client.extend(lease)
-            val leading = state.value as? Tenure.Leading
-            if (leading?.term != term) return
+            val leadership = state.value as? LeadershipState.Leader
+            if (leadership?.term != term) return
             when (outcome) {
                 is LeaseOutcome.Held -> {
-                    if (clock.now() > leading.windowEnd) log.info("window renewed late term={}", term)
+                    if (clock.now() > leadership.commandWindowEnd) log.info("window renewed late term={}", term)
                     renewed = sent
                     entitle()
-                    // It holds the lease, so nobody else can lead; and without knowing what is recorded it may do nothing itself.
-                    if (sent - maxOf(proven, leading.claimedAt) >
+                    // It holds the lease, so nobody else can lead; and without knowing what is recorded it may do
+                    // nothing itself.
+                    if (sent - maxOf(proven, leadership.claimedAt) >
                         times.window * UNKNOWING_WINDOWS
                     ) {
                         tell(LeadershipMessage.Resign("nothing heard of what is recorded"))
@@ -266,7 +271,7 @@
                 LeaseOutcome.Gone -> {
                     leader = null
                     stepDown("lease gone")
-                    tell(LeadershipMessage.Wake)
+                    tell(LeadershipMessage.RetryClaim)
                     return
                 }
 
@@ -274,7 +279,7 @@
                     log.info(
                         "renewal failed term={} window_left_ms={}",
                         term,
-                        (leading.windowEnd - clock.now()).inWholeMilliseconds,
+                        (leadership.commandWindowEnd - clock.now()).inWholeMilliseconds,
                     )
                     pause = RENEW_RETRY
                 }
@@ -284,10 +289,10 @@
 
     private fun counterTerm(entry: Entry): Term = Term(entry.value.longOrNull("n") ?: 0)
 
-    private fun formerLeader(entry: Entry): Former? {
+    private fun formerLeader(entry: Entry): PreviousLeader? {
         val name = entry.value.stringOrNull("node") ?: return null
         val run = entry.value.stringOrNull("run") ?: return null
-        return Former(NodeName(name), Incarnation(run))
+        return PreviousLeader(NodeName(name), Incarnation(run))
     }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/placement/CycleInput.kt
+++ b/src/main/kotlin/org/elderhitch/placement/CycleInput.kt
@@ -1,5 +1,7 @@
 package org.elderhitch.placement
 
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.jobs.Attempt
 import org.elderhitch.jobs.Image
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.JobKind
@@ -11,11 +13,11 @@
 import org.elderhitch.quota.QuotaLedger
 import org.elderhitch.settings.Zone
 import org.elderhitch.store.Revision
-import org.elderhitch.time.Moment
-import org.elderhitch.workers.Attempt
-import org.elderhitch.workers.MachineId
+import org.elderhitch.time.MonotonicInstant
 
-/** A machine as a scheduling cycle sees it. Never changed, so that it can be kept from one scheduling cycle to the next. */
+/**
+ * A machine as a scheduling cycle sees it. Never changed, so that it can be kept from one scheduling cycle to the next.
+ */
 public class MachineView(
     public val id: MachineId,
     public val type: MachineType,
@@ -26,7 +28,7 @@
     /** Room that tasks told to stop will leave. */
     public val leaving: Resources,
     /** Tasks that may be stopped for more important ones. */
-    public val victims: List<VictimView>,
+    public val victims: List<PreemptionCandidate>,
     /** Jobs that failed here lately go elsewhere. */
     public val shunnedBy: Set<JobId>,
     /** What services take of it: they stay, while other tasks end by themselves. */
@@ -36,17 +38,20 @@
     /** Nothing is on it: a gang could have it whole, or it could be returned. */
     public val empty: Boolean,
     public val fetchGbPerS: Double,
-    /** What is still to be fetched there, by image, for tasks that are there or on their way: fetches may share the rate. */
+    /**
+     * What is still to be fetched there, by image, for tasks that are there or on their way: fetches may share the
+     * rate.
+     */
     public val fetching: Map<Image, Double>,
-    public val tenants: List<Tenant> = emptyList(),
+    public val tenants: List<Occupant> = emptyList(),
 )
 
 /** [unsavedSince]: all that it did since then is lost when it is stopped; null: next to nothing is. */
-public class VictimView(
+public class PreemptionCandidate(
     public val task: TaskId,
     public val priority: Priority,
     public val need: Resources,
-    public val unsavedSince: Moment? = null,
+    public val unsavedSince: MonotonicInstant? = null,
 )
 
 /** A job with tasks to place. */
@@ -59,17 +64,20 @@
     /** Gang: the attempt that waits for replacements; null: the tasks start a new attempt together. */
     public val joinAttempt: Attempt?,
     /** By when the deployment's aims want it started or done. */
-    public val due: Moment = Moment.FOREVER,
+    public val due: MonotonicInstant = MonotonicInstant.FOREVER,
     /** It failed wherever it was tried: it is tried where there is room, and nothing is stopped or kept for it. */
     public val probe: Boolean = false,
     /** It failed so often that it is known to be at fault itself. */
     public val atFault: Boolean = false,
     /** It missed the first of its aims, or will. */
     public val late: Boolean = false,
-    /** Nothing of it has begun for long, at its team's limit: its first task comes before the next ones of others that are as important. */
+    /**
+     * Nothing of it has begun for long, at its team's limit: its first task comes before the next ones of others that
+     * are as important.
+     */
     public val begins: Boolean = false,
 ) {
-    public fun due(at: Moment, late: Boolean): JobView =
+    public fun due(at: MonotonicInstant, late: Boolean): JobView =
         JobView(spec, order, pending, zones, joinAttempt, at, probe, atFault, late)
 
     /** Its first task apart from the rest. */
@@ -80,18 +88,18 @@
 }
 
 /** Room that work with no time for that finds free at once, rather than have less important work stopped for it. */
-public class KeptFree(public val spec: JobSpec, public val tasks: Int)
+public class CapacityReservation(public val spec: JobSpec, public val tasks: Int)
 
 public class CycleInput(
     public val machines: List<MachineView>,
     public val jobs: List<JobView>,
     public val quota: QuotaLedger,
-    public val keptFree: List<KeptFree> = emptyList(),
+    public val keptFree: List<CapacityReservation> = emptyList(),
     /** There is work that needs machines whole, or nearly so. */
     public val wholeMachines: Boolean = false,
     /** Most of the fleet is still booting: more room is about to come up than there is. */
     public val rush: Boolean = false,
-    public val now: Moment = Moment(0),
+    public val now: MonotonicInstant = MonotonicInstant(0),
     /** What the open jobs' tasks take, at most, beside each accelerator that they use. */
     public val besideGpu: Resources = Resources.NONE,
     /** What arrives, by class. */
@@ -116,15 +124,15 @@
     )
 }
 
-public data class Placed(val task: TaskId, val machine: MachineId, val joinAttempt: Attempt?)
+public data class PlacementDecision(val task: TaskId, val machine: MachineId, val joinAttempt: Attempt?)
 
 /** Tasks that found no machine, though their team may use one: what renting is for. */
-public class Unplaced(public val spec: JobSpec, public val count: Int, public val zones: Map<Zone, Int>)
+public class UnplacedTasks(public val spec: JobSpec, public val count: Int, public val zones: Map<Zone, Int>)
 
 public class CycleOutput(
-    public val placed: List<Placed>,
+    public val placed: List<PlacementDecision>,
     public val stopped: List<TaskId>,
-    public val unplaced: List<Unplaced>,
+    public val unplaced: List<UnplacedTasks>,
     /** How often a machine was looked at: what bounds the cost of a scheduling cycle, whatever the processor. */
     public val visits: Long,
     /** The sets of types that some work is confined to while other work could run elsewhere. */
--- a/src/main/kotlin/org/elderhitch/placement/Scarcity.kt
+++ b/src/main/kotlin/org/elderhitch/placement/ScarceCapacity.kt
@@ -1,21 +1,24 @@
 package org.elderhitch.placement
 
+import org.elderhitch.fleet.MachineId
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.JobSpec
 import org.elderhitch.jobs.MachineType
 import org.elderhitch.jobs.Priority
 import org.elderhitch.jobs.Resources
-import org.elderhitch.time.Moment
-import org.elderhitch.workers.MachineId
+import org.elderhitch.time.MonotonicInstant
 import kotlin.time.DurationUnit
 
 /** A task that is on a machine or on its way there, and when it is expected to end. */
-public class Tenant(public val spec: JobSpec, public val until: Moment)
+public class Occupant(public val spec: JobSpec, public val until: MonotonicInstant)
 
 /** Tasks of a class that arrive by what was seen lately; [spec]: the latest job of the class. */
 public class Expected(public val spec: JobSpec, public val tasksPerS: Double)
 
-/** Which machine types can take a task at all, of those that there are. Asked for each job many times a scheduling cycle. */
+/**
+ * Which machine types can take a task at all, of those that there are. Asked for each job many times a scheduling
+ * cycle.
+ */
 internal class Fits(private val types: Map<MachineType, Resources>) {
     private val known = HashMap<JobId, Set<MachineType>>()
 
@@ -24,24 +27,32 @@
     }
 
     companion object {
-        /** Whether work that may use [fits] is but a guest on the [scarce] types: it could run where the work that is confined to those can't. */
+        /**
+         * Whether work that may use [fits] is but a guest on the [scarce] types: it could run where the work that is
+         * confined to those can't.
+         */
         fun isGuest(fits: Set<MachineType>, scarce: Set<MachineType>): Boolean =
             fits.any { it in scarce } && !scarce.containsAll(fits)
     }
 }
 
 /**
- * What a machine is worth to work that could run nowhere else, from the types that are up, what waits, what runs and what arrived lately.
+ * What a machine is worth to work that could run nowhere else, from the types that are up, what waits, what runs and
+ * what arrived lately.
  * Two things make room scarce:
  *
- * * an accelerator: tasks that use none leave what the free accelerators of a machine need beside them ([CycleInput.besideGpu]);
- * * a type: work that fits only some types is *confined* to them, and work that could run elsewhere is a *guest* there. What waits of the confined
- *   work, and what will have arrived by the time that guests leave, is laid on paper onto the machines that guests leave first. That room is *kept*:
+ * * an accelerator: tasks that use none leave what the free accelerators of a machine need beside them
+ * ([CycleInput.besideGpu]);
+ * * a type: work that fits only some types is *confined* to them, and work that could run elsewhere is a *guest* there.
+ * What waits of the confined
+ *   work, and what will have arrived by the time that guests leave, is laid on paper onto the machines that guests
+ * leave first. That room is *kept*:
  *   guests in it run out and are not followed by others, so that it comes together.
  *
- * Where guests are late as well and there is not room for both, the room is shared out by what each asks for: neither is kept out for long.
+ * Where guests are late as well and there is not room for both, the room is shared out by what each asks for: neither
+ * is kept out for long.
  */
-public class Scarcity(private val input: CycleInput) {
+public class ScarceCapacity(private val input: CycleInput) {
     /** Work that is confined to the same types. */
     private class Group(val types: Set<MachineType>) {
         /** Needs, and how many tasks of each wait or are expected. */
@@ -121,7 +132,7 @@
 
     private fun isGuest(spec: JobSpec, group: Group) = Fits.isGuest(fits.of(spec), group.types)
 
-    private class Choice(val machine: MachineView, val freeAt: Moment, val room: Resources)
+    private class Choice(val machine: MachineView, val freeAt: MonotonicInstant, val room: Resources)
 
     private fun keep(group: Group) {
         if (group.asked.isEmpty()) return
@@ -161,8 +172,10 @@
     }
 
     /**
-     * How much of the machines may be kept: all that the confined work asks for, or, where guests that are late want more than the rest, its
-     * part by what both hold and ask for, where its own counts [CONFINED] times, since guests have other machines to themselves. So of a class that has room
+     * How much of the machines may be kept: all that the confined work asks for, or, where guests that are late want
+     * more than the rest, its
+     * part by what both hold and ask for, where its own counts [CONFINED] times, since guests have other machines to
+     * themselves. So of a class that has room
      * nowhere else and of one that found none there none gets all: each has at least half of its part.
      */
     private fun mostKept(group: Group, machines: List<MachineView>): Double {
@@ -202,7 +215,7 @@
         var room = machine.whole
         var free = machine.free + machine.leaving
         var freeAt = input.now
-        val guests = ArrayList<Tenant>()
+        val guests = ArrayList<Occupant>()
         for (tenant in machine.tenants) {
             if (isGuest(tenant.spec, group)) {
                 guests.add(tenant)
@@ -236,7 +249,8 @@
         scarce.any { machine.type in it && Fits.isGuest(fits.of(spec), it) }
 
     /**
-     * Whether a task that fits into [free] may have that room. [keeping]: what of it is still kept for work that could run nowhere else. More important
+     * Whether a task that fits into [free] may have that room. [keeping]: what of it is still kept for work that could
+     * run nowhere else. More important
      * work may have that too: it would not wait for the less important, and stops it elsewhere.
      */
     public fun admits(spec: JobSpec, machine: MachineView, free: Resources, keeping: Resources): Boolean {
@@ -247,8 +261,10 @@
 
     /**
      * Tasks without accelerators leave what the free accelerators of a machine need beside them. A guest's thousands of
-     * small tasks filled the processors of all machines, and the accelerators stood idle: room for one larger task never
-     * came together, since each small one that ended was followed by another. Tasks too large for what is left of an empty
+     * small tasks filled the processors of all machines, and the accelerators stood idle: room for one larger task
+     * never
+     * came together, since each small one that ended was followed by another. Tasks too large for what is left of an
+     * empty
      * machine are exempt, or they would never run.
      */
     private fun leavesAccelerators(spec: JobSpec, whole: Resources, free: Resources): Boolean {
--- a/src/main/kotlin/org/elderhitch/placement/SchedulingCycle.kt
+++ b/src/main/kotlin/org/elderhitch/placement/SchedulingCycle.kt
@@ -12,12 +12,15 @@
 
 /**
  * One scheduling cycle: what is known goes in, decisions come out. The most important jobs come first, work within a
- * team's guarantee before borrowed room, then the first tasks of what has long waited at its team's limit, then those whose aims are due sooner, then older jobs before younger ones; each
+ * team's guarantee before borrowed room, then the first tasks of what has long waited at its team's limit, then those
+ * whose aims are due sooner, then older jobs before younger ones; each
  * task goes to the fullest machine that it fits. Exceptions, in [detour]: a machine that lacks the image, one that is
- * empty, and one that other work needs more ([Scarcity]) come later by as many seconds as that costs; and for services a machine is as full as
+ * empty, and one that other work needs more ([ScarceCapacity]) come later by as many seconds as that costs; and for
+ * services a machine is as full as
  * its services make it.
  *
- * Room only shrinks within a scheduling cycle, so that most of the fleet is never looked at twice: machines that are too full for
+ * Room only shrinks within a scheduling cycle, so that most of the fleet is never looked at twice: machines that are
+ * too full for
  * any pending task are left out from the start or dropped on the way, a job walks along its candidates once, and what
  * found no room once isn't tried again.
  */
@@ -43,11 +46,11 @@
 
     private class Candidate(val room: Room, val detour: Double, val lasting: Double)
 
-    private val scarcity = Scarcity(input)
+    private val scarcity = ScarceCapacity(input)
     private val late: Set<JobId> = input.jobs.filter { it.late }.mapTo(HashSet()) { it.spec.id }
-    private val placed = ArrayList<Placed>()
+    private val placed = ArrayList<PlacementDecision>()
     private val stopped = ArrayList<TaskId>()
-    private val unplaced = ArrayList<Unplaced>()
+    private val unplaced = ArrayList<UnplacedTasks>()
     private var visits = 0L
 
     /** The least that any task here takes: what has less room is of no use to this scheduling cycle. */
@@ -85,7 +88,7 @@
         return CycleOutput(placed, stopped, unplaced, visits, scarcity.scarce, scarcity.keptCount)
     }
 
-    private fun keepFree(kept: KeptFree) {
+    private fun keepFree(kept: CapacityReservation) {
         val candidates = candidates(kept.spec)
         var next = 0
         repeat(kept.tasks) {
@@ -146,7 +149,8 @@
 
     /**
      * While most of the fleet still boots, services take no more than half of a machine either, unless their image is
-     * there. Seen: the first 26 machines of a morning filled up with services, and whoever came later with the same image
+     * there. Seen: the first 26 machines of a morning filled up with services, and whoever came later with the same
+     * image
      * fetched it elsewhere for a minute and a half, since nothing on those machines made room.
      */
     private fun waitsForMore(spec: JobSpec, room: Room): Boolean = input.rush &&
@@ -155,7 +159,9 @@
         spec.image !in room.of.images &&
         room.lasting + spec.need.weight > room.of.whole.weight / 2
 
-    /** What speaks against a machine, in seconds: the fetch, and what it costs others when an empty machine is opened. */
+    /**
+     * What speaks against a machine, in seconds: the fetch, and what it costs others when an empty machine is opened.
+     */
     private fun detour(spec: JobSpec, room: Room): Double {
         val opening = if (room.empty) OPENING_S else 0.0
         // Cheap room is for those who may use it; the rest stays free for those who may not.
@@ -171,7 +177,8 @@
     }
 
     /**
-     * How long the image would take to be there, in seconds. Without a look at what is fetched already, many services that
+     * How long the image would take to be there, in seconds. Without a look at what is fetched already, many services
+     * that
      * lost their machines went to the few with most room, and fetched there one beside the other for minutes.
      */
     private fun fetch(spec: JobSpec, room: Room): Double {
@@ -190,7 +197,8 @@
         var warmRoom = true
         for (index in job.pending) {
             if (!input.quota.allows(spec.team, spec.need)) break
-            // Neither room nor zones ever come back within a scheduling cycle: what is passed over once is of no more use to this job.
+            // Neither room nor zones ever come back within a scheduling cycle: what is passed over once is of no more
+            // use to this job.
             while (next < candidates.size &&
                 !(takes(spec, candidates[next]) && spec.zoneAllows(zones, candidates[next].of.zone))
             ) {
@@ -211,16 +219,17 @@
             take(job, index, room, zones)
         }
         if (job.probe) {
-            if (missing > 0 && nowhereToTry(job)) unplaced.add(Unplaced(spec, 1, zones))
+            if (missing > 0 && nowhereToTry(job)) unplaced.add(UnplacedTasks(spec, 1, zones))
             return
         }
         val anywhere = !(input.rush && spec.kind == JobKind.SERVICE)
         while (missing > 0 && makeRoom(spec, zones) { anywhere || spec.image in it.of.images }) missing--
-        if (missing > 0) unplaced.add(Unplaced(spec, missing, zones))
+        if (missing > 0) unplaced.add(UnplacedTasks(spec, missing, zones))
     }
 
     /**
-     * Machines are rented for a job that failed everywhere only where none is left to try it on. Seen: a job of one task failed on
+     * Machines are rented for a job that failed everywhere only where none is left to try it on. Seen: a job of one
+     * task failed on
      * the two machines that there were; both were returned as idle, and it waited for ever.
      */
     private fun nowhereToTry(job: JobView): Boolean = input.machines.none {
@@ -239,7 +248,7 @@
         if (job.spec.kind == JobKind.SERVICE) room.lasting += job.spec.need.weight
         zones.merge(room.of.zone, 1, Int::plus)
         input.quota.add(job.spec.team, job.spec.need, lasts = job.spec.kind == JobKind.SERVICE)
-        placed.add(Placed(TaskId(job.spec.id, index), room.of.id, job.joinAttempt))
+        placed.add(PlacementDecision(TaskId(job.spec.id, index), room.of.id, job.joinAttempt))
     }
 
     /** Finds room that is being left, or makes some at the cost of the least important task; true if it will come. */
@@ -267,7 +276,7 @@
         room.leaving -= spec.need - fromFree
     }
 
-    private fun stop(room: Room, victims: List<VictimView>) {
+    private fun stop(room: Room, victims: List<PreemptionCandidate>) {
         for (victim in victims) {
             room.victims.remove(victim)
             room.leaving += victim.need
@@ -279,7 +288,7 @@
     /** Stops what costs least on one machine, rather on one that has the image, or will have it first. */
     private fun stopFor(spec: JobSpec, usable: (Room) -> Boolean): Room? {
         var best: Room? = null
-        var bestStops: List<VictimView> = emptyList()
+        var bestStops: List<PreemptionCandidate> = emptyList()
         var bestFetch = Double.MAX_VALUE
         for (room in yielding) {
             if (room.yields.let { it == null || it >= spec.priority } || !usable(room)) continue
@@ -300,30 +309,37 @@
         return room
     }
 
-    /** The least important first, then few large ones rather than many small, but none much larger than what is needed, then those that lose least. */
-    private fun cheapest(need: Resources): Comparator<VictimView> =
+    /**
+     * The least important first, then few large ones rather than many small, but none much larger than what is needed,
+     * then those that lose least.
+     */
+    private fun cheapest(need: Resources): Comparator<PreemptionCandidate> =
         compareBy({ it.priority }, { it.need.weight > need.weight * MUCH_LARGER }, { -it.need.weight }, { loses(it) })
 
     /**
-     * What stops cost their users, in seconds: each is started again somewhere, and does again what was not saved. A task many times as
-     * large as what it makes room for loses as many times more work. Seen: 35 tasks of 32 CPUs stopped in a day for tasks of 4.
+     * What stops cost their users, in seconds: each is started again somewhere, and does again what was not saved. A
+     * task many times as
+     * large as what it makes room for loses as many times more work. Seen: 35 tasks of 32 CPUs stopped in a day for
+     * tasks of 4.
      */
-    private fun cost(stops: List<VictimView>, need: Resources): Double = stops.sumOf {
+    private fun cost(stops: List<PreemptionCandidate>, need: Resources): Double = stops.sumOf {
         (STOP_S + loses(it)) *
             maxOf(1.0, it.need.weight / need.weight)
     }
 
     /**
-     * A job that is in time may be late for one task that begins anew, and one that is late already can't. Seen: 102 starts for the 51 tasks of a job
+     * A job that is in time may be late for one task that begins anew, and one that is late already can't. Seen: 102
+     * starts for the 51 tasks of a job
      * that had room from its first second, each time of those that had run for least, and it was late.
      */
-    private fun loses(victim: VictimView): Double = lost(victim) + if (victim.task.job in late) 0.0 else IN_TIME_S
+    private fun loses(victim: PreemptionCandidate): Double =
+        lost(victim) + if (victim.task.job in late) 0.0 else IN_TIME_S
 
-    private fun lost(victim: VictimView): Double =
+    private fun lost(victim: PreemptionCandidate): Double =
         victim.unsavedSince?.let { (input.now - it).toDouble(DurationUnit.SECONDS) } ?: 0.0
 
-    private fun roomAfterStops(room: Room, spec: JobSpec, below: Priority): List<VictimView>? {
-        val chosen = ArrayList<VictimView>()
+    private fun roomAfterStops(room: Room, spec: JobSpec, below: Priority): List<PreemptionCandidate>? {
+        val chosen = ArrayList<PreemptionCandidate>()
         var sum = room.free + room.leaving
         for (victim in room.victims.filter { it.priority < below }.sortedWith(cheapest(spec.need))) {
             if (spec.need.fitsIn(sum)) break
@@ -338,7 +354,8 @@
         val spec = job.spec
         val all = spec.need * job.pending.size
         if (!input.quota.allows(spec.team, all)) {
-            // Room under the limit falls free bit by bit: less important work of its team would take each bit, and the gang would never find all at once.
+            // Room under the limit falls free bit by bit: less important work of its team would take each bit, and the
+            // gang would never find all at once.
             if (input.quota.couldAllow(spec.team, all)) input.quota.add(spec.team, all)
             return
         }
@@ -361,7 +378,7 @@
                     Places.of(spec),
                 )
             ) {
-                unplaced.add(Unplaced(spec, job.pending.size, job.zones))
+                unplaced.add(UnplacedTasks(spec, job.pending.size, job.zones))
             }
             reserve(job, choices)
             return
@@ -380,7 +397,8 @@
     }
 
     /**
-     * Work of the lowest priority makes room for a gang, on as many machines as it has tasks or on none; true if it will
+     * Work of the lowest priority makes room for a gang, on as many machines as it has tasks or on none; true if it
+     * will
      * come. More important work doesn't: a gang would stop tasks of many jobs at once. Seen: gangs waited for a boot
      * while guests' spare-time work filled the machines.
      */
@@ -390,7 +408,7 @@
         val below = minOf(spec.priority, Priority.NORMAL)
         val spare = yielding.filter { room -> room.yields.let { it != null && it < below } }
         if (spare.isEmpty() && leaving.isEmpty()) return false
-        val offers = ArrayList<Pair<Room, List<VictimView>>>()
+        val offers = ArrayList<Pair<Room, List<PreemptionCandidate>>>()
         for (room in LinkedHashSet(whole).apply {
             addAll(leaving)
             addAll(spare)
--- a/src/main/kotlin/org/elderhitch/quota/Quota.kt
+++ b/src/main/kotlin/org/elderhitch/quota/Quota.kt
@@ -30,8 +30,10 @@
     }
 
     /**
-     * Counts what waits for machines, if the team's limit has room for that and all that was counted before for the same places; false: machines for it would be of no use.
-     * Without it all work behind a team's last free place counted as waiting for machines, and hundreds were rented that its limit let nobody use. Work for other
+     * Counts what waits for machines, if the team's limit has room for that and all that was counted before for the
+     * same places; false: machines for it would be of no use.
+     * Without it all work behind a team's last free place counted as waiting for machines, and hundreds were rented
+     * that its limit let nobody use. Work for other
      * places is counted apart: where nothing is to be had there, the limit's room must not be kept for it.
      */
     public fun wants(team: TeamName, need: Resources, at: Places): Boolean {
--- a/src/main/kotlin/org/elderhitch/workers/Takeover.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
@@ -1,14 +1,16 @@
-package org.elderhitch.workers
+package org.elderhitch.recovery
 
 import org.elderhitch.fleet.Catalog
 import org.elderhitch.fleet.Machine
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.heartbeat.LeaseTimeouts
 import org.elderhitch.jobs.JobSpec
 import org.elderhitch.jobs.Resources
-import org.elderhitch.leadership.Tenure
-import org.elderhitch.leadership.TenureTimes
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.leadership.LeadershipTimeouts
 import org.elderhitch.leadership.Term
 import org.elderhitch.settings.Zone
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.slf4j.LoggerFactory
 
@@ -17,37 +19,39 @@
  * tasks that no report names may be there, and so may the quota that they use.
  */
 internal class Takeover(
-    private val times: TenureTimes,
-    private val leases: LeaseTimes,
+    private val times: LeadershipTimeouts,
+    private val leases: LeaseTimeouts,
     private val clock: SteadyClock,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
     private var term = Term.NONE
     private var silent: HashSet<MachineId>? = null
-    private var end = Moment.FOREVER
+    private var end = MonotonicInstant.FOREVER
 
     /**
-     * When this term last answered a report of a machine that did not know it yet. Such an answer renews what an earlier term started, so the leases that end
-     * by [end] are those of machines that were not answered: without this a task was started anew whose machine had come back just before.
+     * When this term last answered a report of a machine that did not know it yet. Such an answer renews what an
+     * earlier term started, so the leases that end
+     * by [end] are those of machines that were not answered: without this a task was started anew whose machine had
+     * come back just before.
      */
-    private val renewed = HashMap<MachineId, Moment>()
+    private val renewed = HashMap<MachineId, MonotonicInstant>()
 
     var settled = false
         private set
 
     /** The run that led before has ended: who reported to it comes by itself. */
-    var formerEnded = false
+    var previousLeaderEnded = false
 
     /** Machines whose word is missing; empty too while it isn't known which there are. */
     val unheard: Set<MachineId> get() = silent.orEmpty()
 
-    fun begin(leading: Tenure.Leading) {
-        term = leading.term
+    fun begin(leadership: LeadershipState.Leader) {
+        term = leadership.term
         silent = null
         renewed.clear()
-        settled = leading.former == null
-        formerEnded = leading.former == null
-        end = leases.overAfterClaim(leading.claimedAt, times)
+        settled = leadership.previousLeader == null
+        previousLeaderEnded = leadership.previousLeader == null
+        end = leases.overAfterClaim(leadership.claimedAt, times)
     }
 
     fun inventory(machines: Set<MachineId>) {
@@ -61,15 +65,18 @@
     }
 
     /** A report of a machine that didn't know this term is being answered, which came at [at]. */
-    fun answered(machine: MachineId, at: Moment) {
+    fun answered(machine: MachineId, at: MonotonicInstant) {
         if (!settled) renewed[machine] = at
     }
 
-    /** Machines that still don't know this term get no more answers, or a deaf one would keep the takeover from ever ending. They hear of the term by being asked. */
-    fun closing(now: Moment): Boolean = !settled && now > end
+    /**
+     * Machines that still don't know this term get no more answers, or a deaf one would keep the takeover from ever
+     * ending. They hear of the term by being asked.
+     */
+    fun closing(now: MonotonicInstant): Boolean = !settled && now > end
 
     /** The former leader has surely stopped answering workers: each lease that it kept alive ends from now on. */
-    fun formerStopped() {
+    fun previousLeadersStopped() {
         if (!settled) end = minOf(end, leases.overAfter(clock.now()))
     }
 
@@ -85,8 +92,10 @@
     }
 
     /**
-     * Whether an unreported task of the job may be on a machine whose word is missing. No term ever places a task where its
-     * job doesn't allow it, or where it doesn't fit: services don't wait for the word of a spot machine, nor large tasks for that of a small one.
+     * Whether an unreported task of the job may be on a machine whose word is missing. No term ever places a task where
+     * its
+     * job doesn't allow it, or where it doesn't fit: services don't wait for the word of a spot machine, nor large
+     * tasks for that of a small one.
      */
     fun mayHide(job: JobSpec, known: Map<MachineId, Machine>, catalog: Catalog): Boolean {
         if (settled) return false
@@ -108,7 +117,7 @@
     }
 
     /** It ends within one lease's time, whatever happens. */
-    fun endsSoon(now: Moment): Boolean = leases.endSoon(end, now)
+    fun endsSoon(now: MonotonicInstant): Boolean = leases.endSoon(end, now)
 
     /** What the silent machines could be running, whoever it belongs to. */
     fun reserved(known: Map<MachineId, Machine>, catalog: Catalog): Resources {
--- a/src/main/kotlin/org/elderhitch/workers/Reconciler.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/TaskReconciler.kt
@@ -1,27 +1,32 @@
-package org.elderhitch.workers
+package org.elderhitch.recovery
 
+import org.elderhitch.failuredetection.FailureAttribution
+import org.elderhitch.heartbeat.ExitCause
+import org.elderhitch.heartbeat.Heartbeat
+import org.elderhitch.heartbeat.TaskPhase
+import org.elderhitch.heartbeat.TaskStatus
 import org.elderhitch.jobs.TaskId
-import org.elderhitch.recovery.Elsewhere
-import org.elderhitch.recovery.Here
-import org.elderhitch.recovery.JobStanding
-import org.elderhitch.recovery.NamedTask
-import org.elderhitch.recovery.TaskReconciliation
-import org.elderhitch.recovery.TaskRow
-import org.elderhitch.recovery.TaskVerdict
-import org.elderhitch.time.Moment
+import org.elderhitch.scheduler.EventLog
+import org.elderhitch.tasks.Certainty
+import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.Placement
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.WorkerState
+import org.elderhitch.tasks.isGang
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
 /** Brings the table in line with what a worker reports, whose list is the truth once it has seen our term. */
-internal class Reconciler(
+internal class TaskReconciler(
     private val table: TaskTable,
-    private val faults: Faults,
+    private val faults: FailureAttribution,
     private val clock: SteadyClock,
     private val events: EventLog,
     /** Told of each row that a named task stood in. */
-    private val reconciled: (TaskRow) -> Unit = {},
+    private val reconciled: (TaskReconciliationRule) -> Unit = {},
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
 
@@ -29,7 +34,7 @@
      * [inReply]: the worker says so in reply to a command to its own address, while an answer to its last report may
      * still be on its way with starts in it. Only a report sent after that answer proves that they were not executed.
      */
-    fun apply(worker: WorkerState, report: Report, inReply: Boolean) {
+    fun apply(worker: WorkerState, report: Heartbeat, inReply: Boolean) {
         if (worker.tasks != report.tasks) {
             worker.tasks = report.tasks
             worker.changed()
@@ -49,16 +54,16 @@
         }
     }
 
-    private fun stranger(worker: WorkerState, task: TaskReport) {
+    private fun stranger(worker: WorkerState, task: TaskStatus) {
         val row = TaskReconciliation.row(
-            NamedTask(
-                JobStanding.UNKNOWN,
+            ReportedTask(
+                JobLifecycle.UNKNOWN,
                 true,
                 task.phase != TaskPhase.EXITED,
                 false,
                 false,
-                Here.NOTHING,
-                Elsewhere.NOTHING,
+                LocalPlacement.NOTHING,
+                RemotePlacement.NOTHING,
             ),
         )
         reconciled(row)
@@ -71,10 +76,11 @@
     }
 
     /** Carries out what [TaskReconciliation] says of the task. */
-    private fun reconcile(worker: WorkerState, job: JobState, task: TaskReport) {
+    private fun reconcile(worker: WorkerState, job: JobState, task: TaskStatus) {
         val index = task.task.index
         val own = worker.placements[task.task]
-        // Two attempts of a task can't be on one machine: what the table has there is not, and a copy elsewhere may count in its place.
+        // Two attempts of a task can't be on one machine: what the table has there is not, and a copy elsewhere may
+        // count in its place.
         if (own != null && own.attempt != task.attempt && task.phase != TaskPhase.EXITED) table.remove(job, own)
         val elsewhere = job.placements[index]?.takeIf { it.worker !== worker }
         val named = named(job, task, own, elsewhere)
@@ -108,32 +114,33 @@
         if (TaskReconciliation.stops(named) && placement.stop == null) table.stop(job, placement, Duration.ZERO)
     }
 
-    private fun named(job: JobState, task: TaskReport, own: Placement?, elsewhere: Placement?): NamedTask = NamedTask(
-        if (job.ended) JobStanding.ENDED else JobStanding.OPEN,
-        exists = task.task.index < job.spec.tasks,
-        live = task.phase != TaskPhase.EXITED,
-        saving = task.phase == TaskPhase.SAVING,
-        completed = task.cause == ExitCause.DONE,
-        when (own?.attempt) {
-            null -> Here.NOTHING
-            task.attempt -> Here.THIS_ATTEMPT
-            else -> Here.ANOTHER_ATTEMPT
-        },
-        when {
-            elsewhere == null -> Elsewhere.NOTHING
-            elsewhere.certainty == Certainty.ASSIGNED -> Elsewhere.UNSENT
-            elsewhere.stop != null || elsewhere.certainty == Certainty.SENT -> Elsewhere.UNSURE
-            task.attempt.number < elsewhere.attempt.number -> Elsewhere.LATER
-            else -> Elsewhere.EARLIER
-        },
-    )
+    private fun named(job: JobState, task: TaskStatus, own: Placement?, elsewhere: Placement?): ReportedTask =
+        ReportedTask(
+            if (job.ended) JobLifecycle.ENDED else JobLifecycle.OPEN,
+            exists = task.task.index < job.spec.tasks,
+            live = task.phase != TaskPhase.EXITED,
+            saving = task.phase == TaskPhase.SAVING,
+            completed = task.cause == ExitCause.DONE,
+            when (own?.attempt) {
+                null -> LocalPlacement.NOTHING
+                task.attempt -> LocalPlacement.THIS_ATTEMPT
+                else -> LocalPlacement.ANOTHER_ATTEMPT
+            },
+            when {
+                elsewhere == null -> RemotePlacement.NOTHING
+                elsewhere.certainty == Certainty.ASSIGNED -> RemotePlacement.UNSENT
+                elsewhere.stop != null || elsewhere.certainty == Certainty.SENT -> RemotePlacement.UNSURE
+                task.attempt.number < elsewhere.attempt.number -> RemotePlacement.LATER
+                else -> RemotePlacement.EARLIER
+            },
+        )
 
     /** Puts what the worker reports into the table, beside what else it has of the task. */
     private fun take(
         worker: WorkerState,
         job: JobState,
-        task: TaskReport,
-        row: TaskRow,
+        task: TaskStatus,
+        row: TaskReconciliationRule,
         elsewhere: Placement?,
     ): Placement {
         if (elsewhere !=
@@ -144,11 +151,11 @@
             }
         }
         if (row.verdict == TaskVerdict.SWAP && elsewhere != null) table.demote(job, elsewhere)
-        if (row == TaskRow.TWICE_UNSENT && elsewhere != null) table.remove(job, elsewhere)
+        if (row == TaskReconciliationRule.TWICE_UNSENT && elsewhere != null) table.remove(job, elsewhere)
         val placement = if (row.verdict == TaskVerdict.SURPLUS) {
             table.placeSurplus(job, task.task, task.attempt, worker)
         } else {
-            table.place(job, task.task, task.attempt, worker, Certainty.REPORTED, Moment.NEVER)
+            table.place(job, task.task, task.attempt, worker, Certainty.REPORTED, MonotonicInstant.NEVER)
         }
         if (job.isGang && job.placements[task.task.index] === placement) job.gang.found(task.attempt)
         table.dirty = true
@@ -161,7 +168,7 @@
         if (!placement.counted) job.tally.seenStarting(clock.now())
     }
 
-    private fun finished(worker: WorkerState, job: JobState, task: TaskReport, own: Placement?) {
+    private fun finished(worker: WorkerState, job: JobState, task: TaskStatus, own: Placement?) {
         val placement = own?.takeIf { it.attempt == task.attempt }
         placement?.let { seen(job, it) }
         complete(job, task.task.index)
@@ -173,14 +180,14 @@
         // Of a gang, all members have run, seen or not: they complete together.
         val complete = if (job.isGang) job.placements.values else listOfNotNull(job.placements[index])
         complete.forEach { job.tally.completed(it, clock.now(), job.placements[index]?.runsSince) }
-        complete.firstOrNull { it.sendBy != Moment.NEVER }?.let { table.onDone(job, it) }
+        complete.firstOrNull { it.sendBy != MonotonicInstant.NEVER }?.let { table.onDone(job, it) }
         log.debug("task done task={}/{}", job.id, index)
         // A gang completes as a whole: one member's word is all members'.
         if (job.isGang) repeat(job.spec.tasks) { job.done.add(it) } else job.done.add(index)
         table.dirty = true
     }
 
-    private fun lose(worker: WorkerState, job: JobState, task: TaskReport, placement: Placement) {
+    private fun lose(worker: WorkerState, job: JobState, task: TaskStatus, placement: Placement) {
         val now = clock.now()
         if (task.cause !in NEVER_BEGAN) seen(job, placement)
         when (task.cause) {
--- a/src/main/kotlin/org/elderhitch/recovery/TaskReconciliation.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/TaskReconciliation.kt
@@ -1,7 +1,7 @@
 package org.elderhitch.recovery
 
 /** How the job of a task that a worker names stands with this term. */
-public enum class JobStanding {
+public enum class JobLifecycle {
     OPEN,
 
     /** Its end is recorded, and some of its tasks have not been seen to go. */
@@ -12,10 +12,10 @@
 }
 
 /** What the leader's table has of a task on the very worker that names it. */
-public enum class Here { NOTHING, THIS_ATTEMPT, ANOTHER_ATTEMPT }
+public enum class LocalPlacement { NOTHING, THIS_ATTEMPT, ANOTHER_ATTEMPT }
 
 /** What the table has of a task that counts on another worker than the one that names it. */
-public enum class Elsewhere {
+public enum class RemotePlacement {
     NOTHING,
 
     /** Decided and not sent: it can be taken back. */
@@ -32,8 +32,8 @@
 }
 
 /** A task as a worker's report names it, against the table. */
-public data class NamedTask(
-    val job: JobStanding,
+public data class ReportedTask(
+    val job: JobLifecycle,
     /** The job has so many tasks. */
     val exists: Boolean,
     /** Fetching, waiting, running or saving: on the machine, or about to be. */
@@ -41,8 +41,8 @@
     val saving: Boolean,
     /** Exited, having completed. */
     val completed: Boolean,
-    val here: Here,
-    val elsewhere: Elsewhere,
+    val here: LocalPlacement,
+    val elsewhere: RemotePlacement,
 )
 
 /** What is to become of a task that a worker names. */
@@ -76,10 +76,11 @@
 }
 
 /**
- * The rows of the table in `docs/design/recovery.md`: every way in which a worker's word and the leader's table can stand to each other. The worker's word is
+ * The rows of the table in `docs/design/recovery.md`: every way in which a worker's word and the leader's table can
+ * stand to each other. The worker's word is
  * the truth about its machine (PROTOCOL, "Workers"); what the table has besides is for that machine's own word to end.
  */
-public enum class TaskRow(public val verdict: TaskVerdict) {
+public enum class TaskReconciliationRule(public val verdict: TaskVerdict) {
     STRANGER(TaskVerdict.STOP),
     STRANGER_EXITED(TaskVerdict.REAP),
     NO_SUCH_TASK(TaskVerdict.LEAVE),
@@ -104,33 +105,33 @@
 
 /** Reconciliations what workers report with what the leader's table has, task by task. Pure. */
 public object TaskReconciliation {
-    public fun row(task: NamedTask): TaskRow = when {
-        task.job == JobStanding.UNKNOWN -> if (task.live) TaskRow.STRANGER else TaskRow.STRANGER_EXITED
-        !task.exists -> TaskRow.NO_SUCH_TASK
+    public fun row(task: ReportedTask): TaskReconciliationRule = when {
+        task.job == JobLifecycle.UNKNOWN -> if (task.live) TaskReconciliationRule.STRANGER else TaskReconciliationRule.STRANGER_EXITED
+        !task.exists -> TaskReconciliationRule.NO_SUCH_TASK
         !task.live -> exited(task)
-        task.here == Here.THIS_ATTEMPT -> TaskRow.AS_KNOWN
-        task.elsewhere != Elsewhere.NOTHING -> twice(task)
-        task.here == Here.ANOTHER_ATTEMPT -> TaskRow.OTHER_ATTEMPT
-        else -> TaskRow.UNKNOWN_HERE
+        task.here == LocalPlacement.THIS_ATTEMPT -> TaskReconciliationRule.AS_KNOWN
+        task.elsewhere != RemotePlacement.NOTHING -> twice(task)
+        task.here == LocalPlacement.ANOTHER_ATTEMPT -> TaskReconciliationRule.OTHER_ATTEMPT
+        else -> TaskReconciliationRule.UNKNOWN_HERE
     }
 
     /** Whether it is stopped whatever else becomes of it: its job has ended. */
-    public fun stops(task: NamedTask): Boolean = task.live && task.exists && task.job == JobStanding.ENDED
+    public fun stops(task: ReportedTask): Boolean = task.live && task.exists && task.job == JobLifecycle.ENDED
 
-    private fun exited(task: NamedTask): TaskRow = when {
+    private fun exited(task: ReportedTask): TaskReconciliationRule = when {
         // The result is kept, whichever attempt it was (PROTOCOL, "done"): the task is never started again.
-        task.completed -> TaskRow.COMPLETED
+        task.completed -> TaskReconciliationRule.COMPLETED
 
-        task.here == Here.THIS_ATTEMPT -> TaskRow.EXITED
+        task.here == LocalPlacement.THIS_ATTEMPT -> TaskReconciliationRule.EXITED
 
-        else -> TaskRow.EXITED_BEFORE
+        else -> TaskReconciliationRule.EXITED_BEFORE
     }
 
-    private fun twice(task: NamedTask): TaskRow = when (task.elsewhere) {
-        Elsewhere.UNSENT -> TaskRow.TWICE_UNSENT
-        Elsewhere.UNSURE -> if (task.saving) TaskRow.TWICE_SAVING else TaskRow.TWICE_UNSURE
-        Elsewhere.LATER -> if (task.saving) TaskRow.TWICE_SAVING else TaskRow.TWICE_STARTED_FIRST
-        Elsewhere.EARLIER -> if (task.saving) TaskRow.TWICE_SAVING else TaskRow.TWICE_STARTED_LATER
-        Elsewhere.NOTHING -> TaskRow.UNKNOWN_HERE
+    private fun twice(task: ReportedTask): TaskReconciliationRule = when (task.elsewhere) {
+        RemotePlacement.UNSENT -> TaskReconciliationRule.TWICE_UNSENT
+        RemotePlacement.UNSURE -> if (task.saving) TaskReconciliationRule.TWICE_SAVING else TaskReconciliationRule.TWICE_UNSURE
+        RemotePlacement.LATER -> if (task.saving) TaskReconciliationRule.TWICE_SAVING else TaskReconciliationRule.TWICE_STARTED_FIRST
+        RemotePlacement.EARLIER -> if (task.saving) TaskReconciliationRule.TWICE_SAVING else TaskReconciliationRule.TWICE_STARTED_LATER
+        RemotePlacement.NOTHING -> TaskReconciliationRule.UNKNOWN_HERE
     }
 }
--- a/src/main/kotlin/org/elderhitch/workers/Consolidation.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/Consolidation.kt
@@ -1,29 +1,36 @@
-package org.elderhitch.workers
+package org.elderhitch.scheduler
 
 import org.elderhitch.fleet.Catalog
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.heartbeat.TaskPhase
 import org.elderhitch.jobs.JobKind
 import org.elderhitch.jobs.Resources
 import org.elderhitch.settings.Zone
-import org.elderhitch.time.Moment
+import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.Placement
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.WorkerState
+import org.elderhitch.time.MonotonicInstant
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Empties a machine whose few services find room elsewhere: only where each finds its image too, so that it is away for a
+ * Empties a machine whose few services find room elsewhere: only where each finds its image too, so that it is away for
+ * a
  * stop and a start and not for a fetch, and only services that have run for a while.
  */
 internal class Consolidation(private val table: TaskTable) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
-    private val tried = HashMap<MachineId, Moment>()
-    private var nextMove = Moment.NEVER
+    private val tried = HashMap<MachineId, MonotonicInstant>()
+    private var nextMove = MonotonicInstant.NEVER
 
     fun newTerm() {
         tried.clear()
-        nextMove = Moment.NEVER
+        nextMove = MonotonicInstant.NEVER
     }
 
-    fun drain(machine: MachineId, catalog: Catalog, now: Moment, usable: (WorkerState) -> Boolean) {
+    fun drain(machine: MachineId, catalog: Catalog, now: MonotonicInstant, usable: (WorkerState) -> Boolean) {
         val worker = table.workers[machine] ?: return
         if (now < nextMove || tried[machine].let { it != null && now - it < TRY_AGAIN }) return
         tried[machine] = now
@@ -40,7 +47,7 @@
         for (p in placements) table.jobs[p.task.job]?.let { table.stop(it, p, Duration.ZERO) }
     }
 
-    private fun movable(placement: Placement, now: Moment): Boolean {
+    private fun movable(placement: Placement, now: MonotonicInstant): Boolean {
         val job = table.jobs[placement.task.job] ?: return false
         val since = placement.runsSince ?: return false
         return job.spec.kind == JobKind.SERVICE &&
