--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -121,7 +121,7 @@
             wallClock,
             features.rules,
             onCycle,
-            policy.silentReturnShare,
+            policy.suspectedTerminationShare,
             settings.cpuShare,
         ) {
             featureSet().jobProvider(it)?.open(it)
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
@@ -40,7 +40,7 @@
     private val events: EventLog,
     private val ports: SchedulerPorts,
     private val delegates: ZoneDelegates,
-    silentReturnShare: Double,
+    suspectedTerminationShare: Double,
 ) {
     private class ZoneHealth {
         var heard = 0
@@ -71,7 +71,7 @@
                 CUT_PATIENCE,
             ),
         )
-    private val pace = TerminationRateLimiter(silentReturnShare)
+    private val pace = TerminationRateLimiter(suspectedTerminationShare)
 
     /** When the return of machines was asked for that have said nothing in this term. */
     private val unheardAsked = HashMap<MachineId, MonotonicInstant>()
@@ -265,7 +265,7 @@
                     silent.map {
                         it.id
                     },
-                    TerminationReason.SILENT,
+                    TerminationReason.SUSPECTED,
                 ),
             )
         }
@@ -275,7 +275,7 @@
                     gone.map {
                         it.id
                     },
-                    TerminationReason.UNHEARD,
+                    TerminationReason.NEVER_SEEN,
                 ),
             )
         }
--- a/src/main/kotlin/org/elderhitch/fleet/Arrivals.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Arrivals.kt
@@ -28,7 +28,7 @@
     /** Machines' worth of tasks that arrive while a machine boots. */
     fun machinesWorth(catalog: Catalog, now: MonotonicInstant): Double = classes.values.sumOf { known ->
         val type = catalog.fitting(known.spec).minByOrNull { it.price } ?: return@sumOf 0.0
-        perSecond(known.spec.jobClass, now) * type.boot.toDouble(DurationUnit.SECONDS) /
+        perSecond(known.spec.jobClass, now) * type.bootTime.toDouble(DurationUnit.SECONDS) /
             FleetPlan.tasksPerMachine(known.spec, type).coerceAtLeast(1.0)
     }
 
--- a/src/main/kotlin/org/elderhitch/fleet/CloudCallScheduler.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudCallScheduler.kt
@@ -7,10 +7,10 @@
 
 /** Why a machine is returned. [ifSilent]: only for as long as its worker says nothing. */
 public enum class TerminationReason(public val word: String, internal val ifSilent: Boolean) {
-    SILENT("silent", true),
+    SUSPECTED("silent", true),
 
     /** It may run something of an earlier term, and has said nothing in this one. */
-    UNHEARD("unheard", true),
+    NEVER_SEEN("unheard", true),
     FAILED("failed", false),
     IDLE("idle", false),
 }
--- a/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
@@ -15,7 +15,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 public sealed interface ProvisioningOutcome {
-    public data class Hired(val machines: List<MachineId>) : ProvisioningOutcome
+    public data class Provisioned(val machines: List<MachineId>) : ProvisioningOutcome
     public data object NoCapacity : ProvisioningOutcome
 
     /** Malformed, by the cloud's word: never to be repeated. */
@@ -46,7 +46,7 @@
     private fun type(from: JsonObject): TypeInfo = CatalogCodec.decode(from)
 
     /** [entitled] is asked last, as the budget may have been waited for, or the process may have stood still. */
-    public suspend fun hire(name: String, market: Market, count: Int, entitled: () -> Boolean): ProvisioningOutcome {
+    public suspend fun provision(name: String, market: Market, count: Int, entitled: () -> Boolean): ProvisioningOutcome {
         val body = Json.bytes(
             linkedMapOf(
                 "hire" to name,
@@ -60,7 +60,7 @@
             call("POST", "/machines", body, RequestPriority.RECORD, entitled) ?: return ProvisioningOutcome.Unknown
         return decodedFrom("cloud", log, ProvisioningOutcome.Unknown) {
             when (response.status) {
-                OK -> ProvisioningOutcome.Hired(
+                OK -> ProvisioningOutcome.Provisioned(
                     Json.parseObject(response.body).stringsOrNull("stalls").orEmpty().map(::MachineId),
                 )
 
@@ -81,7 +81,7 @@
     }
 
     /** True: they are gone, and all that was on them. A successor may use them by the time the request's turn comes. */
-    public suspend fun release(machines: List<MachineId>, entitled: () -> Boolean): Boolean {
+    public suspend fun terminate(machines: List<MachineId>, entitled: () -> Boolean): Boolean {
         check(machines.size <= MOST_RELEASED) { "${machines.size} machines in a request" }
         val body = Json.bytes(mapOf("stalls" to machines.map { it.text }))
         return call("POST", "/machines/release", body, RequestPriority.LEADERSHIP, entitled)?.status == OK
@@ -165,7 +165,7 @@
         "pullGbPerS" to type.fetchGbPerS,
         "rate" to type.price,
         "lowPrice" to type.spotPrice,
-        "readyS" to type.boot.inWholeMilliseconds / MS,
+        "readyS" to type.bootTime.inWholeMilliseconds / MS,
         "halls" to type.zones.map { it.name },
     )
 
--- a/src/main/kotlin/org/elderhitch/fleet/Fleet.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Fleet.kt
@@ -15,7 +15,7 @@
     val fetchGbPerS: Double,
     val price: Double,
     val spotPrice: Double,
-    val boot: Duration,
+    val bootTime: Duration,
     val zones: List<Zone>,
 )
 
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
@@ -18,16 +18,16 @@
     val headroom: Duration = 30.seconds,
     /** Machines' worth of room that production services keep in reserve against the loss of one. */
     val spareMachines: Double = 1.0,
-    val returnAfter: Duration = 45.seconds,
-    val returnSpotAfter: Duration = 60.seconds,
+    val terminateIdleAfter: Duration = 45.seconds,
+    val terminateIdleSpotAfter: Duration = 60.seconds,
     /** The same for machines beyond those that the arrivals of a boot's time could fill. */
-    val returnSurplusAfter: Duration = 10.seconds,
+    val terminateSurplusAfter: Duration = 10.seconds,
     val useSpot: Boolean = true,
     /**
      * The part of a zone's machines that may be returned within 5 s for nothing but their silence
      * (`docs/design/recovery.md`).
      */
-    val silentReturnShare: Double = 0.25,
+    val suspectedTerminationShare: Double = 0.25,
 )
 
 public class PlanInput(
@@ -119,7 +119,7 @@
      * Some machines take several times as long to boot, and some never do: they count for nothing until they are up.
      */
     private fun late(planned: PlannedMachine, type: TypeInfo): Boolean =
-        input.now - planned.hiredAt > type.boot * input.lateBoot
+        input.now - planned.hiredAt > type.bootTime * input.lateBoot
 
     private fun allowed(spec: JobSpec, market: Market, zones: Map<Zone, Int>): Boolean =
         spec.mayUse(market.type, market.zone, market.spot) && spec.zoneAllows(zones, market.zone)
@@ -242,7 +242,7 @@
             val type = input.catalog.types[planned.machine.type]
             val use = planned.use
             if (use == null) {
-                val boot = type?.boot ?: continue
+                val boot = type?.bootTime ?: continue
                 if (input.now - planned.hiredAt >
                     boot * input.hopelessBoot + HOPELESS_MARGIN
                 ) {
@@ -296,9 +296,9 @@
         val surplusBoots = if (idle.size < standBy) emptyList() else surplusBoots()
         return surplusBoots + idle.filterIndexed { n, planned ->
             val patience = when {
-                n >= standBy -> policy.returnSurplusAfter
-                planned.machine.spot -> policy.returnSpotAfter
-                else -> policy.returnAfter
+                n >= standBy -> policy.terminateSurplusAfter
+                planned.machine.spot -> policy.terminateIdleSpotAfter
+                else -> policy.terminateIdleAfter
             }
             (planned.use?.idle ?: Duration.ZERO) > patience && input.now - planned.hiredAt > LEAST_CHARGED
         }.map { it.machine.id }
@@ -328,7 +328,7 @@
 
         /** How many tasks of a shape arrive while a machine boots. */
         public fun arrivingTasks(type: TypeInfo, arrivalsPerS: Double, policy: FleetPolicy): Double =
-            arrivalsPerS * (type.boot + policy.headroom).inWholeMilliseconds / MS
+            arrivalsPerS * (type.bootTime + policy.headroom).inWholeMilliseconds / MS
 
         /** How many tasks of a shape the loss of a machine would strand. */
         public fun strandedTasks(spec: JobSpec, type: TypeInfo, policy: FleetPolicy): Double =
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningActor.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningActor.kt
@@ -186,7 +186,7 @@
         val leadership = currentLeadership() ?: return
         val machine = held[id] ?: return
         val intent = intents[machine.intent] ?: return
-        val boot = catalog.types[machine.machine.type]?.boot
+        val boot = catalog.types[machine.machine.type]?.bootTime
         if (machine.hiredHere &&
             !machine.cameUp &&
             boot != null &&
@@ -371,7 +371,7 @@
                 FleetMessage.ProvisioningCompleted(
                     leadership.term,
                     intent.name,
-                    cloud.hire(intent.name, intent.market, intent.count) {
+                    cloud.provision(intent.name, intent.market, intent.count) {
                         ports.entitled(leadership)
                     },
                 ),
@@ -386,7 +386,7 @@
         intent.busy = false
         intent.requesting = false
         when (val outcome = message.outcome) {
-            is ProvisioningOutcome.Hired -> {
+            is ProvisioningOutcome.Provisioned -> {
                 log.info(
                     "hired name={} market={} asked={} got={}",
                     intent.name,
--- a/src/main/kotlin/org/elderhitch/fleet/TerminationQueue.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/TerminationQueue.kt
@@ -99,7 +99,7 @@
                     FleetMessage.MachinesTerminated(
                         leadership.term,
                         names,
-                        cloud.release(names) {
+                        cloud.terminate(names) {
                             ports.entitled(leadership)
                         },
                     ),
--- a/src/main/kotlin/org/elderhitch/lab/ColdStartLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/ColdStartLab.kt
@@ -38,7 +38,7 @@
             val ours = play(drawn, FleetPolicy())
             progress("seed=${drawn.seed} ${ours.outcome.verdict} ${Json.text(ours.figures())}")
             // The same start without pacing: by that it is told what pacing costs and spares.
-            ours to play(drawn, FleetPolicy(silentReturnShare = 1.0))
+            ours to play(drawn, FleetPolicy(suspectedTerminationShare = 1.0))
         }
         val ours = starts.map { it.first }
         val failed = ours.filter { it.outcome.fails }
--- a/src/main/kotlin/org/elderhitch/scheduler/DemandReporter.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/DemandReporter.kt
@@ -41,7 +41,7 @@
         var yielding = Resources.NONE
         var ending = Resources.NONE
         var serving = Resources.NONE
-        val boot = catalog.types[worker.type]?.boot ?: Duration.ZERO
+        val boot = catalog.types[worker.type]?.bootTime ?: Duration.ZERO
         for (p in worker.placements.values) {
             val job = table.jobs[p.task.job] ?: continue
             busy += job.spec.need
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -79,7 +79,7 @@
     wallClock: WallClock,
     rules: ClassRules = ClassRules.NONE,
     private val onCycle: (looks: Long) -> Unit = {},
-    silentReturnShare: Double = FleetPolicy().silentReturnShare,
+    suspectedTerminationShare: Double = FleetPolicy().suspectedTerminationShare,
     /** The part of a core that this node has. */
     cpuShare: Double = 1.0,
     keeps: (JobId) -> JobEvent.Opened? = { null },
@@ -110,7 +110,7 @@
             events,
             ports,
             delegates,
-            silentReturnShare,
+            suspectedTerminationShare,
         )
     private val consolidation = Consolidation(table)
     private val cycleInputBuilder = CycleInputBuilder(table, faults, teams, objectives)
--- a/src/main/kotlin/org/elderhitch/settings/PolicyScript.kt
+++ b/src/main/kotlin/org/elderhitch/settings/PolicyScript.kt
@@ -18,10 +18,10 @@
     private val numbers = mapOf(
         "headroom_s" to Key(0.0, 600.0) { p, v -> p.copy(headroom = v.seconds) },
         "spare_machines" to Key(0.0, 20.0) { p, v -> p.copy(spareMachines = v) },
-        "return_after_s" to Key(0.0, 3600.0) { p, v -> p.copy(returnAfter = v.seconds) },
-        "return_surplus_after_s" to Key(0.0, 3600.0) { p, v -> p.copy(returnSurplusAfter = v.seconds) },
-        "return_spot_after_s" to Key(0.0, 3600.0) { p, v -> p.copy(returnSpotAfter = v.seconds) },
-        "silent_return_share" to Key(0.01, 1.0) { p, v -> p.copy(silentReturnShare = v) },
+        "return_after_s" to Key(0.0, 3600.0) { p, v -> p.copy(terminateIdleAfter = v.seconds) },
+        "return_surplus_after_s" to Key(0.0, 3600.0) { p, v -> p.copy(terminateSurplusAfter = v.seconds) },
+        "return_spot_after_s" to Key(0.0, 3600.0) { p, v -> p.copy(terminateIdleSpotAfter = v.seconds) },
+        "silent_return_share" to Key(0.01, 1.0) { p, v -> p.copy(suspectedTerminationShare = v) },
     )
     private const val USE_SPOT = "use_spot"
 
--- a/src/main/kotlin/org/elderhitch/tasks/MachineRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/MachineRegistry.kt
@@ -62,7 +62,7 @@
         val since = rentedAt[machine.id]
         return machine.id !in mayRun &&
             since != null &&
-            catalog.types[machine.type].let { it != null && now - since < it.boot * LATE_BOOT }
+            catalog.types[machine.type].let { it != null && now - since < it.bootTime * LATE_BOOT }
     }
 
     private companion object {
--- a/src/test/kotlin/org/elderhitch/fleet/CloudCallSchedulerTest.kt
+++ b/src/test/kotlin/org/elderhitch/fleet/CloudCallSchedulerTest.kt
@@ -37,7 +37,7 @@
                 if (random.nextDouble() < 0.4) {
                     val silent = List(random.nextInt(1, 6)) { id(named++) }
                     silent.forEach { waitingSince[it] = now }
-                    turns.wantReturned(silent, TerminationReason.SILENT)
+                    turns.wantReturned(silent, TerminationReason.SUSPECTED)
                 }
                 while (out.isNotEmpty() && out.first() <= now) {
                     out.removeFirst()
@@ -74,10 +74,10 @@
     @Test
     fun `a machine that speaks is spared only while its return for silence waits`() {
         val turns = CloudCallScheduler(1.0)
-        turns.wantReturned(listOf(id(1)), TerminationReason.SILENT)
+        turns.wantReturned(listOf(id(1)), TerminationReason.SUSPECTED)
         assertEquals(setOf(id(1)), turns.returns(begin).keys)
         assertFalse(turns.spare(id(1)), "it is under way")
-        turns.wantReturned(listOf(id(2), id(3)), TerminationReason.UNHEARD)
+        turns.wantReturned(listOf(id(2), id(3)), TerminationReason.NEVER_SEEN)
         turns.wantReturned(listOf(id(4)), TerminationReason.IDLE)
         assertTrue(turns.spare(id(2)))
         assertFalse(turns.spare(id(4)))
@@ -89,7 +89,7 @@
     @Test
     fun `a hundred machines go into one request and the next waits for its turn`() {
         val turns = CloudCallScheduler(1.0)
-        turns.wantReturned((1..250).map(::id), TerminationReason.SILENT)
+        turns.wantReturned((1..250).map(::id), TerminationReason.SUSPECTED)
         assertEquals(listOf(100, 0, 0, 100, 50), listOf(0, 1, 1, 2, 4).map { turns.returns(begin + it.seconds).size })
     }
 
--- a/src/test/kotlin/org/elderhitch/fleet/CloudClientTest.kt
+++ b/src/test/kotlin/org/elderhitch/fleet/CloudClientTest.kt
@@ -50,10 +50,10 @@
         val cloud = CloudClient(transport, Address("cloud:1"), RequestRateLimiter(clock, 1.0))
         val entitled = { currentTime < 500 }
         val market = Market(MachineType("g8"), Zone("a"), false)
-        assertTrue(cloud.release(listOf(MachineId("m1")), entitled))
-        assertFalse(cloud.release(listOf(MachineId("m1")), entitled), "its turn comes after a second")
-        assertEquals(ProvisioningOutcome.Unknown, cloud.hire("r-1-0", market, 1, entitled))
+        assertTrue(cloud.terminate(listOf(MachineId("m1")), entitled))
+        assertFalse(cloud.terminate(listOf(MachineId("m1")), entitled), "its turn comes after a second")
+        assertEquals(ProvisioningOutcome.Unknown, cloud.provision("r-1-0", market, 1, entitled))
         assertEquals(listOf("/machines/release"), sent)
-        assertEquals(ProvisioningOutcome.Hired(listOf(MachineId("m1"))), cloud.hire("r-1-0", market, 1) { true })
+        assertEquals(ProvisioningOutcome.Provisioned(listOf(MachineId("m1"))), cloud.provision("r-1-0", market, 1) { true })
     }
 }
--- a/src/test/kotlin/org/elderhitch/golden/GoldenServicesWireTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenServicesWireTest.kt
@@ -105,7 +105,7 @@
     @Test
     fun `machines are rented`() = runTest {
         val service = Service(sample("machines-hired"))
-        val hired = assertIs<ProvisioningOutcome.Hired>(service.cloud.hire("r-9-4", market, 7) { true })
+        val hired = assertIs<ProvisioningOutcome.Provisioned>(service.cloud.provision("r-9-4", market, 7) { true })
         assertEquals(listOf("host-000301", "host-000302"), hired.machines.map { it.text })
         assertEquals(listOf("POST /machines " + GoldenFiles.text("wire/machines-hire.json")), service.sent)
         val outcomes = listOf(
@@ -115,16 +115,16 @@
             answer(429, "{}") to ProvisioningOutcome.Unknown,
             answer(200, "{\"stalls\":[\"host-0") to ProvisioningOutcome.Unknown,
             answer(200, "{\"stalls\":[7]}") to ProvisioningOutcome.Unknown,
-            answer(200, "{\"later\":1}") to ProvisioningOutcome.Hired(emptyList()),
+            answer(200, "{\"later\":1}") to ProvisioningOutcome.Provisioned(emptyList()),
         )
-        for ((said, outcome) in outcomes) assertEquals(outcome, Service(said).cloud.hire("r-9-4", market, 7) { true })
+        for ((said, outcome) in outcomes) assertEquals(outcome, Service(said).cloud.provision("r-9-4", market, 7) { true })
     }
 
     @Test
     fun `machines are released`() = runTest {
         val service = Service(answer(200, "{}"), answer(503, "{}"))
         val machines = listOf(MachineId("host-000301"), MachineId("host-000302"))
-        assertEquals(listOf(true, false), List(2) { service.cloud.release(machines) { true } })
+        assertEquals(listOf(true, false), List(2) { service.cloud.terminate(machines) { true } })
         val request = "POST /machines/release " + GoldenFiles.text("wire/machines-release.json")
         assertEquals(listOf(request, request), service.sent)
     }
--- a/src/test/kotlin/org/elderhitch/golden/GoldenSettingsTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenSettingsTest.kt
@@ -22,7 +22,7 @@
     private val features = File(assertNotNull(javaClass.getResource("/golden/settings/features-full.lua")).toURI())
 
     private fun times(policy: FleetPolicy) =
-        listOf(policy.headroom, policy.returnAfter, policy.returnSurplusAfter, policy.returnSpotAfter)
+        listOf(policy.headroom, policy.terminateIdleAfter, policy.terminateSurplusAfter, policy.terminateIdleSpotAfter)
 
     @Test
     fun `settings with every field are read`() {
@@ -74,12 +74,12 @@
     fun `a policy with every key is read, and one with none is the default`() {
         val read = PolicyScript.parse("policy.lua", GoldenFiles.text("settings/policy-full.lua"))
         assertEquals(listOf(15, 90, 12, 120).map { it.seconds }, times(read))
-        assertEquals(listOf(2.5, 0.4), listOf(read.spareMachines, read.silentReturnShare))
+        assertEquals(listOf(2.5, 0.4), listOf(read.spareMachines, read.suspectedTerminationShare))
         assertEquals(false, read.useSpot)
         val least = PolicyScript.parse("policy.lua", GoldenFiles.text("settings/policy-least.lua"))
         assertEquals(FleetPolicy(), least)
         assertEquals(listOf(30, 45, 10, 60).map { it.seconds }, times(least))
-        assertEquals(listOf(1.0, 0.25), listOf(least.spareMachines, least.silentReturnShare))
+        assertEquals(listOf(1.0, 0.25), listOf(least.spareMachines, least.suspectedTerminationShare))
         assertEquals(true, least.useSpot)
     }
 
--- a/src/test/kotlin/org/elderhitch/golden/GoldenStoreTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenStoreTest.kt
@@ -495,7 +495,7 @@
         val g8 = types.first()
         assertEquals(listOf(8.0, 1.0, 64.0), listOf(g8.resources.cpus, g8.resources.gpus, g8.resources.memoryGb))
         assertEquals(listOf(200.0, 0.25, 2.5, 0.75), listOf(g8.cacheGb, g8.fetchGbPerS, g8.price, g8.spotPrice))
-        assertEquals(41.5.seconds, g8.boot)
+        assertEquals(41.5.seconds, g8.bootTime)
         assertEquals(listOf("north", "south"), g8.zones.map { it.name })
         val node = Node(this)
         node.counter(stored("term"))
@@ -517,7 +517,7 @@
     fun `machine types of an earlier version read with the defaults`() {
         val (g8, c2) = stored("types-earlier").objects("rigs").map(CatalogCodec::decode)
         assertEquals(listOf(0.0, 1.0, 2.5, 2.5), listOf(g8.cacheGb, g8.fetchGbPerS, g8.price, g8.spotPrice))
-        assertEquals(Duration.ZERO, g8.boot)
+        assertEquals(Duration.ZERO, g8.bootTime)
         assertEquals(emptyList(), g8.zones)
         assertEquals(stored("types-full").objects("rigs").last().text(), Json.text(CatalogCodec.encode(c2)))
     }
