--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -105,7 +105,7 @@
             settings.stateLimits.txnOps,
         ),
         jobRegistry, WorkerClient(transport), leadership, ::featureSet,
-        settings.stateLimits.valueBytes, ::entitled, ::cutOff, { provisioning }, { scheduler.tell(it) },
+        settings.stateLimits.valueBytes, ::entitled, ::isCutOffFrom, { provisioning }, { scheduler.tell(it) },
     )
     private val scheduler: SchedulerActor =
         SchedulerActor(
@@ -149,15 +149,15 @@
     private val leaderDesk: LeaderRpcHandler =
         LeaderRpcHandler(scheduler, {
             leadership.leadershipState.value
-        }) { leader, path, body, timeout -> cluster.atLeader(leader, path, body, timeout) }
+        }) { leader, path, body, timeout -> cluster.callLeader(leader, path, body, timeout) }
     private val jobService = JobService(
         jobRegistry, stateWatch, client, settings.teams, {
             catalog.canEverRun(it)
         }, settings.stateLimits.valueBytes, wallClock,
         {
             leaderDesk.account(it.id)
-        }, features.rules, Admission(bound) { cluster.leastBound() }, { featureSet().jobProvider(it) },
-        { id, record -> cluster.tellEnded(id, record) },
+        }, features.rules, Admission(bound) { cluster.smallestPeerLimit() }, { featureSet().jobProvider(it) },
+        { id, record -> cluster.broadcastTerminalState(id, record) },
     )
     private val cluster: Cluster =
         Cluster(scope, settings.node, incarnation, settings.peers, transport, clock, clusterPorts())
@@ -174,7 +174,7 @@
         },
     )
     private val edge: RequestRouter =
-        RequestRouter(jobService, scheduler, cluster, ::reachesState, {
+        RequestRouter(jobService, scheduler, cluster, ::reachesStateService, {
             stateWatch.loaded
         }, metrics, this.features, leaderDesk, ::status)
 
@@ -196,7 +196,7 @@
         cluster.start()
         metrics.gauge("jobs.running_tasks") { wiring.running.values.sum() }
         metrics.gauge("jobs.open_bytes") { jobRegistry.footprint.bytes }
-        metrics.gauge("jobs.most_bytes") { (cluster.leastBound() ?: bound).bytes }
+        metrics.gauge("jobs.most_bytes") { (cluster.smallestPeerLimit() ?: bound).bytes }
         metrics.gauge("term") { (leadership.leadershipState.value as? LeadershipState.Leader)?.term?.number ?: 0 }
     }
 
@@ -208,7 +208,7 @@
     private fun share(whole: Double, part: Double): Double =
         if (settings.peers.isEmpty()) whole * USABLE else whole * USABLE * part
 
-    private fun reachesState(): Boolean = !failing && clock.now() - lastContact < CONTACT_FRESH
+    private fun reachesStateService(): Boolean = !failing && clock.now() - lastContact < CONTACT_FRESH
 
     /**
      * The leader is not heard, and neither is any other node of its zone, or the state service. Two zones that can't
@@ -216,14 +216,14 @@
      * service: the workers of the one without the leader were refused by its nodes, and all that ran there ended with
      * their leases (566 tasks of a drawn day).
      * Where nothing changes the state service says nothing for long, and half of the workers' lease could be
-     * over before [reachesState] notices that it is gone: it is asked.
+     * over before [reachesStateService] notices that it is gone: it is asked.
      */
-    private fun cutOff(leader: NodeName): Boolean {
-        if (cluster.hears(leader)) return false
+    private fun isCutOffFrom(leader: NodeName): Boolean {
+        if (cluster.hasRecentHeartbeat(leader)) return false
         val its = settings.nodeZones[leader]
         if (its != null &&
             its != settings.zone &&
-            settings.nodeZones.none { (node, zone) -> zone == its && cluster.hears(node) }
+            settings.nodeZones.none { (node, zone) -> zone == its && cluster.hasRecentHeartbeat(node) }
         ) {
             return true
         }
@@ -253,7 +253,7 @@
 
     /** A term starts to act once all that was recorded before its claim is known here. */
     private fun complete(leader: LeadershipState.Leader) {
-        cluster.checkFormer()
+        cluster.checkPreviousLeaders()
         scope.launch {
             while (!stateWatch.sync() || !featureSet().prepare()) {
                 delay(SYNC_RETRY)
@@ -271,7 +271,7 @@
      */
     private suspend fun prove(leader: LeadershipState.Leader) {
         while ((leadership.leadershipState.value as? LeadershipState.Leader)?.term == leader.term) {
-            delay(if (stateWatch.prove()) times.renewEvery else PROVE_RETRY)
+            delay(if (stateWatch.prove()) times.renewInterval else PROVE_RETRY)
         }
     }
 
@@ -308,33 +308,33 @@
     private fun clusterPorts(): ClusterPorts = object : ClusterPorts {
         override fun leadershipState(): LeadershipState = leadership.leadershipState.value
 
-        override fun reachesState(): Boolean = this@Controller.reachesState()
+        override fun reachesStateService(): Boolean = this@Controller.reachesStateService()
 
-        override fun running(): Map<JobId, Int> = wiring.running
+        override fun runningTasks(): Map<JobId, Int> = wiring.running
 
-        override fun bound(): Footprint = bound
+        override fun openJobsLimit(): Footprint = bound
 
-        override fun termSeen(term: Term) = leadership.tell(LeadershipMessage.TermObserved(term))
+        override fun observeTerm(term: Term) = leadership.tell(LeadershipMessage.TermObserved(term))
 
         override fun previousLeaderEnded(term: Term) = scheduler.tell(SchedulerMessage.PreviousLeaderEnded(term))
 
         override fun previousLeadersStopped(term: Term) = scheduler.tell(SchedulerMessage.PreviousLeadersStopped(term))
 
-        override suspend fun nameDelegate(node: NodeName): DelegationOffer? = leaderDesk.nameDelegate(node)
+        override suspend fun grantDelegation(node: NodeName): DelegationOffer? = leaderDesk.grantDelegation(node)
 
-        override fun delegateNamed(grant: DelegationGrant) = scheduler.tell(SchedulerMessage.DelegationGranted(grant))
+        override fun delegationGranted(grant: DelegationGrant) = scheduler.tell(SchedulerMessage.DelegationGranted(grant))
 
-        override val longestGrant: Duration = times.window + times.hold
+        override val longestDelegation: Duration = times.commandWindow + times.answerGracePeriod
 
-        override fun ended(endings: Map<JobId, TerminalRecord>) = endings.forEach { (id, record) ->
+        override fun receiveTerminalStates(endings: Map<JobId, TerminalRecord>) = endings.forEach { (id, record) ->
             jobRegistry.tell(JobMessage.TerminalStateReceived(id, record))
         }
 
-        override fun leaderCounts(counts: Map<JobId, Int>) = jobRegistry.tell(JobMessage.RunningCounts(counts))
+        override fun receiveRunningCounts(counts: Map<JobId, Int>) = jobRegistry.tell(JobMessage.RunningCounts(counts))
 
-        override suspend fun serve(request: Request): Response = edge.serveHere(request)
+        override suspend fun serveUserRequest(request: Request): Response = edge.serveHere(request)
 
-        override suspend fun lead(request: Request): Response = leaderDesk.handle(request)
+        override suspend fun serveLeaderRequest(request: Request): Response = leaderDesk.handle(request)
     }
 
     private fun status(): Map<String, Any?> {
@@ -353,7 +353,7 @@
                 } else {
                     (leadershipState as LeadershipState.Follower).term.number
                 },
-            "reaches_state" to reachesState(),
+            "reaches_state" to reachesStateService(),
             "features" to features.status(),
             "orders" to mapOf("workers" to wiring.ordered, "cloud" to orderedOfCloud),
             "meters" to metrics.read(),
--- a/src/main/kotlin/org/elderhitch/app/LeaderRpcHandler.kt
+++ b/src/main/kotlin/org/elderhitch/app/LeaderRpcHandler.kt
@@ -70,7 +70,7 @@
     public suspend fun survey(): Map<TaskId, MachineId>? = here { SchedulerMessage.GetPlacements(it) }
 
     /** Null: not now, or this node doesn't lead. */
-    public suspend fun nameDelegate(node: NodeName): DelegationOffer? =
+    public suspend fun grantDelegation(node: NodeName): DelegationOffer? =
         here { SchedulerMessage.RequestDelegation(node, it) }
 
     /** Open jobs that failed wherever they were tried; null: no leader answers. */
--- a/src/main/kotlin/org/elderhitch/app/RequestRouter.kt
+++ b/src/main/kotlin/org/elderhitch/app/RequestRouter.kt
@@ -72,7 +72,7 @@
         return when (val answer = reply.await()) {
             is HeartbeatResponse.Accepted -> Response(OK, HeartbeatCodec.encode(answer.term, answer.commands))
 
-            is HeartbeatResponse.Redirect -> answer.leader?.takeIf(cluster::hears)?.let {
+            is HeartbeatResponse.Redirect -> answer.leader?.takeIf(cluster::hasRecentHeartbeat)?.let {
                 Response(MISDIRECTED, Json.bytes(mapOf("auctioneer" to it.text)))
             }
                 ?: HttpServer.refusal(BUSY, "no leader known here", RETRY)
--- a/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
+++ b/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
@@ -46,7 +46,7 @@
     private val features: () -> FeatureSet,
     private val valueBytes: Int,
     private val entitled: (LeadershipState.Leader) -> Boolean,
-    private val cutOff: (NodeName) -> Boolean,
+    private val isCutOffFrom: (NodeName) -> Boolean,
     private val provisioning: () -> ProvisioningActor,
     private val tell: (SchedulerMessage) -> Unit,
 ) : SchedulerPorts {
@@ -133,7 +133,7 @@
         lastHint = value
         scope.launch {
             client.commit(
-                listOf(Condition(Keys.TERM, leadershipState.counter)),
+                listOf(Condition(Keys.TERM, leadershipState.termRevision)),
                 listOf(Write.Put(Keys.IMAGES, value)),
                 RequestPriority.OTHER,
             )
@@ -168,7 +168,7 @@
         }
     }
 
-    override fun cutOff(leader: NodeName): Boolean = cutOff.invoke(leader)
+    override fun isCutOffFrom(leader: NodeName): Boolean = isCutOffFrom.invoke(leader)
 
     override fun running(counts: Map<JobId, Int>) {
         running = counts
--- a/src/main/kotlin/org/elderhitch/cluster/Cluster.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/Cluster.kt
@@ -67,15 +67,15 @@
             is LeadershipState.Leader -> leadershipState.term
             is LeadershipState.Follower -> leadershipState.term
         }
-        val running = if (leading) ports.running().entries.associate { it.key.text to it.value } else emptyMap()
+        val running = if (leading) ports.runningTasks().entries.associate { it.key.text to it.value } else emptyMap()
         return PeerHeartbeat(
             self.text,
             incarnation.text,
             term.number,
             leading,
-            ports.reachesState(),
+            ports.reachesStateService(),
             running,
-            ports.bound().bytes,
+            ports.openJobsLimit().bytes,
         )
     }
 
@@ -95,7 +95,7 @@
     /** Counted from when it was asked for: the leader counts from when it answered, and so not shorter. */
     private fun named(leader: NodeName, hello: PeerHeartbeat, asked: MonotonicInstant) {
         val span = hello.delegateMs.milliseconds
-        if (hello.node != leader.text || !hello.leading || !span.isPositive() || span > ports.longestGrant) {
+        if (hello.node != leader.text || !hello.leading || !span.isPositive() || span > ports.longestDelegation) {
             log.info(
                 "lease delegate ignored by={} says={} leading={} for_ms={}",
                 leader,
@@ -105,7 +105,7 @@
             )
             return
         }
-        ports.delegateNamed(DelegationGrant(Term(hello.term), leader, asked + span.shortened()))
+        ports.delegationGranted(DelegationGrant(Term(hello.term), leader, asked + span.shortened()))
     }
 
     /** [asked]: when the question was sent that this answers; null: the node spoke by itself. */
@@ -120,20 +120,20 @@
         state.heard = clock.now()
         // Kept when it falls silent: it must be able to start again on all that is accepted meanwhile.
         if (hello.bound > 0) state.bound = Footprint(hello.bound)
-        ports.termSeen(Term(hello.term))
+        ports.observeTerm(Term(hello.term))
         if (hello.leading) {
-            ports.leaderCounts(
+            ports.receiveRunningCounts(
                 hello.running.mapNotNull { (id, n) ->
                     JobId.parse(id)?.let { it to n }
                 }.toMap(),
             )
         }
         previousLeaders.heard(node, Incarnation(hello.run), Term(hello.term), asked)
-        checkFormer()
+        checkPreviousLeaders()
     }
 
     /** As a new leader: whether all that answered workers in the name of earlier terms has stopped. */
-    public fun checkFormer() {
+    public fun checkPreviousLeaders() {
         val leading = ports.leadershipState() as? LeadershipState.Leader ?: return
         if (previousLeaders.previousLeaderEnded(leading)) ports.previousLeaderEnded(leading.term)
         if (previousLeaders.allStopped(leading)) ports.previousLeadersStopped(leading.term)
@@ -146,7 +146,7 @@
                 HttpServer.refusal(BAD, "no hello")
             } else {
                 heard(hello, asked = null)
-                val named = NodeName(hello.node).takeIf { it in states }?.let { ports.nameDelegate(it) }
+                val named = NodeName(hello.node).takeIf { it in states }?.let { ports.grantDelegation(it) }
                 // Read after the wait: whoever lost the lead meanwhile names nobody.
                 val own = hello()
                 val mine = named?.takeIf { own.leading && own.term == it.term.number }
@@ -173,15 +173,15 @@
                 }
 
                 else -> {
-                    ports.ended(endings.heard(news))
+                    ports.receiveTerminalStates(endings.heard(news))
                     binary(ByteArray(0))
                 }
             }
         }
 
-        "/cluster/forward" -> handedOn(request) { ports.serve(it) }
+        "/cluster/forward" -> handedOn(request) { ports.serveUserRequest(it) }
 
-        "/cluster/lead" -> handedOn(request) { ports.lead(it) }
+        "/cluster/lead" -> handedOn(request) { ports.serveLeaderRequest(it) }
 
         else -> HttpServer.refusal(NOT_FOUND, "no such path")
     }
@@ -210,13 +210,13 @@
     }
 
     /** A withdrawal has been recorded here. */
-    public fun tellEnded(id: JobId, record: TerminalRecord): Unit = endings.tell(id, record)
+    public fun broadcastTerminalState(id: JobId, record: TerminalRecord): Unit = endings.tell(id, record)
 
     /** The least that any other controller said that it can hold; null: none has said. */
-    public fun leastBound(): Footprint? = states.values.mapNotNull { it.bound }.minOrNull()
+    public fun smallestPeerLimit(): Footprint? = states.values.mapNotNull { it.bound }.minOrNull()
 
     /** A question to the node that leads; null: it doesn't answer. */
-    public suspend fun atLeader(leader: NodeName, path: String, body: ByteArray, timeout: Duration): Response? {
+    public suspend fun callLeader(leader: NodeName, path: String, body: ByteArray, timeout: Duration): Response? {
         val state = states[leader] ?: return null
         return handOn(state, "/cluster/lead", Request("POST", path, emptyMap(), body), timeout)
     }
@@ -236,7 +236,7 @@
      * Whether the node has been heard of late. A worker sent to one that is cut off would wait there for its lease to
      * end.
      */
-    public fun hears(node: NodeName): Boolean = states[node]?.let { clock.now() - it.heard < LATELY } ?: false
+    public fun hasRecentHeartbeat(node: NodeName): Boolean = states[node]?.let { clock.now() - it.heard < LATELY } ?: false
 
     /** Has a controller that reaches the state service answer; null: none does. */
     public suspend fun forward(request: Request): Response? {
--- a/src/main/kotlin/org/elderhitch/cluster/ClusterPorts.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/ClusterPorts.kt
@@ -16,13 +16,13 @@
 public interface ClusterPorts {
     public fun leadershipState(): LeadershipState
 
-    public fun reachesState(): Boolean
+    public fun reachesStateService(): Boolean
 
-    public fun running(): Map<JobId, Int>
+    public fun runningTasks(): Map<JobId, Int>
 
-    public fun bound(): Footprint
+    public fun openJobsLimit(): Footprint
 
-    public fun termSeen(term: Term)
+    public fun observeTerm(term: Term)
 
     public fun previousLeadersStopped(term: Term)
 
@@ -30,22 +30,22 @@
     public fun previousLeaderEnded(term: Term)
 
     /** As the leader: for how long from now the node may answer as lease delegate; null: not named now. */
-    public suspend fun nameDelegate(node: NodeName): DelegationOffer?
+    public suspend fun grantDelegation(node: NodeName): DelegationOffer?
 
     /** This node has been named. */
-    public fun delegateNamed(grant: DelegationGrant)
+    public fun delegationGranted(grant: DelegationGrant)
 
     /** No leader names anybody for longer. */
-    public val longestGrant: Duration
+    public val longestDelegation: Duration
 
     /** Endings that another controller has recorded. */
-    public fun ended(endings: Map<JobId, TerminalRecord>)
+    public fun receiveTerminalStates(endings: Map<JobId, TerminalRecord>)
 
-    public fun leaderCounts(counts: Map<JobId, Int>)
+    public fun receiveRunningCounts(counts: Map<JobId, Int>)
 
     /** Answers a user's request here, whatever it takes, without handing it on. */
-    public suspend fun serve(request: Request): Response
+    public suspend fun serveUserRequest(request: Request): Response
 
     /** Answers what another node asks of the leader. */
-    public suspend fun lead(request: Request): Response
+    public suspend fun serveLeaderRequest(request: Request): Response
 }
--- a/src/main/kotlin/org/elderhitch/delegates/DelegationRules.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/DelegationRules.kt
@@ -57,7 +57,7 @@
         // answers keep its tasks, so they end as early
         // as if nothing were known since.
         val end =
-            minOf(leadership.answerWindowEnd, (standing.oldestEnd ?: MonotonicInstant.FOREVER) + times.answering) -
+            minOf(leadership.answerWindowEnd, (standing.oldestEnd ?: MonotonicInstant.FOREVER) + times.answerWindow) -
                 MARGIN
         if (!mayName(leadership, standing, now) || end <= now) return null
         until.merge(zone, end, ::maxOf)
--- a/src/main/kotlin/org/elderhitch/delegates/ZoneDelegates.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/ZoneDelegates.kt
@@ -6,6 +6,7 @@
 import org.elderhitch.heartbeat.TaskPhase
 import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.leadership.LeadershipTimeouts
+import org.elderhitch.leadership.Term
 import org.elderhitch.recovery.Takeover
 import org.elderhitch.scheduler.SchedulerPorts
 import org.elderhitch.settings.NodeName
@@ -50,22 +51,22 @@
      * By when a lease delegate that this leader doesn't hear may last have answered workers of the zone;
      * [MonotonicInstant.NEVER]: none has been away.
      */
-    fun renewedBy(zone: Zone): MonotonicInstant = renewedBy[zone] ?: MonotonicInstant.NEVER
+    fun latestPossibleRenewal(zone: Zone): MonotonicInstant = renewedBy[zone] ?: MonotonicInstant.NEVER
 
     /** Called once a tick while this node leads. */
-    fun listen(now: MonotonicInstant) {
+    fun recordPossibleRenewals(now: MonotonicInstant) {
         for ((node, zone) in zoneOf) {
             if (node == own || now - (askedAt[node] ?: MonotonicInstant.NEVER) < AWAY) continue
             val may = minOf(now, promises.lastAnswer(zone))
-            if (may > renewedBy(zone)) renewedBy[zone] = may
+            if (may > latestPossibleRenewal(zone)) renewedBy[zone] = may
         }
     }
 
     /** No lease delegate of this term answers a report that leaves a worker of the zone after that. */
-    fun lastAnswer(zone: Zone): MonotonicInstant = promises.lastAnswer(zone)
+    fun delegationEnd(zone: Zone): MonotonicInstant = promises.lastAnswer(zone)
 
     /** A node asks, which the leader has thereby just heard from. Null: it is not named now. */
-    fun name(
+    fun grantDelegation(
         leadership: LeadershipState.Leader,
         node: NodeName,
         tableComplete: Boolean,
@@ -89,18 +90,18 @@
         return ZoneStatus(unheard, its.count { it.strangers.isNotEmpty() }, ended.minOfOrNull { it.endedAfter })
     }
 
-    fun named(grant: DelegationGrant) = delegate.named(grant)
+    fun acceptGrant(grant: DelegationGrant) = delegate.named(grant)
 
-    fun follows(following: LeadershipState.Follower) = delegate.observeTerm(following.term)
+    fun observeTerm(term: Term) = delegate.observeTerm(term)
 
     /** Finds out early whether this node is cut off: a worker that is refused once comes back after half a lease. */
-    fun watch(now: MonotonicInstant) {
-        delegate.grant?.takeIf { now < it.until }?.let { ports.cutOff(it.leader) }
+    fun checkReachability(now: MonotonicInstant) {
+        delegate.grant?.takeIf { now < it.until }?.let { ports.isCutOffFrom(it.leader) }
     }
 
     /** What this node, which doesn't lead, answers to a report; null: it has no say in it. */
-    fun answer(report: Heartbeat, now: MonotonicInstant): HeartbeatResponse? {
-        val term = delegate.answers(report.zone, report.term, ports::cutOff, now)
+    fun respond(report: Heartbeat, now: MonotonicInstant): HeartbeatResponse? {
+        val term = delegate.answers(report.zone, report.term, ports::isCutOffFrom, now)
         if (report.zone == zone && answering != (term != null)) {
             answering = term != null
             if (answering) {
--- a/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
@@ -79,7 +79,7 @@
         closed(leadership)
     }
 
-    private fun guard(leadership: LeadershipState.Leader) = Condition(Keys.TERM, leadership.counter)
+    private fun guard(leadership: LeadershipState.Leader) = Condition(Keys.TERM, leadership.termRevision)
 
     private suspend fun look(leadership: LeadershipState.Leader, session: SessionName, record: SessionRecord) {
         val now = wallClock.now()
--- a/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
+++ b/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
@@ -77,7 +77,7 @@
         usable: (WorkerState) -> Boolean,
     ) {
         val spec = job.spec
-        if (job.version <= leadership.counter && takeover.mayHide(spec, machineRegistry.known, catalog)) {
+        if (job.version <= leadership.termRevision && takeover.mayHide(spec, machineRegistry.known, catalog)) {
             lines.add("waits for a takeover: ${takeover.unheard.size} machines that may run it have not reported yet")
         }
         if (!leadership.maySendCommands(
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
@@ -114,7 +114,7 @@
 
     /** When a report of it was last answered, here or by a lease delegate that is away. */
     private fun renewedBy(worker: WorkerState): MonotonicInstant =
-        maxOf(worker.lastReport, delegates.renewedBy(worker.zone))
+        maxOf(worker.lastReport, delegates.latestPossibleRenewal(worker.zone))
 
     fun isCutOff(zone: Zone): Boolean = zone in cutZones
 
@@ -125,14 +125,14 @@
 
     fun watch(leadership: LeadershipState.Leader, now: MonotonicInstant, known: Map<MachineId, Machine>) {
         if (!leadership.maySendCommands(now)) closedAt = now
-        delegates.listen(now)
+        delegates.recordPossibleRenewals(now)
         val zones = HashMap<Zone, ZoneHealth>()
         for (worker in table.workers.values) {
             val hearing = zones.getOrPut(worker.zone) { ZoneHealth() }
             val quietFor = now - listeningSince(worker, leadership)
             if (quietFor > suspectAfter) hearing.silent++ else hearing.heard++
             if (quietFor > overdueAfter) hearing.overdue++
-            if (worker.outlived(now, leases, delegates.lastAnswer(worker.zone)) && worker.placements.isNotEmpty()) {
+            if (worker.outlived(now, leases, delegates.delegationEnd(worker.zone)) && worker.placements.isNotEmpty()) {
                 events.info("lease over", worker.id) {
                     "worker settled machine=${worker.id} by=lease tasks=${worker.placements.size}"
                 }
--- a/src/main/kotlin/org/elderhitch/fleet/CatalogRefresher.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CatalogRefresher.kt
@@ -81,7 +81,7 @@
         }
         kept =
             store.commit(
-                listOf(Condition(Keys.TERM, leadership.counter)),
+                listOf(Condition(Keys.TERM, leadership.termRevision)),
                 listOf(Write.Put(Keys.TYPES, value)),
                 RequestPriority.OTHER,
             ) is
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntentStore.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntentStore.kt
@@ -95,7 +95,7 @@
         working.remove(intent.name)
         scope.launch {
             store.commit(
-                listOf(Condition(Keys.TERM, leadership.counter)),
+                listOf(Condition(Keys.TERM, leadership.termRevision)),
                 listOf(Write.Drop(Keys.provisioningIntent(intent.name))),
                 RequestPriority.OTHER,
                 WRITE_PATIENCE,
@@ -145,7 +145,7 @@
                 // over a newer one that
                 // said which machines were up; the next term took those for booting and started their tasks elsewhere.
                 val outcome = store.commit(
-                    listOf(Condition(Keys.TERM, leadership.counter), Condition(key, intent.version)),
+                    listOf(Condition(Keys.TERM, leadership.termRevision), Condition(key, intent.version)),
                     listOf(Write.Put(key, value)),
                     RequestPriority.END,
                     WRITE_PATIENCE,
--- a/src/main/kotlin/org/elderhitch/heartbeat/LeaseTimeouts.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/LeaseTimeouts.kt
@@ -24,7 +24,7 @@
      * it kept alive is over.
      */
     fun overAfterClaim(claimed: MonotonicInstant, times: LeadershipTimeouts): MonotonicInstant =
-        claimed + (times.window + times.hold + lease).stretched() + MARGIN
+        claimed + (times.commandWindow + times.answerGracePeriod + lease).stretched() + MARGIN
 
     /** Whether leases that end at [end] do so within one lease's time. */
     fun endSoon(end: MonotonicInstant, now: MonotonicInstant): Boolean = end - now < lease
--- a/src/main/kotlin/org/elderhitch/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/CompletionWriter.kt
@@ -68,7 +68,7 @@
 
     private suspend fun commit(leadership: LeadershipState.Leader, items: List<CompletionWrite>): CommitOutcome =
         client.commit(
-            listOf(Condition(Keys.TERM, leadership.counter)) + items.flatMap { it.conditions }.distinct(),
+            listOf(Condition(Keys.TERM, leadership.termRevision)) + items.flatMap { it.conditions }.distinct(),
             items.flatMap { it.writes },
             if (items.any { it.ending != null }) RequestPriority.END else RequestPriority.PROGRESS,
         )
@@ -114,7 +114,7 @@
     ): CommitOutcome {
         val conditions =
             listOf(
-                Condition(Keys.TERM, leadership.counter),
+                Condition(Keys.TERM, leadership.termRevision),
                 Condition(Keys.job(job), version),
                 Condition(Keys.hold(job), before),
             )
@@ -143,7 +143,7 @@
     /** A hold that was recorded while its job ended keeps nothing any more. */
     public suspend fun forgetHold(leadership: LeadershipState.Leader, job: JobId) {
         client.commit(
-            listOf(Condition(Keys.TERM, leadership.counter), Condition(Keys.job(job), Revision.ABSENT)),
+            listOf(Condition(Keys.TERM, leadership.termRevision), Condition(Keys.job(job), Revision.ABSENT)),
             listOf(Write.Drop(Keys.hold(job))),
             RequestPriority.OTHER,
         )
@@ -153,7 +153,7 @@
     public suspend fun forget(leadership: LeadershipState.Leader, job: JobId, blocks: Collection<Int>) {
         for (chunk in blocks.chunked(txnOps)) {
             client.commit(
-                listOf(Condition(Keys.TERM, leadership.counter), Condition(Keys.job(job), Revision.ABSENT)),
+                listOf(Condition(Keys.TERM, leadership.termRevision), Condition(Keys.job(job), Revision.ABSENT)),
                 chunk.map { Write.Drop(Keys.finished(job, it)) },
                 RequestPriority.OTHER,
             )
--- a/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
@@ -172,7 +172,7 @@
         val previousLeader = counter?.let(::formerLeader)
         val term = Term(before.number + 1)
         val sent = clock.now()
-        val lease = (client.grant(times.window) as? LeaseOutcome.Held)?.lease ?: return
+        val lease = (client.grant(times.commandWindow) as? LeaseOutcome.Held)?.lease ?: return
         val nonce = random.nextLong().toULong().toString(RADIX)
         val record = linkedMapOf("n" to term.number, "node" to node.text, "run" to incarnation.text, "claim" to nonce)
         val outcome = client.commit(
@@ -222,7 +222,7 @@
         highestSeen = term
         log.info("term begins term={} node={} former={}", term, node, previousLeader?.node ?: "none")
         renewed = sent
-        val rights = times.rights(renewed, proven)
+        val rights = times.capabilities(renewed, proven)
         state.value =
             LeadershipState.Leader(
                 term,
@@ -239,13 +239,13 @@
     /** What a leader may do, anew from both proofs. */
     private fun entitle() {
         val leadership = state.value as? LeadershipState.Leader ?: return
-        val rights = times.rights(renewed, proven)
+        val rights = times.capabilities(renewed, proven)
         state.value =
             leadership.copy(commandWindowEnd = rights.commandWindowEnd, answerWindowEnd = rights.answerWindowEnd)
     }
 
     private suspend fun renew(term: Term, lease: LeaseId) {
-        var pause = times.renewEvery
+        var pause = times.renewInterval
         while (true) {
             delay(pause)
             if ((state.value as? LeadershipState.Leader)?.term != term) return
@@ -261,11 +261,11 @@
                     // It holds the lease, so nobody else can lead; and without knowing what is recorded it may do
                     // nothing itself.
                     if (sent - maxOf(proven, leadership.claimedAt) >
-                        times.window * UNKNOWING_WINDOWS
+                        times.commandWindow * UNKNOWING_WINDOWS
                     ) {
                         tell(LeadershipMessage.Resign("nothing heard of what is recorded"))
                     }
-                    pause = times.renewEvery
+                    pause = times.renewInterval
                 }
 
                 LeaseOutcome.Gone -> {
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipState.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipState.kt
@@ -12,7 +12,7 @@
     public data class Leader(
         val term: Term,
         /** Version of the counter at the claim: the condition of each of the leader's writes. */
-        val counter: Revision,
+        val termRevision: Revision,
         val lease: LeaseId,
         /** Until then commands may be sent. */
         val commandWindowEnd: MonotonicInstant,
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipTimeouts.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipTimeouts.kt
@@ -12,17 +12,17 @@
      * How long after a renewal, and a proof of all that is recorded, was sent the leader may command. Also what the
      * lease in the state service is given.
      */
-    val window: Duration,
+    val commandWindow: Duration,
     /** How long past its window a leader still answers reports, without commands. */
-    val hold: Duration,
+    val answerGracePeriod: Duration,
     /** A scheduling cycle that took longer sends nothing. */
     val cycleBudget: Duration,
-    val renewEvery: Duration,
+    val renewInterval: Duration,
 ) {
     /**
      * For how long a leader answers reports after it was last proven to lead and to know all, shortened by the drift.
      */
-    val answering: Duration get() = window.shortened() + hold
+    val answerWindow: Duration get() = commandWindow.shortened() + answerGracePeriod
 
     /**
      * What a leader may do whose last renewal and whose last proof that its table lacks nothing were sent then: the
@@ -30,9 +30,9 @@
      * a job withdrawn while the leader heard nothing was kept running, or started again, by a leader whose lease was
      * fine.
      */
-    public fun rights(renewed: MonotonicInstant, proven: MonotonicInstant): LeaderCapabilities {
+    public fun capabilities(renewed: MonotonicInstant, proven: MonotonicInstant): LeaderCapabilities {
         val since = minOf(renewed, proven)
-        return LeaderCapabilities(since + window.shortened(), since + answering)
+        return LeaderCapabilities(since + commandWindow.shortened(), since + answerWindow)
     }
 
     public companion object {
@@ -42,12 +42,12 @@
         private const val RENEWALS_PER_WINDOW = 5
 
         public fun of(workers: WorkerTimeouts): LeadershipTimeouts = LeadershipTimeouts(
-            window = WINDOW,
+            commandWindow = WINDOW,
             // A task withdrawn right after the last renewal must be gone within the time for cancelling, even on a
             // worker that only the cut-off leader still answers.
-            hold = (workers.cancel - workers.lease - WINDOW - MARGIN).coerceAtLeast(Duration.ZERO),
+            answerGracePeriod = (workers.cancel - workers.lease - WINDOW - MARGIN).coerceAtLeast(Duration.ZERO),
             cycleBudget = CYCLE_BUDGET,
-            renewEvery = WINDOW / RENEWALS_PER_WINDOW,
+            renewInterval = WINDOW / RENEWALS_PER_WINDOW,
         )
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
@@ -124,7 +124,7 @@
             if (job.ended ||
                 job.isGang ||
                 spec.priority == Priority.LOW ||
-                job.version > leadership.counter ||
+                job.version > leadership.termRevision ||
                 !mayHide(spec)
             ) {
                 continue
@@ -241,7 +241,7 @@
     ): JobView? {
         if (job.ended || now < job.notBefore || job.done.all || job.hold != null || job.holding) return null
         // A task that no report names may still run on a silent worker, if its job is older than our term.
-        if (job.version <= leadership.counter && mayHide(job.spec)) return null
+        if (job.version <= leadership.termRevision && mayHide(job.spec)) return null
         if (job.isGang) {
             if (job.gang.broken) {
                 // Members that still wait would only wait in vain.
--- a/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
@@ -55,7 +55,7 @@
 
             job.holding -> HoldResult.NotNow("a hold is being recorded")
 
-            job.version <= leadership.counter &&
+            job.version <= leadership.termRevision &&
                 mayHide(
                     job.spec,
                 ) -> HoldResult.NotNow("a machine that may run it has not reported yet")
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -255,11 +255,11 @@
 
             is SchedulerMessage.RequestDelegation -> message.reply.complete(
                 currentLeadership()?.let {
-                    delegates.name(it, message.node, tableComplete, clock.now())
+                    delegates.grantDelegation(it, message.node, tableComplete, clock.now())
                 },
             )
 
-            is SchedulerMessage.DelegationGranted -> delegates.named(message.grant)
+            is SchedulerMessage.DelegationGranted -> delegates.acceptGrant(message.grant)
 
             SchedulerMessage.Tick -> tick()
         }
@@ -274,7 +274,7 @@
     private fun tenureIs(next: LeadershipState) {
         val before = term()
         leadershipState = next
-        if (next is LeadershipState.Follower) delegates.follows(next)
+        if (next is LeadershipState.Follower) delegates.observeTerm(next.term)
         val leadership = currentLeadership()
         if (leadership == null || leadership.term == before) return
         table.newTerm()
@@ -373,7 +373,7 @@
         val now = clock.now()
         val leadership =
             currentLeadership()
-                ?: return delegates.answer(report, now)
+                ?: return delegates.respond(report, now)
                     ?: HeartbeatResponse.Redirect((leadershipState as? LeadershipState.Follower)?.leader)
         return conversation.report(leadership, report, now, tableComplete) { worker ->
             if (table.dirty &&
@@ -405,7 +405,7 @@
         pauseDetector.tick(now)?.let { log.info("woke up after_ms={}", it.inWholeMilliseconds) }
         events.tick()
         reconciliations.tick()
-        val leadership = currentLeadership() ?: return delegates.watch(now)
+        val leadership = currentLeadership() ?: return delegates.checkReachability(now)
         checkTakeover()
         failureDetector.watch(leadership, now, machineRegistry.known)
         if (now - lastCounts > COUNTS_EVERY) {
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerPorts.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerPorts.kt
@@ -65,5 +65,5 @@
     public fun forgetHold(leadershipState: LeadershipState.Leader, job: JobId)
 
     /** Whether this node reaches neither the leader nor the state service. */
-    public fun cutOff(leader: NodeName): Boolean
+    public fun isCutOffFrom(leader: NodeName): Boolean
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/Endings.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Endings.kt
@@ -38,7 +38,7 @@
         }
         for (group in wanted.entries.chunked(txnOps)) {
             val blocks = group.map { (at, points) -> at.first to at.first.block(at.second).withDone(points) }
-            if (write(blocks, Condition(Keys.TERM, leadership.counter), RequestPriority.END) == null) return null
+            if (write(blocks, Condition(Keys.TERM, leadership.termRevision), RequestPriority.END) == null) return null
         }
         // Only what is recorded now is told: a point that was withdrawn first is ended too, and needs nothing more.
         return complete.filter { batch ->
--- a/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
@@ -26,7 +26,7 @@
 
     /** Of a job of an earlier term it is a lower bound: what that saw is not known here. */
     fun account(leadership: LeadershipState.Leader, job: JobState): JobAccount =
-        job.tally.account(job, clock.now(), wallClock.now(), lowerBound = job.version <= leadership.counter)
+        job.tally.account(job, clock.now(), wallClock.now(), lowerBound = job.version <= leadership.termRevision)
 
     fun record(leadership: LeadershipState.Leader) {
         if (recording) return
--- a/src/test/kotlin/org/elderhitch/delegates/LeaseDelegatesTest.kt
+++ b/src/test/kotlin/org/elderhitch/delegates/LeaseDelegatesTest.kt
@@ -68,7 +68,7 @@
         val promises = DelegationRules(times)
         assertNull(promises.name(leading(now), zone, ZoneStatus(0, 0, now - 20.seconds), now))
         assertEquals(MonotonicInstant.NEVER, promises.lastAnswer(zone))
-        val end = now - 3.seconds + times.answering - 1.seconds
+        val end = now - 3.seconds + times.answerWindow - 1.seconds
         assertEquals(
             DelegationOffer(Term(2), end - now),
             promises.name(leading(now), zone, ZoneStatus(0, 0, now - 3.seconds), now),
--- a/src/test/kotlin/org/elderhitch/leadership/KnowledgeTest.kt
+++ b/src/test/kotlin/org/elderhitch/leadership/KnowledgeTest.kt
@@ -48,7 +48,7 @@
 
         fun own(t: Duration): MonotonicInstant = MonotonicInstant(0) + 1000.seconds + t * (1 + drift)
 
-        fun rights(): LeaderCapabilities = times.rights(
+        fun rights(): LeaderCapabilities = times.capabilities(
             own(renewed),
             if (guard ==
                 Guard.LEASE_ALONE
@@ -126,7 +126,7 @@
             if (t < provesUntil) leader.proves(t - span(1, 90), confirmed, t)
             // Another claims once the lease is over; it has read all that was recorded before its claim, or what its
             // own feed had.
-            if (t - leader.renewed > times.window && random.nextInt(30) == 0) {
+            if (t - leader.renewed > times.commandWindow && random.nextInt(30) == 0) {
                 earlier.add(leader)
                 leader = Leader((random.nextDouble() * 2 - 1) * CLOCK_DRIFT, t, guard)
                 val knew = t - span(0, 10_000)
--- a/src/test/kotlin/org/elderhitch/leadership/LeadershipTest.kt
+++ b/src/test/kotlin/org/elderhitch/leadership/LeadershipTest.kt
@@ -78,7 +78,7 @@
             scope.launch {
                 while (true) {
                     stateWatch.prove()
-                    delay(times.renewEvery)
+                    delay(times.renewInterval)
                 }
             }
         }
@@ -152,9 +152,9 @@
 
     @Test
     fun `past its window a leader answers for no longer than a withdrawal allows`() {
-        val longest = times.window + times.hold + workers.lease
+        val longest = times.commandWindow + times.answerGracePeriod + workers.lease
         assertTrue(longest < workers.cancel)
         val short = LeadershipTimeouts.of(workers.copy(lease = 31.seconds, cancel = 33.seconds))
-        assertEquals(0.seconds, short.hold)
+        assertEquals(0.seconds, short.answerGracePeriod)
     }
 }
--- a/src/test/kotlin/org/elderhitch/recovery/TakeoverTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/TakeoverTest.kt
@@ -117,7 +117,7 @@
     @Test
     fun `a takeover outwaits the leases that its own answers renewed, and a deaf machine doesn't hold it for ever`() {
         takeover.inventory(setOf(spot.id, ordinary.id))
-        val end = now + (4.seconds + LeadershipTimeouts.of(times).hold + times.lease) * 1.001 + 500.milliseconds
+        val end = now + (4.seconds + LeadershipTimeouts.of(times).answerGracePeriod + times.lease) * 1.001 + 500.milliseconds
         now = end - 2.seconds
         assertFalse(takeover.closing(now))
         takeover.answered(spot.id, now)
