--- a/src/main/kotlin/org/elderhitch/delegates/ZoneDelegates.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/ZoneDelegates.kt
@@ -82,12 +82,12 @@
     }
 
     private fun standing(zone: Zone): ZoneStatus {
-        val ended = table.jobs.values.filter { job -> job.ended && job.everywhere().any { it.zone == zone } }
+        val ended = table.jobs.values.filter { job -> job.isTerminal && job.allPlacements().any { it.zone == zone } }
         val its = table.workers.values.filter { it.zone == zone }
-        val unheard = takeover.hidingIn(zone, machineRegistry.known)?.let { hiding ->
-            hiding + its.count { !it.settled }
+        val unheard = takeover.unaccountedIn(zone, machineRegistry.known)?.let { hiding ->
+            hiding + its.count { !it.reconciled }
         }
-        return ZoneStatus(unheard, its.count { it.strangers.isNotEmpty() }, ended.minOfOrNull { it.endedAfter })
+        return ZoneStatus(unheard, its.count { it.unknownTaskJobs.isNotEmpty() }, ended.minOfOrNull { it.knownOpenAt })
     }
 
     fun acceptGrant(grant: DelegationGrant) = delegate.named(grant)
@@ -124,7 +124,7 @@
         // Of a job that isn't open here nothing is known for sure; of one that was seen to end, everything.
         val ended = report.tasks.filter {
             it.phase != TaskPhase.EXITED &&
-                table.hasEnded(it.task.job, complete = false) == true
+                table.isTerminal(it.task.job, complete = false) == true
         }
         return HeartbeatResponse.Accepted(
             term,
--- a/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
+++ b/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
@@ -12,9 +12,9 @@
 import org.elderhitch.recovery.Takeover
 import org.elderhitch.settings.Team
 import org.elderhitch.settings.TeamName
-import org.elderhitch.tasks.Certainty
 import org.elderhitch.tasks.JobState
 import org.elderhitch.tasks.MachineRegistry
+import org.elderhitch.tasks.PlacementState
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.tasks.isGang
@@ -40,13 +40,13 @@
         usable: (WorkerState) -> Boolean,
     ): List<String>? {
         if (!tableComplete) return listOf("a takeover: the leader is still reading what is recorded")
-        val job = table.jobs[id]?.takeUnless { it.ended } ?: return null
+        val job = table.jobs[id]?.takeUnless { it.isTerminal } ?: return null
         val lines = ArrayList<String>()
         job.hold?.let { lines.add("held (${it.kind.name.lowercase()}): ${it.reason}") }
-        if (job.holding && job.hold == null) lines.add("a hold is being recorded")
+        if (job.holdPending && job.hold == null) lines.add("a hold is being recorded")
         counts(job, lines)
-        val missing = job.spec.tasks - job.done.count - job.placements.size
-        if (missing <= 0 || job.hold != null || job.holding) return lines
+        val missing = job.spec.tasks - job.completed.count - job.placements.size
+        if (missing <= 0 || job.hold != null || job.holdPending) return lines
         waits(leadership, job, catalog, refused, now, lines, usable)
         return lines
     }
@@ -54,14 +54,14 @@
     private fun counts(job: JobState, lines: MutableList<String>) {
         val phases = job.placements.values.groupingBy { p ->
             when {
-                p.stop != null -> "stopping"
-                p.certainty != Certainty.REPORTED -> "sent"
+                p.stopGrace != null -> "stopping"
+                p.state != PlacementState.CONFIRMED -> "sent"
                 else -> p.phase.name.lowercase()
             }
         }.eachCount().toSortedMap()
         val parts = phases.entries.joinToString("") { ", ${it.value} ${it.key}" }
         lines.add(
-            "of ${job.spec.tasks} tasks ${job.done.count} done$parts; ${job.tally.attempts} starts seen, ${job.tally.lost} lost, in this term",
+            "of ${job.spec.tasks} tasks ${job.completed.count} done$parts; ${job.usage.attempts} starts seen, ${job.usage.lost} lost, in this term",
         )
         val cut = job.placements.values.count { failureDetector.isCutOff(it.zone) }
         if (cut > 0) lines.add("$cut of its tasks are in a zone that is cut off")
@@ -77,8 +77,8 @@
         usable: (WorkerState) -> Boolean,
     ) {
         val spec = job.spec
-        if (job.version <= leadership.termRevision && takeover.mayHide(spec, machineRegistry.known, catalog)) {
-            lines.add("waits for a takeover: ${takeover.unheard.size} machines that may run it have not reported yet")
+        if (job.version <= leadership.termRevision && takeover.mayRunUnreported(spec, machineRegistry.known, catalog)) {
+            lines.add("waits for a takeover: ${takeover.unaccounted.size} machines that may run it have not reported yet")
         }
         if (!leadership.maySendCommands(
                 now,
@@ -92,11 +92,11 @@
             now
         ) {
             lines.add(
-                "at fault: failed on ${job.erredOn.size} machines and runs on none; tried again in ${(job.notBefore - now).inWholeSeconds} s",
+                "at fault: failed on ${job.failedOn.size} machines and runs on none; tried again in ${(job.notBefore - now).inWholeSeconds} s",
             )
         }
         faults.probes(job)?.let {
-            lines.add("failed on ${job.erredOn.size} machines: no more than a few tasks are tried at a time")
+            lines.add("failed on ${job.failedOn.size} machines: no more than a few tasks are tried at a time")
         }
         if (job.isGang &&
             job.gang.broken
@@ -163,7 +163,7 @@
                     (if (job.isGang) "; a gang starts only when all its tasks fit at once" else "")
             },
         )
-        val shunned = allowed.count { spec.id in it.shunnedBy }
+        val shunned = allowed.count { spec.id in it.avoidedBy }
         if (shunned > 0) lines.add("$shunned machines are left out for a while: it failed or was refused there")
     }
 
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureAttribution.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureAttribution.kt
@@ -24,37 +24,37 @@
 
     fun erred(worker: WorkerState, job: JobState, task: TaskStatus, now: MonotonicInstant) {
         log.info("task failed task={} machine={}", task.task, worker.id)
-        job.erredOn.add(worker.id)
-        worker.shun(job.id, now + ERROR_SHUN)
-        worker.erredJobs.merge(job.id, 1, Int::plus)
-        if (job.erredOn.size >= JOB_AT_FAULT && !runsSomewhere(job, worker)) {
+        job.failedOn.add(worker.id)
+        worker.avoid(job.id, now + ERROR_SHUN)
+        worker.failuresByJob.merge(job.id, 1, Int::plus)
+        if (job.failedOn.size >= JOB_AT_FAULT && !runsSomewhere(job, worker)) {
             cordon(job, now)
             return
         }
-        worker.doubtedUntil = now + DOUBT
+        worker.quarantinedUntil = now + DOUBT
         judge(worker, now)
     }
 
     /** What such a job does says nothing of the machines that it was on. */
     private fun cordon(job: JobState, now: MonotonicInstant) {
-        val back = ERROR_BACKOFF * (1 shl minOf(job.erredOn.size - JOB_AT_FAULT, MAX_DOUBLINGS))
+        val back = ERROR_BACKOFF * (1 shl minOf(job.failedOn.size - JOB_AT_FAULT, MAX_DOUBLINGS))
         if (job.notBefore <
             now
         ) {
             log.info(
                 "job at fault job={} machines={} again_ms={}",
                 job.id,
-                job.erredOn.size,
+                job.failedOn.size,
                 back.inWholeMilliseconds,
             )
         }
         job.notBefore = now + minOf(back, MAX_BACKOFF)
-        for (id in job.erredOn) {
+        for (id in job.failedOn) {
             val worker = table.workers[id] ?: continue
-            if (worker.erredJobs.remove(job.id) != null &&
-                worker.erredJobs.isEmpty()
+            if (worker.failuresByJob.remove(job.id) != null &&
+                worker.failuresByJob.isEmpty()
             ) {
-                worker.doubtedUntil = MonotonicInstant.NEVER
+                worker.quarantinedUntil = MonotonicInstant.NEVER
             }
         }
     }
@@ -65,15 +65,15 @@
      * way tell, and the others would only fail beside them. Null: as many as there are.
      */
     fun probes(job: JobState): Int? {
-        if (job.erredOn.size < SUSPECT || runsSomewhere(job, besides = null)) return null
-        return (if (job.erredOn.size < JOB_AT_FAULT) PROBES else 1) - job.placements.size
+        if (job.failedOn.size < SUSPECT || runsSomewhere(job, besides = null)) return null
+        return (if (job.failedOn.size < JOB_AT_FAULT) PROBES else 1) - job.placements.size
     }
 
-    fun atFault(job: JobState): Boolean = job.erredOn.size >= JOB_AT_FAULT
+    fun atFault(job: JobState): Boolean = job.failedOn.size >= JOB_AT_FAULT
 
     /** Time brings evidence too: jobs that failed on a machine prove well elsewhere. */
     fun reconsider(now: MonotonicInstant) {
-        for (worker in table.workers.values) if (worker.erredJobs.isNotEmpty()) judge(worker, now)
+        for (worker in table.workers.values) if (worker.failuresByJob.isNotEmpty()) judge(worker, now)
         for (job in table.jobs.values) {
             if (job.notBefore > now &&
                 runsWell(job, null, now)
@@ -84,30 +84,30 @@
     }
 
     private fun judge(worker: WorkerState, now: MonotonicInstant) {
-        if (worker.sick || worker.erredJobs.values.sum() < ERRORS_AT_FAULT) return
-        val proven = worker.erredJobs.keys.any { id: JobId ->
+        if (worker.faulty || worker.failuresByJob.values.sum() < ERRORS_AT_FAULT) return
+        val proven = worker.failuresByJob.keys.any { id: JobId ->
             table.jobs[id]?.let { runsWell(it, worker, now) } ?: false
         }
-        if (worker.erredJobs.size < JOBS_AT_FAULT && !proven) return
-        worker.sick = true
-        worker.erredJobs.keys.forEach { table.jobs[it]?.erredOn?.remove(worker.id) }
+        if (worker.failuresByJob.size < JOBS_AT_FAULT && !proven) return
+        worker.faulty = true
+        worker.failuresByJob.keys.forEach { table.jobs[it]?.failedOn?.remove(worker.id) }
         log.info(
             "machine faulty machine={} errors={} jobs={}",
             worker.id,
-            worker.erredJobs.values.sum(),
-            worker.erredJobs.size,
+            worker.failuresByJob.values.sum(),
+            worker.failuresByJob.size,
         )
     }
 
     /** Enough to blame a machine: that a task of the job is seen running for a moment is not. */
-    private fun runsWell(job: JobState, besides: WorkerState?, now: MonotonicInstant): Boolean = job.done.count > 0 ||
+    private fun runsWell(job: JobState, besides: WorkerState?, now: MonotonicInstant): Boolean = job.completed.count > 0 ||
         job.placements.values.any { p ->
-            p.worker !== besides && p.worker.erredJobs.isEmpty() && p.runsSince.let { it != null && now - it > PROVEN }
+            p.worker !== besides && p.worker.failuresByJob.isEmpty() && p.runningSince.let { it != null && now - it > PROVEN }
         }
 
     /** Enough not to blame the job. */
-    private fun runsSomewhere(job: JobState, besides: WorkerState?): Boolean = job.done.count > 0 ||
-        job.placements.values.any { it.worker !== besides && it.worker.erredJobs.isEmpty() && it.runsSince != null }
+    private fun runsSomewhere(job: JobState, besides: WorkerState?): Boolean = job.completed.count > 0 ||
+        job.placements.values.any { it.worker !== besides && it.worker.failuresByJob.isEmpty() && it.runningSince != null }
 
     private companion object {
         val ERROR_SHUN = 300.seconds
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
@@ -110,17 +110,17 @@
      * it is asked.
      */
     fun isSuspect(worker: WorkerState, now: MonotonicInstant): Boolean =
-        now - minOf(worker.lastWord, renewedBy(worker)) > suspectAfter
+        now - minOf(worker.lastSeenAt, renewedBy(worker)) > suspectAfter
 
     /** When a report of it was last answered, here or by a lease delegate that is away. */
     private fun renewedBy(worker: WorkerState): MonotonicInstant =
-        maxOf(worker.lastReport, delegates.latestPossibleRenewal(worker.zone))
+        maxOf(worker.lastHeartbeatAt, delegates.latestPossibleRenewal(worker.zone))
 
     fun isCutOff(zone: Zone): Boolean = zone in cutZones
 
     fun heard(worker: WorkerState) {
         quietTicks[worker.zone] = 0
-        lastWord[worker.zone] = worker.lastWord
+        lastWord[worker.zone] = worker.lastSeenAt
     }
 
     fun watch(leadership: LeadershipState.Leader, now: MonotonicInstant, known: Map<MachineId, Machine>) {
@@ -132,11 +132,11 @@
             val quietFor = now - listeningSince(worker, leadership)
             if (quietFor > suspectAfter) hearing.silent++ else hearing.heard++
             if (quietFor > overdueAfter) hearing.overdue++
-            if (worker.outlived(now, leases, delegates.delegationEnd(worker.zone)) && worker.placements.isNotEmpty()) {
+            if (worker.expireLease(now, leases, delegates.delegationEnd(worker.zone)) && worker.placements.isNotEmpty()) {
                 events.info("lease over", worker.id) {
                     "worker settled machine=${worker.id} by=lease tasks=${worker.placements.size}"
                 }
-                table.loseAll(worker)
+                table.removeAllOf(worker)
             }
         }
         val heard = zones.values.sumOf { it.heard }
@@ -151,11 +151,11 @@
         }
         if (hearsNobody(leadership, now)) {
             resignedDeafAt = now
-            ports.leadership(LeadershipMessage.Resign("not one of ${takeover.unheard.size} machines heard"))
+            ports.leadership(LeadershipMessage.Resign("not one of ${takeover.unaccounted.size} machines heard"))
             return
         }
         // Machines of an earlier term that never said a word in this one.
-        val unheard = takeover.unheard.filter { it !in table.workers }
+        val unheard = takeover.unaccounted.filter { it !in table.workers }
         unheard.forEach { id -> known[id]?.let { zones.getOrPut(it.zone) { ZoneHealth() }.unheard++ } }
         missingZones =
             zones.filter { (zone, its) ->
@@ -181,7 +181,7 @@
      * fleet as silent meanwhile. It lets another try, once: if that one hears nobody either, the machines are at fault.
      */
     private fun hearsNobody(leadership: LeadershipState.Leader, now: MonotonicInstant): Boolean {
-        val unheard = takeover.unheard
+        val unheard = takeover.unaccounted
         if (table.workers.isNotEmpty() || unheard.size < RESIGN_LEAST || now - resignedDeafAt < DEAF_AGAIN) return false
         val waited = waited(leadership, now)
         return waited > releaseAfter ||
@@ -197,7 +197,7 @@
         maxOf(leadership.claimedAt, pauseDetector.since, closedAt)
 
     private fun listeningSince(worker: WorkerState, leadership: LeadershipState.Leader): MonotonicInstant =
-        maxOf(worker.lastWord, listeningSince(leadership))
+        maxOf(worker.lastSeenAt, listeningSince(leadership))
 
     /**
      * Zones that no report came from for longer than chance allows. Reports of many workers come evenly spread: the
@@ -225,14 +225,14 @@
     ) {
         val wanted = ArrayList<Wanted>()
         for (worker in table.workers.values) {
-            if (now - worker.releaseAsked <= RELEASE_AGAIN) continue
+            if (now - worker.releaseRequestedAt <= RELEASE_AGAIN) continue
             val reopened = reopenedAt[worker.zone] ?: MonotonicInstant.NEVER
             val quiet = now - maxOf(listeningSince(worker, leadership), reopened)
             // What it says in reply counts as a word of it, and renews nothing.
             val renewed = renewedBy(worker)
-            val mute = worker.lastWord - renewed > overdueAfter && quiet <= releaseAfter
+            val mute = worker.lastSeenAt - renewed > overdueAfter && quiet <= releaseAfter
             val unreported = if (mute) now - maxOf(renewed, listeningSince(leadership), reopened) else quiet
-            judge(worker.id, worker.zone, unheard = false, worker.settled, unreported, now, mute)?.let(wanted::add)
+            judge(worker.id, worker.zone, unheard = false, worker.reconciled, unreported, now, mute)?.let(wanted::add)
         }
         val waited = waited(leadership, now)
         for (id in unheard) {
@@ -253,7 +253,7 @@
         }
         val (gone, silent) = may.partition { it.unheard }
         for (one in silent) {
-            table.workers[one.id]?.releaseAsked = now
+            table.workers[one.id]?.releaseRequestedAt = now
             events.info("worker silent", one.id) {
                 "worker silent machine=${one.id} for_ms=${one.quiet.inWholeMilliseconds} because=${one.row.name.lowercase()}"
             }
@@ -315,12 +315,12 @@
 
     /** It was silent, its release did not go through, and it is back. */
     fun back(worker: WorkerState, now: MonotonicInstant) {
-        if (now - worker.releaseAsked > RELEASE_AGAIN * 2) worker.releaseAsked = MonotonicInstant.NEVER
+        if (now - worker.releaseRequestedAt > RELEASE_AGAIN * 2) worker.releaseRequestedAt = MonotonicInstant.NEVER
     }
 
     /** Its return had not gone out when it spoke. */
     fun spared(worker: WorkerState) {
-        if (worker.lastWord > worker.releaseAsked) worker.releaseAsked = MonotonicInstant.NEVER
+        if (worker.lastSeenAt > worker.releaseRequestedAt) worker.releaseRequestedAt = MonotonicInstant.NEVER
         table.dirty = true
     }
 
--- a/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
@@ -74,18 +74,18 @@
     /** In a zone that seems to be cut off only a few are asked: one answer tells that it isn't. */
     fun ask(leadership: LeadershipState.Leader, now: MonotonicInstant, isCutOff: (Zone) -> Boolean) {
         var may = pace.allow(
-            takeover.unheard.size,
+            takeover.unaccounted.size,
             now - maxOf(leadership.claimedAt, pauseDetector.since),
             takeover.previousLeaderEnded,
         )
-        for (id in takeover.unheard) {
+        for (id in takeover.unaccounted) {
             if (may == 0) break
             if (ask(leadership, id, table.workers[id]?.address ?: addresses[id], now)) may--
         }
         val asked = HashMap<Zone, Int>()
         for (worker in table.workers.values) {
-            if (now - maxOf(worker.lastWord, leadership.claimedAt, pauseDetector.since) <= overdueAfter ||
-                worker.releaseAsked != MonotonicInstant.NEVER
+            if (now - maxOf(worker.lastSeenAt, leadership.claimedAt, pauseDetector.since) <= overdueAfter ||
+                worker.releaseRequestedAt != MonotonicInstant.NEVER
             ) {
                 continue
             }
@@ -102,7 +102,7 @@
     ): Boolean {
         if (at == null || asked[machine].let { it != null && now - it < AGAIN }) return false
         asked[machine] = now
-        orders.gave(ActionKind.ASK, 1, now)
+        orders.record(ActionKind.PROBE, 1, now)
         ports.ask(leadership, at, machine)
         return true
     }
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningActor.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningActor.kt
@@ -233,7 +233,7 @@
         if (turns.startList(now, LIST_EVERY)) list(leadership)
         if (now - plannedAt > PLAN_EVERY && inventorySent && !catalog.isEmpty) {
             plannedAt = now
-            ports.ordered(orders.read())
+            ports.ordered(orders.snapshot())
             plan(leadership, now)
         }
     }
@@ -365,7 +365,7 @@
         intent.busy = true
         intent.requesting = true
         intent.asked = true
-        orders.gave(ActionKind.HIRE, 1, clock.now())
+        orders.record(ActionKind.PROVISION, 1, clock.now())
         scope.launch {
             tell(
                 FleetMessage.ProvisioningCompleted(
@@ -401,7 +401,7 @@
                 } else {
                     closings.remove(intent.market)
                 }
-                orders.hired(intent.market, outcome.machines.size, clock.now())
+                orders.recordProvisioned(intent.market, outcome.machines.size, clock.now())
                 intent.machines = outcome.machines
                 intent.busy = true
                 if (outcome.machines.isEmpty()) {
@@ -416,7 +416,7 @@
 
             ProvisioningOutcome.NoCapacity -> {
                 log.info("hire refused name={} market={}", intent.name, intent.market)
-                orders.regrets(NeedlessActionKind.HIRE_REFUSED)
+                orders.recordNeedless(NeedlessActionKind.PROVISIONING_REFUSED)
                 close(leadership, intent.market)
                 intents.forget(leadership, intent)
             }
--- a/src/main/kotlin/org/elderhitch/fleet/TerminationQueue.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/TerminationQueue.kt
@@ -69,7 +69,7 @@
     fun spare(machine: MachineId) {
         if (!turns.spare(machine)) return
         log.info("return spared machine={}", machine)
-        orders.regrets(NeedlessActionKind.RETURN_SPARED)
+        orders.recordNeedless(NeedlessActionKind.TERMINATION_CANCELLED)
         held[machine]?.releasing = false
         ports.scheduler(SchedulerMessage.TerminationCancelled(machine))
     }
@@ -88,9 +88,9 @@
                 if (reason == TerminationReason.IDLE &&
                     market != null
                 ) {
-                    orders.returnedIdle(market, now)
+                    orders.recordIdleTermination(market, now)
                 } else {
-                    orders.gave(ActionKind.RETURN, 1, now)
+                    orders.record(ActionKind.TERMINATE, 1, now)
                 }
             }
             val names = batch.keys.toList()
--- a/src/main/kotlin/org/elderhitch/heartbeat/CommandPlanner.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/CommandPlanner.kt
@@ -1,7 +1,7 @@
 package org.elderhitch.heartbeat
 
-import org.elderhitch.tasks.Certainty
 import org.elderhitch.tasks.Placement
+import org.elderhitch.tasks.PlacementState
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.time.MonotonicInstant
@@ -19,20 +19,20 @@
         table.undelivered.remove(worker)
         val list = ArrayList(endings)
         val placements = worker.placements.values.toList()
-        placements.forEach { p -> p.stop?.let { stop(p, it, list) } }
+        placements.forEach { p -> p.stopGrace?.let { stop(p, it, list) } }
         for (p in placements) {
-            if (p.stop != null ||
-                p.certainty == Certainty.REPORTED ||
-                p.certainty == Certainty.ASSIGNED &&
+            if (p.stopGrace != null ||
+                p.state == PlacementState.CONFIRMED ||
+                p.state == PlacementState.ASSIGNED &&
                 now < p.sendFrom
             ) {
                 continue
             }
-            if (p.certainty == Certainty.ASSIGNED && now > p.sendBy) {
+            if (p.state == PlacementState.ASSIGNED && now > p.sendBy) {
                 table.jobs[p.task.job]?.let { table.remove(it, p) }
             } else if (list.size < MAX_COMMANDS) {
-                p.certainty = Certainty.SENT
-                p.answered = true
+                p.state = PlacementState.SENT
+                p.sentInResponse = true
                 list.add(Command.Start(p.task, p.attempt))
             } else {
                 table.undelivered.add(worker)
@@ -63,18 +63,18 @@
         val stops = LinkedHashSet<Command>()
         for (task in named) {
             if (task.phase != TaskPhase.EXITED &&
-                table.hasEnded(task.task.job, complete) ?: return null
+                table.isTerminal(task.task.job, complete) ?: return null
             ) {
                 stops.add(Command.Stop(task.task, task.attempt, Duration.ZERO))
             }
         }
         for (p in worker.placements.values) {
-            if (table.jobs[p.task.job]?.ended == false || p.certainty == Certainty.ASSIGNED) continue
-            if (p.certainty ==
-                Certainty.REPORTED
+            if (table.jobs[p.task.job]?.isTerminal == false || p.state == PlacementState.ASSIGNED) continue
+            if (p.state ==
+                PlacementState.CONFIRMED
             ) {
                 stops.add(Command.Stop(p.task, p.attempt, Duration.ZERO))
-            } else if (p.onItsWay &&
+            } else if (p.directStartPending &&
                 !mayStart
             ) {
                 return null
@@ -85,13 +85,13 @@
 
     private fun stop(p: Placement, grace: Duration, list: MutableList<Command>) {
         // A start on its way can't be taken back; once the worker has it, a late copy does nothing.
-        if (p.onItsWay && p.certainty == Certainty.SENT) {
-            p.answered = true
+        if (p.directStartPending && p.state == PlacementState.SENT) {
+            p.sentInResponse = true
             list.add(Command.Start(p.task, p.attempt))
         }
-        if (p.certainty == Certainty.REPORTED &&
+        if (p.state == PlacementState.CONFIRMED &&
             (p.phase != TaskPhase.SAVING || grace == Duration.ZERO) ||
-            p.onItsWay
+            p.directStartPending
         ) {
             p.stopSent = true
             val stop = Command.Stop(p.task, p.attempt, grace)
@@ -102,9 +102,9 @@
     private fun mayForget(worker: WorkerState, task: TaskStatus): Boolean {
         val job = table.jobs[task.task.job]
         // The result is kept by the worker until it is recorded.
-        val unrecorded = job != null && !job.ended && task.cause == ExitCause.DONE && task.task.index !in job.finished
+        val unrecorded = job != null && !job.isTerminal && task.cause == ExitCause.DONE && task.task.index !in job.recorded
         // A start that may yet be executed would begin anew what is forgotten.
-        return !unrecorded && (task.task to task.attempt) !in worker.loose
+        return !unrecorded && (task.task to task.attempt) !in worker.unacknowledgedStarts
     }
 
     /** For the worker's own address: what was decided since its last report, and nothing that has been sent before. */
@@ -112,15 +112,15 @@
         val list = ArrayList<Command>()
         for (p in worker.placements.values) {
             if (list.size == MAX_COMMANDS) break
-            val stop = p.stop
+            val stop = p.stopGrace
             if (stop != null) {
-                if (p.certainty != Certainty.REPORTED || p.stopSent) continue
+                if (p.state != PlacementState.CONFIRMED || p.stopSent) continue
                 p.stopSent = true
                 list.add(Command.Stop(p.task, p.attempt, stop))
-            } else if (p.certainty == Certainty.ASSIGNED && now >= p.sendFrom && now <= p.sendBy) {
-                p.certainty = Certainty.SENT
-                p.onItsWay = true
-                worker.loose.add(p.task to p.attempt)
+            } else if (p.state == PlacementState.ASSIGNED && now >= p.sendFrom && now <= p.sendBy) {
+                p.state = PlacementState.SENT
+                p.directStartPending = true
+                worker.unacknowledgedStarts.add(p.task to p.attempt)
                 list.add(Command.Start(p.task, p.attempt))
             }
         }
--- a/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatHandler.kt
@@ -16,8 +16,8 @@
 import org.elderhitch.scheduler.SchedulerMessage
 import org.elderhitch.scheduler.SchedulerPorts
 import org.elderhitch.settings.WorkerTimeouts
-import org.elderhitch.tasks.Certainty
 import org.elderhitch.tasks.MachineRegistry
+import org.elderhitch.tasks.PlacementState
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.time.MonotonicInstant
@@ -55,7 +55,7 @@
             return HeartbeatResponse.Redirect(null)
         }
         // A message from a machine that is surely gone was held up on its way.
-        if (report.machine in machineRegistry.gone) orders.spoke(report.machine, now)
+        if (report.machine in machineRegistry.gone) orders.machineSeen(report.machine, now)
         if (!leadership.mayAnswerHeartbeats(now) ||
             report.machine in machineRegistry.gone
         ) {
@@ -65,10 +65,10 @@
         // Late reports tell what was: answering one would renew nothing, and believing one would free a task, or bring
         // back one that was lost.
         if (worker.lease?.judge(report.order.session) == MessageFreshness.STALE) return HeartbeatResponse.Redirect(null)
-        val order = worker.order
+        val order = worker.heartbeatSequence
         if (order != null && report.order <= order) {
             // But one that a command to the worker's own address has overtaken is no late one: it waits for its answer.
-            if (now - worker.calledAt > WorkerTimeouts.ANSWER_WAIT) return HeartbeatResponse.Redirect(null)
+            if (now - worker.lastCommandAt > WorkerTimeouts.ANSWER_WAIT) return HeartbeatResponse.Redirect(null)
             val stops =
                 commands.endings(worker, report.tasks + worker.tasks, tableComplete, mayStart = false)
                     ?: return HeartbeatResponse.Redirect(null)
@@ -82,7 +82,7 @@
         ) {
             settle(worker, report)
         } else if (!obeys &&
-            takeover.closing(now)
+            takeover.refusesUnawareWorkers(now)
         ) {
             return HeartbeatResponse.Redirect(null)
         }
@@ -113,15 +113,15 @@
         report: Heartbeat,
         now: MonotonicInstant,
     ) {
-        worker.answered(now)
-        worker.lastReport = now
+        worker.heartbeatAnswered(now)
+        worker.lastHeartbeatAt = now
         // One that an answer to a command has settled since holds nothing that this term doesn't know.
-        if (report.term < leadership.term && !worker.settled) takeover.answered(worker.id, now)
+        if (report.term < leadership.term && !worker.reconciled) takeover.heartbeatAnswered(worker.id, now)
     }
 
     private fun worker(report: Heartbeat, now: MonotonicInstant): WorkerState =
         WorkerState(report.machine, report.type, report.zone, report.spot, now).also { fresh ->
-            hinted(report.machine)?.forEach { (image, gb) -> fresh.usesImage(image, gb) }
+            hinted(report.machine)?.forEach { (image, gb) -> fresh.recordImageUse(image, gb) }
         }
 
     /** A word that is newer than all before it. */
@@ -131,26 +131,26 @@
         report: Heartbeat,
         now: MonotonicInstant,
     ) {
-        orders.spoke(worker.id, now)
-        if (worker.hears(report.order.session, now, obeys = report.term == leadership.term) ==
+        orders.machineSeen(worker.id, now)
+        if (worker.recordMessage(report.order.session, now, obeys = report.term == leadership.term) ==
             MessageFreshness.NEW_SESSION
         ) {
             // Commands to its own address name the session: those of an earlier one are never executed now, and what
             // ran in it is gone.
-            worker.loose.clear()
-            table.loseSent(worker)
+            worker.unacknowledgedStarts.clear()
+            table.removeSentTo(worker)
         }
-        worker.order = report.order
+        worker.heartbeatSequence = report.order
         worker.unreachable = false
-        worker.lastWord = now
+        worker.lastSeenAt = now
         worker.address = report.address
-        if (report.notice != null && worker.notice == null) {
+        if (report.notice != null && worker.preemptionNotice == null) {
             events.info("spot notice", worker.id) { "spot notice machine=${report.machine} notice_s=${report.notice}" }
             table.dirty = true
         }
-        worker.notice = report.notice
-        if (worker.releaseAsked != MonotonicInstant.NEVER ||
-            !worker.settled
+        worker.preemptionNotice = report.notice
+        if (worker.releaseRequestedAt != MonotonicInstant.NEVER ||
+            !worker.reconciled
         ) {
             ports.fleet(FleetMessage.HeartbeatReceived(worker.id))
         }
@@ -160,17 +160,17 @@
         if (report.machine !in machineRegistry.known) ports.fleet(FleetMessage.OrphanDetected(report))
         if (worker.id in machineRegistry.known &&
             worker.id !in machineRegistry.cleared &&
-            now - worker.clearAsked > CLEAR_AGAIN
+            now - worker.clearanceRequestedAt > CLEAR_AGAIN
         ) {
-            worker.clearAsked = now
+            worker.clearanceRequestedAt = now
             ports.fleet(FleetMessage.MachineUp(worker.id))
         }
     }
 
     private fun settle(worker: WorkerState, report: Heartbeat, inReply: Boolean = false) {
-        if (!worker.settled) {
-            worker.settled = true
-            takeover.heard(worker.id)
+        if (!worker.reconciled) {
+            worker.reconciled = true
+            takeover.markAccounted(worker.id)
             events.info("worker settled", worker.id) {
                 "worker settled machine=${worker.id} by=report tasks=${report.tasks.size}"
             }
@@ -191,19 +191,19 @@
         while (workers.hasNext()) {
             val worker = workers.next()
             val address = worker.address
-            val session = worker.order?.session
-            if (worker === answering || worker.calling) continue
+            val session = worker.heartbeatSequence?.session
+            if (worker === answering || worker.commandInFlight) continue
             if (address == null ||
                 session == null ||
                 worker.unreachable ||
-                worker.lastWord + workerTimes.report - now < WORTH_CALLING
+                worker.lastSeenAt + workerTimes.report - now < WORTH_CALLING
             ) {
                 continue
             }
             val urgent = commands.urgent(worker, now)
-            if (worker.placements.values.none { it.certainty == Certainty.ASSIGNED }) workers.remove()
+            if (worker.placements.values.none { it.state == PlacementState.ASSIGNED }) workers.remove()
             if (urgent.isEmpty()) continue
-            worker.calling = true
+            worker.commandInFlight = true
             given(worker, urgent, now)
             ports.command(leadership, address, worker.id, session, urgent)
         }
@@ -212,16 +212,16 @@
     private fun given(worker: WorkerState, commands: List<Command>, now: MonotonicInstant) {
         for (command in commands) {
             when (command) {
-                is Command.Start -> orders.started(command.task, now)
+                is Command.Start -> orders.recordStart(command.task, now)
 
-                is Command.Stop -> orders.stopped(
+                is Command.Stop -> orders.recordStop(
                     command.task,
                     asked =
-                    worker.notice != null || table.jobs[command.task.job]?.ended != false,
+                    worker.preemptionNotice != null || table.jobs[command.task.job]?.isTerminal != false,
                     now,
                 )
 
-                is Command.Reap -> orders.gave(ActionKind.REAP, 1, now)
+                is Command.Reap -> orders.record(ActionKind.REAP, 1, now)
             }
         }
     }
@@ -232,9 +232,9 @@
         now: MonotonicInstant,
     ) {
         val worker = table.workers[message.machine] ?: return
-        worker.calling = false
-        worker.calledAt = now
-        if (worker.order?.session != message.session) return
+        worker.commandInFlight = false
+        worker.lastCommandAt = now
+        if (worker.heartbeatSequence?.session != message.session) return
         val outcome = message.outcome
         if (outcome == CommandOutcome.Unknown) {
             // Bound to this worker until it shows them, or its session ends; each answer to it repeats them.
@@ -243,14 +243,14 @@
             }
             return
         }
-        worker.loose.removeAll(message.starts)
+        worker.unacknowledgedStarts.removeAll(message.starts)
         val placements = message.starts.mapNotNull { (task, attempt) ->
             worker.placements[task]?.takeIf {
                 it.attempt ==
                     attempt
             }
         }
-        placements.forEach { it.onItsWay = false }
+        placements.forEach { it.directStartPending = false }
         if (outcome is CommandOutcome.Executed) {
             val report = outcome.report
             if (report.machine == worker.id && report.term == leadership.term && isNews(worker, report)) {
@@ -262,8 +262,8 @@
         if (outcome == CommandOutcome.Unreachable) worker.unreachable = true
         // Unless an answer to a report brought the same start: then the next report tells.
         for (p in placements) {
-            if (p.certainty == Certainty.SENT &&
-                !p.answered
+            if (p.state == PlacementState.SENT &&
+                !p.sentInResponse
             ) {
                 table.jobs[p.task.job]?.let { table.remove(it, p) }
             }
@@ -279,7 +279,7 @@
     ) {
         if (machine in machineRegistry.gone) return
         workerProber.took(machine, connection = outcome != CommandOutcome.Unreachable, now)
-        if (outcome !is CommandOutcome.Executed) orders.regrets(NeedlessActionKind.ASK_IN_VAIN)
+        if (outcome !is CommandOutcome.Executed) orders.recordNeedless(NeedlessActionKind.PROBE_FAILED)
         val said = (outcome as? CommandOutcome.Executed)?.report
         // A machine's address may be another's by now.
         if (said == null || said.machine != machine) return
@@ -289,14 +289,14 @@
         }
         val worker = table.workers.getOrPut(said.machine) { worker(said, now) }
         if (!isNews(worker, said)) return
-        worker.calledAt = now
+        worker.lastCommandAt = now
         heard(leadership, worker, said, now)
         if (said.term == leadership.term && tableComplete) settle(worker, said, inReply = true)
     }
 
     private fun isNews(worker: WorkerState, report: Heartbeat): Boolean =
         worker.lease?.judge(report.order.session) != MessageFreshness.STALE &&
-            worker.order.let { it == null || report.order > it }
+            worker.heartbeatSequence.let { it == null || report.order > it }
 
     private companion object {
         val CLEAR_AGAIN = 2.seconds
--- a/src/main/kotlin/org/elderhitch/recovery/ActionLedger.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/ActionLedger.kt
@@ -7,133 +7,184 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Kinds of orders that a leader gives, by the words of `/status` and of the lab. */
-public enum class ActionKind { START, STOP, REAP, ASK, RETURN, HIRE }
+/**
+ * Kind of action that a leader takes towards workers and the cloud.
+ *
+ * [statusWord] is the key under `orders.given` in `/status`; it is read by operators' tools and does not change.
+ */
+public enum class ActionKind(public val statusWord: String) {
+    /** A task start sent to a worker. */
+    START("start"),
+
+    /** A task stop sent to a worker. */
+    STOP("stop"),
+
+    /** Permission for a worker to drop an exited task. */
+    REAP("reap"),
+
+    /** A status probe sent to a worker's own address. */
+    PROBE("ask"),
+
+    /** A machine termination requested from the cloud. */
+    TERMINATE("return"),
+
+    /** A machine requested from the cloud. */
+    PROVISION("hire"),
+}
+
+/**
+ * Kind of action that turned out to be needless, named by the evidence.
+ *
+ * [statusWord] is the key under `orders.regret` in `/status`; it is read by operators' tools and does not change.
+ */
+public enum class NeedlessActionKind(public val statusWord: String) {
+    /**
+     * A task was started and stopped again within [ActionLedger.START_REVIEW_WINDOW], although neither the end of its
+     * job nor a preemption notice of its machine required the stop.
+     */
+    START_STOPPED("start_stopped"),
+
+    /** A machine that was terminated as failed sent a message afterwards. */
+    TERMINATED_WHILE_ALIVE("returned_spoke"),
 
-/** Orders that turned out to be needless, by what showed it. */
-public enum class NeedlessActionKind {
     /**
-     * A task was started and stopped again within [ActionLedger.SOON], and neither its job's end nor a machine's notice
-     * asked for that.
+     * A machine was terminated as idle, and another of the same market was provisioned within
+     * [ActionLedger.TERMINATION_REVIEW_WINDOW].
      */
-    START_STOPPED,
+    TERMINATED_THEN_PROVISIONED("returned_hired"),
 
-    /** A machine was returned for its silence and spoke afterwards. */
-    RETURNED_SPOKE,
+    /** A termination was cancelled before the request was sent. It cost nothing. */
+    TERMINATION_CANCELLED("return_spared"),
 
-    /** A machine was returned as idle and another of its market hired within [ActionLedger.AGAIN]. */
-    RETURNED_HIRED,
+    /** The cloud refused to provision a machine. */
+    PROVISIONING_REFUSED("hire_refused"),
 
-    /** A return was asked for, and taken back before it went out: it cost nothing. */
-    RETURN_SPARED,
-    HIRE_REFUSED,
-    ASK_IN_VAIN,
+    /** A probe was not answered. */
+    PROBE_FAILED("ask_in_vain"),
 }
 
 /**
- * What a leader ordered in its term, how much of it at once, and what of it was needless: by this a takeover is judged,
- * and whoever changes how one goes.
- * Bounded: starts and returns are remembered for as long as they can be regretted, and no more than [MOST] of each.
+ * Counts the actions of a leader in its term: how many of each kind, the peak rate, and how many proved needless.
+ *
+ * The counts show how well a takeover went. Memory is bounded: a start or termination is remembered only while it can
+ * still be classified as needless, and at most [MAX_REMEMBERED] of each.
  */
 public class ActionLedger {
-    private val given = LongArray(ActionKind.entries.size)
-    private val regrets = LongArray(NeedlessActionKind.entries.size)
-    private var second = MonotonicInstant.NEVER
-    private var inSecond = 0
-    private var peak = 0
+    private val taken = LongArray(ActionKind.entries.size)
+    private val needless = LongArray(NeedlessActionKind.entries.size)
+    private var windowStart = MonotonicInstant.NEVER
+    private var actionsInWindow = 0
+    private var peakPerSecond = 0
 
-    private val started = LinkedHashMap<TaskId, MonotonicInstant>()
-    private val silent = LinkedHashMap<MachineId, MonotonicInstant>()
-    private val idle = HashMap<Market, ArrayDeque<MonotonicInstant>>()
+    private val recentStarts = LinkedHashMap<TaskId, MonotonicInstant>()
+    private val terminatedSuspects = LinkedHashMap<MachineId, MonotonicInstant>()
+    private val idleTerminations = HashMap<Market, ArrayDeque<MonotonicInstant>>()
 
+    /** Forgets everything about the previous term. */
     public fun newTerm() {
-        given.fill(0)
-        regrets.fill(0)
-        second = MonotonicInstant.NEVER
-        inSecond = 0
-        peak = 0
-        started.clear()
-        silent.clear()
-        idle.clear()
+        taken.fill(0)
+        needless.fill(0)
+        windowStart = MonotonicInstant.NEVER
+        actionsInWindow = 0
+        peakPerSecond = 0
+        recentStarts.clear()
+        terminatedSuspects.clear()
+        idleTerminations.clear()
     }
 
-    public fun gave(kind: ActionKind, count: Int, now: MonotonicInstant) {
+    /** Counts [count] actions of [kind] taken at [now]. */
+    public fun record(kind: ActionKind, count: Int, now: MonotonicInstant) {
         if (count == 0) return
-        given[kind.ordinal] += count.toLong()
-        if (now - second >= 1.seconds) {
-            second = now
-            inSecond = 0
+        taken[kind.ordinal] += count.toLong()
+        if (now - windowStart >= 1.seconds) {
+            windowStart = now
+            actionsInWindow = 0
         }
-        inSecond += count
-        peak = maxOf(peak, inSecond)
+        actionsInWindow += count
+        peakPerSecond = maxOf(peakPerSecond, actionsInWindow)
     }
 
-    public fun regrets(kind: NeedlessActionKind, count: Int = 1) {
-        regrets[kind.ordinal] += count.toLong()
+    /** Counts [count] earlier actions that proved needless. */
+    public fun recordNeedless(kind: NeedlessActionKind, count: Int = 1) {
+        needless[kind.ordinal] += count.toLong()
     }
 
-    public fun started(task: TaskId, now: MonotonicInstant) {
-        gave(ActionKind.START, 1, now)
-        // A start that is sent again is the same start.
-        if (task !in started) remember(started, task, now, SOON)
+    /** Counts the start of [task]. A start that is sent again keeps the time of its first sending. */
+    public fun recordStart(task: TaskId, now: MonotonicInstant) {
+        record(ActionKind.START, 1, now)
+        if (task !in recentStarts) remember(recentStarts, task, now, START_REVIEW_WINDOW)
     }
 
-    /** [asked]: its job has ended, or its machine is taken back. */
-    public fun stopped(task: TaskId, asked: Boolean, now: MonotonicInstant) {
-        gave(ActionKind.STOP, 1, now)
-        val since = started.remove(task)
-        if (since != null && !asked && now - since <= SOON) regrets(NeedlessActionKind.START_STOPPED)
+    /** Counts the stop of [task]; [asked] is true if its job has ended or its machine is about to be preempted. */
+    public fun recordStop(task: TaskId, asked: Boolean, now: MonotonicInstant) {
+        record(ActionKind.STOP, 1, now)
+        val startedAt = recentStarts.remove(task)
+        if (startedAt != null && !asked && now - startedAt <= START_REVIEW_WINDOW) {
+            recordNeedless(NeedlessActionKind.START_STOPPED)
+        }
     }
 
-    /** The cloud says that it is gone, after it was returned for its silence. */
-    public fun returnedSilent(machine: MachineId, now: MonotonicInstant) {
-        remember(silent, machine, now, AGAIN)
+    /** The cloud confirmed that [machine], terminated as failed, is gone. */
+    public fun recordSuspectGone(machine: MachineId, now: MonotonicInstant) {
+        remember(terminatedSuspects, machine, now, TERMINATION_REVIEW_WINDOW)
     }
 
-    /** A machine says something, of which we may have thought that it was gone. */
-    public fun spoke(machine: MachineId, now: MonotonicInstant) {
-        if (silent.isEmpty()) return
-        val since = silent.remove(machine) ?: return
-        if (now - since <= AGAIN) regrets(NeedlessActionKind.RETURNED_SPOKE)
+    /** A message of [machine] arrived, which may have been terminated as failed before. */
+    public fun machineSeen(machine: MachineId, now: MonotonicInstant) {
+        if (terminatedSuspects.isEmpty()) return
+        val goneAt = terminatedSuspects.remove(machine) ?: return
+        if (now - goneAt <= TERMINATION_REVIEW_WINDOW) recordNeedless(NeedlessActionKind.TERMINATED_WHILE_ALIVE)
     }
 
-    public fun returnedIdle(market: Market, now: MonotonicInstant) {
-        gave(ActionKind.RETURN, 1, now)
-        val its = idle.getOrPut(market) { ArrayDeque() }
-        its.addLast(now)
-        if (its.size > MOST) its.removeFirst()
+    /** Counts the termination of an idle machine of [market]. */
+    public fun recordIdleTermination(market: Market, now: MonotonicInstant) {
+        record(ActionKind.TERMINATE, 1, now)
+        val terminations = idleTerminations.getOrPut(market) { ArrayDeque() }
+        terminations.addLast(now)
+        if (terminations.size > MAX_REMEMBERED) terminations.removeFirst()
     }
 
-    public fun hired(market: Market, machines: Int, now: MonotonicInstant) {
-        val its = idle[market] ?: return
-        while (its.isNotEmpty() && now - its.first() > AGAIN) its.removeFirst()
-        val again = minOf(machines, its.size)
-        repeat(again) { its.removeFirst() }
-        regrets(NeedlessActionKind.RETURNED_HIRED, again)
+    /** The cloud provisioned [machines] machines of [market]: as many recent idle terminations there were needless. */
+    public fun recordProvisioned(market: Market, machines: Int, now: MonotonicInstant) {
+        val terminations = idleTerminations[market] ?: return
+        while (terminations.isNotEmpty() && now - terminations.first() > TERMINATION_REVIEW_WINDOW) {
+            terminations.removeFirst()
+        }
+        val replaced = minOf(machines, terminations.size)
+        repeat(replaced) { terminations.removeFirst() }
+        recordNeedless(NeedlessActionKind.TERMINATED_THEN_PROVISIONED, replaced)
     }
 
-    private fun <K> remember(where: LinkedHashMap<K, MonotonicInstant>, key: K, now: MonotonicInstant, span: Duration) {
-        where[key] = now
-        // The one just put in is neither too many nor too old.
-        val oldest = where.values.iterator()
-        while (oldest.hasNext()) {
-            val at = oldest.next()
-            if (where.size <= MOST && now - at <= span) break
-            oldest.remove()
+    private fun <K> remember(
+        entries: LinkedHashMap<K, MonotonicInstant>,
+        key: K,
+        now: MonotonicInstant,
+        retention: Duration,
+    ) {
+        entries[key] = now
+        // The loop ends at the new entry at the latest: it is neither too old nor beyond the limit.
+        val oldestFirst = entries.values.iterator()
+        while (oldestFirst.hasNext()) {
+            val recordedAt = oldestFirst.next()
+            if (entries.size <= MAX_REMEMBERED && now - recordedAt <= retention) break
+            oldestFirst.remove()
         }
     }
 
-    /** For `/status` and the log: counts by kind, the most orders within a second, and regrets. */
-    public fun read(): Map<String, Any?> = linkedMapOf(
-        "given" to ActionKind.entries.associate { it.name.lowercase() to given[it.ordinal] }.filterValues { it > 0 },
-        "peak_per_s" to peak,
+    /** The counts for `/status` and the log: actions by kind, the peak rate, and needless actions by kind. */
+    public fun snapshot(): Map<String, Any?> = linkedMapOf(
+        "given" to ActionKind.entries.associate { it.statusWord to taken[it.ordinal] }.filterValues { it > 0 },
+        "peak_per_s" to peakPerSecond,
         "regret" to
-            NeedlessActionKind.entries.associate { it.name.lowercase() to regrets[it.ordinal] }.filterValues { it > 0 },
+            NeedlessActionKind.entries.associate { it.statusWord to needless[it.ordinal] }.filterValues { it > 0 },
     )
 
     public companion object {
-        public val SOON: Duration = 30.seconds
-        public val AGAIN: Duration = 60.seconds
-        private const val MOST = 20_000
+        /** For how long after its start a stop makes the start needless. */
+        public val START_REVIEW_WINDOW: Duration = 30.seconds
+
+        /** For how long after a termination a sign of life or a new machine makes the termination needless. */
+        public val TERMINATION_REVIEW_WINDOW: Duration = 60.seconds
+        private const val MAX_REMEMBERED = 20_000
     }
 }
--- a/src/main/kotlin/org/elderhitch/recovery/ReconciliationStatistics.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/ReconciliationStatistics.kt
@@ -13,7 +13,7 @@
 internal class ReconciliationStatistics(private val clock: SteadyClock) {
     private val log = LoggerFactory.getLogger("elderhitch.recovery")
     private val rows = LongArray(TaskReconciliationRule.entries.size)
-    val orders = ActionLedger()
+    val actions = ActionLedger()
     private var leadership: LeadershipState.Leader? = null
     private var toldLate = true
     private var settledAfter: Duration? = null
@@ -21,7 +21,7 @@
     fun newTerm(leadership: LeadershipState.Leader) {
         this.leadership = leadership
         rows.fill(0)
-        orders.newTerm()
+        actions.newTerm()
         toldLate = leadership.previousLeader == null
         settledAfter = null
     }
@@ -58,10 +58,10 @@
         "settled_ms" to settledAfter?.inWholeMilliseconds,
         "rows" to
             TaskReconciliationRule.entries.associate {
-                it.name.lowercase() to rows[it.ordinal]
+                it.statusWord to rows[it.ordinal]
             }.filterValues { it > 0 },
     ) +
-        orders.read()
+        actions.snapshot()
 
     private companion object {
         val LATE = 60.seconds
--- a/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
@@ -43,7 +43,7 @@
     var previousLeaderEnded = false
 
     /** Machines whose word is missing; empty too while it isn't known which there are. */
-    val unheard: Set<MachineId> get() = silent.orEmpty()
+    val unaccounted: Set<MachineId> get() = silent.orEmpty()
 
     fun begin(leadership: LeadershipState.Leader) {
         term = leadership.term
@@ -54,18 +54,18 @@
         end = leases.overAfterClaim(leadership.claimedAt, times)
     }
 
-    fun inventory(machines: Set<MachineId>) {
+    fun expect(machines: Set<MachineId>) {
         silent = HashSet(machines)
     }
 
     /** It is settled: it has told this term what is on it, or is gone. */
-    fun heard(machine: MachineId) {
+    fun markAccounted(machine: MachineId) {
         silent?.remove(machine)
         renewed.remove(machine)
     }
 
     /** A report of a machine that didn't know this term is being answered, which came at [at]. */
-    fun answered(machine: MachineId, at: MonotonicInstant) {
+    fun heartbeatAnswered(machine: MachineId, at: MonotonicInstant) {
         if (!settled) renewed[machine] = at
     }
 
@@ -73,7 +73,7 @@
      * Machines that still don't know this term get no more answers, or a deaf one would keep the takeover from ever
      * ending. They hear of the term by being asked.
      */
-    fun closing(now: MonotonicInstant): Boolean = !settled && now > end
+    fun refusesUnawareWorkers(now: MonotonicInstant): Boolean = !settled && now > end
 
     /** The former leader has surely stopped answering workers: each lease that it kept alive ends from now on. */
     fun previousLeadersStopped() {
@@ -81,7 +81,7 @@
     }
 
     /** True when the takeover has just ended. */
-    fun check(): Boolean {
+    fun trySettle(): Boolean {
         if (settled) return false
         val now = clock.now()
         val overdue = now > end && renewed.values.all { now > leases.overAfter(it) }
@@ -97,7 +97,7 @@
      * job doesn't allow it, or where it doesn't fit: services don't wait for the word of a spot machine, nor large
      * tasks for that of a small one.
      */
-    fun mayHide(job: JobSpec, known: Map<MachineId, Machine>, catalog: Catalog): Boolean {
+    fun mayRunUnreported(job: JobSpec, known: Map<MachineId, Machine>, catalog: Catalog): Boolean {
         if (settled) return false
         val unheard = silent ?: return true
         return unheard.any { id ->
@@ -110,7 +110,7 @@
     }
 
     /** How many machines of a zone may still run what nobody has reported; null: it isn't known which there are. */
-    fun hidingIn(zone: Zone, known: Map<MachineId, Machine>): Int? {
+    fun unaccountedIn(zone: Zone, known: Map<MachineId, Machine>): Int? {
         if (settled) return 0
         // Of a machine that nothing is known of, not even its zone is.
         return silent?.count { id -> known[id].let { it == null || it.zone == zone } }
@@ -120,7 +120,7 @@
     fun endsSoon(now: MonotonicInstant): Boolean = leases.endSoon(end, now)
 
     /** What the silent machines could be running, whoever it belongs to. */
-    fun reserved(known: Map<MachineId, Machine>, catalog: Catalog): Resources {
+    fun reservedResources(known: Map<MachineId, Machine>, catalog: Catalog): Resources {
         if (settled) return Resources.NONE
         var sum = Resources.NONE
         for (id in silent ?: return EVERYTHING) sum += known[id]?.let { catalog.resources(it.type) } ?: EVERYTHING
--- a/src/main/kotlin/org/elderhitch/recovery/TaskReconciler.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/TaskReconciler.kt
@@ -7,9 +7,9 @@
 import org.elderhitch.heartbeat.TaskStatus
 import org.elderhitch.jobs.TaskId
 import org.elderhitch.scheduler.EventLog
-import org.elderhitch.tasks.Certainty
 import org.elderhitch.tasks.JobState
 import org.elderhitch.tasks.Placement
+import org.elderhitch.tasks.PlacementState
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.tasks.isGang
@@ -40,15 +40,15 @@
             worker.changed()
         }
         val seen = HashSet<TaskId>()
-        worker.strangers = emptyList()
+        worker.unknownTaskJobs = emptyList()
         for (task in report.tasks) {
             seen.add(task.task)
-            val job = table.named(task.task.job)
+            val job = table.findOrOpen(task.task.job)
             if (job == null) stranger(worker, task) else reconcile(worker, job, task)
         }
         for (p in worker.placements.values.toList()) {
-            if (p.task in seen || p.certainty == Certainty.ASSIGNED || p.onItsWay) continue
-            if (inReply && p.certainty == Certainty.SENT) continue
+            if (p.task in seen || p.state == PlacementState.ASSIGNED || p.directStartPending) continue
+            if (inReply && p.state == PlacementState.SENT) continue
             // Reports come one at a time: this one was sent after the answer with the start was taken or given up.
             table.jobs[p.task.job]?.let { table.remove(it, p) } ?: forgotten(worker, p)
         }
@@ -67,7 +67,7 @@
             ),
         )
         reconciled(row)
-        if (row.verdict == TaskVerdict.STOP) worker.strangers += task.task.job
+        if (row.verdict == TaskVerdict.STOP) worker.unknownTaskJobs += task.task.job
     }
 
     private fun forgotten(worker: WorkerState, placement: Placement) {
@@ -101,22 +101,22 @@
 
             TaskVerdict.STOP, TaskVerdict.REAP -> return
         }
-        if (log.isDebugEnabled && (placement.phase != task.phase || placement.certainty != Certainty.REPORTED)) {
+        if (log.isDebugEnabled && (placement.phase != task.phase || placement.state != PlacementState.CONFIRMED)) {
             log.debug("task task={} phase={} machine={} class={}", task.task, task.phase, worker.id, job.spec.jobClass)
         }
-        if (placement.certainty != Certainty.REPORTED || placement.phase != task.phase) worker.changed()
+        if (placement.state != PlacementState.CONFIRMED || placement.phase != task.phase) worker.changed()
         seen(job, placement)
         if (placement.phase != task.phase) table.dirty = true
         placement.phase = task.phase
         if (task.phase == TaskPhase.FETCHING && placement.fetchingSince == null) placement.fetchingSince = clock.now()
-        if (task.phase == TaskPhase.RUNNING && placement.runsSince == null) placement.runsSince = clock.now()
-        if (job.isGang && job.placements[index] === placement) job.gang.seen(task.phase)
-        if (TaskReconciliation.stops(named) && placement.stop == null) table.stop(job, placement, Duration.ZERO)
+        if (task.phase == TaskPhase.RUNNING && placement.runningSince == null) placement.runningSince = clock.now()
+        if (job.isGang && job.placements[index] === placement) job.gang.observe(task.phase)
+        if (TaskReconciliation.mustStop(named) && placement.stopGrace == null) table.stop(job, placement, Duration.ZERO)
     }
 
     private fun named(job: JobState, task: TaskStatus, own: Placement?, elsewhere: Placement?): ReportedTask =
         ReportedTask(
-            if (job.ended) JobLifecycle.ENDED else JobLifecycle.OPEN,
+            if (job.isTerminal) JobLifecycle.ENDED else JobLifecycle.OPEN,
             exists = task.task.index < job.spec.tasks,
             live = task.phase != TaskPhase.EXITED,
             saving = task.phase == TaskPhase.SAVING,
@@ -128,8 +128,8 @@
             },
             when {
                 elsewhere == null -> RemotePlacement.NOTHING
-                elsewhere.certainty == Certainty.ASSIGNED -> RemotePlacement.UNSENT
-                elsewhere.stop != null || elsewhere.certainty == Certainty.SENT -> RemotePlacement.UNSURE
+                elsewhere.state == PlacementState.ASSIGNED -> RemotePlacement.UNSENT
+                elsewhere.stopGrace != null || elsewhere.state == PlacementState.SENT -> RemotePlacement.UNSURE
                 task.attempt.number < elsewhere.attempt.number -> RemotePlacement.LATER
                 else -> RemotePlacement.EARLIER
             },
@@ -155,17 +155,17 @@
         val placement = if (row.verdict == TaskVerdict.SURPLUS) {
             table.placeSurplus(job, task.task, task.attempt, worker)
         } else {
-            table.place(job, task.task, task.attempt, worker, Certainty.REPORTED, MonotonicInstant.NEVER)
+            table.place(job, task.task, task.attempt, worker, PlacementState.CONFIRMED, MonotonicInstant.NEVER)
         }
-        if (job.isGang && job.placements[task.task.index] === placement) job.gang.found(task.attempt)
+        if (job.isGang && job.placements[task.task.index] === placement) job.gang.memberFound(task.attempt)
         table.dirty = true
         return placement
     }
 
     private fun seen(job: JobState, placement: Placement) {
-        if (placement.certainty == Certainty.REPORTED) return
-        placement.certainty = Certainty.REPORTED
-        if (!placement.counted) job.tally.seenStarting(clock.now())
+        if (placement.state == PlacementState.CONFIRMED) return
+        placement.state = PlacementState.CONFIRMED
+        if (!placement.accounted) job.usage.recordStart(clock.now())
     }
 
     private fun finished(worker: WorkerState, job: JobState, task: TaskStatus, own: Placement?) {
@@ -176,14 +176,14 @@
     }
 
     private fun complete(job: JobState, index: Int) {
-        if (index in job.done) return
+        if (index in job.completed) return
         // Of a gang, all members have run, seen or not: they complete together.
         val complete = if (job.isGang) job.placements.values else listOfNotNull(job.placements[index])
-        complete.forEach { job.tally.completed(it, clock.now(), job.placements[index]?.runsSince) }
-        complete.firstOrNull { it.sendBy != MonotonicInstant.NEVER }?.let { table.onDone(job, it) }
+        complete.forEach { job.usage.recordCompletion(it, clock.now(), job.placements[index]?.runningSince) }
+        complete.firstOrNull { it.sendBy != MonotonicInstant.NEVER }?.let { table.onTaskCompleted(job, it) }
         log.debug("task done task={}/{}", job.id, index)
         // A gang completes as a whole: one member's word is all members'.
-        if (job.isGang) repeat(job.spec.tasks) { job.done.add(it) } else job.done.add(index)
+        if (job.isGang) repeat(job.spec.tasks) { job.completed.add(it) } else job.completed.add(index)
         table.dirty = true
     }
 
@@ -200,10 +200,10 @@
                 events.info("start refused ${task.cause}", worker.id) {
                     "start refused task=${task.task} machine=${worker.id} cause=${task.cause}"
                 }
-                worker.shun(job.id, now + REFUSED_PAUSE)
+                worker.avoid(job.id, now + REFUSED_PAUSE)
             }
 
-            ExitCause.INCOMPLETE, ExitCause.PEERS -> job.gang.gaveUp()
+            ExitCause.INCOMPLETE, ExitCause.PEERS -> job.gang.abandon()
 
             else -> Unit
         }
--- a/src/main/kotlin/org/elderhitch/scheduler/Consolidation.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/Consolidation.kt
@@ -42,17 +42,17 @@
             return
         }
         nextMove = now + BETWEEN_MOVES
-        worker.drainedUntil = now + DRAIN
+        worker.drainingUntil = now + DRAIN
         log.info("machine drained machine={} tasks={}", machine, placements.size)
         for (p in placements) table.jobs[p.task.job]?.let { table.stop(it, p, Duration.ZERO) }
     }
 
     private fun movable(placement: Placement, now: MonotonicInstant): Boolean {
         val job = table.jobs[placement.task.job] ?: return false
-        val since = placement.runsSince ?: return false
+        val since = placement.runningSince ?: return false
         return job.spec.kind == JobKind.SERVICE &&
-            !job.ended &&
-            placement.stop == null &&
+            !job.isTerminal &&
+            placement.stopGrace == null &&
             placement.phase == TaskPhase.RUNNING &&
             now - since > SETTLED
     }
--- a/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
@@ -24,9 +24,9 @@
 import org.elderhitch.settings.Objective
 import org.elderhitch.settings.Team
 import org.elderhitch.settings.TeamName
-import org.elderhitch.tasks.Certainty
 import org.elderhitch.tasks.JobState
 import org.elderhitch.tasks.Placement
+import org.elderhitch.tasks.PlacementState
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.tasks.isGang
@@ -76,8 +76,8 @@
             }
         }
         for (worker in table.workers.values) {
-            for (job in worker.strangers) {
-                table.departed(job)?.let {
+            for (job in worker.unknownTaskJobs) {
+                table.recentlyEnded(job)?.let {
                     quota.add(it.team, it.need)
                 }
             }
@@ -121,7 +121,7 @@
         for (job in table.jobs.values) {
             val spec = job.spec
             // Once the takeover is settled nothing hides, and nothing is counted.
-            if (job.ended ||
+            if (job.isTerminal ||
                 job.isGang ||
                 spec.priority == Priority.LOW ||
                 job.version > leadership.termRevision ||
@@ -129,7 +129,7 @@
             ) {
                 continue
             }
-            val missing = spec.tasks - job.done.count - job.placements.size
+            val missing = spec.tasks - job.completed.count - job.placements.size
             if (missing >
                 0
             ) {
@@ -148,14 +148,14 @@
 
     /** A task that this term started completed. */
     fun completed(job: JobState, placement: Placement, now: MonotonicInstant) {
-        placement.runsSince?.let { runs.seen(job.spec, now - it) }
+        placement.runningSince?.let { runs.seen(job.spec, now - it) }
     }
 
     /** Tasks whose job nobody here remembers may be any team's, and take as much as their machine has. */
     private fun unknown(catalog: Catalog): Resources {
         var sum = Resources.NONE
         for (worker in table.workers.values) {
-            if (worker.strangers.any { table.departed(it) == null }) {
+            if (worker.unknownTaskJobs.any { table.recentlyEnded(it) == null }) {
                 sum +=
                     catalog.resources(worker.type) ?: Resources.NONE
             }
@@ -168,7 +168,7 @@
         var memoryGb = 0.0
         for (job in table.jobs.values) {
             val need = job.spec.need
-            if (need.gpus <= 0 || job.ended) continue
+            if (need.gpus <= 0 || job.isTerminal) continue
             cpus = maxOf(cpus, need.cpus / need.gpus)
             memoryGb = maxOf(memoryGb, need.memoryGb / need.gpus)
         }
@@ -189,26 +189,26 @@
         for (p in worker.placements.values) {
             val job = table.jobs[p.task.job] ?: continue
             free -= job.spec.need
-            tenants.add(Occupant(job.spec, (p.runsSince ?: now) + runs.expected(job.spec)))
+            tenants.add(Occupant(job.spec, (p.runningSince ?: now) + runs.expected(job.spec)))
             // What is in use is not what a cache drops; what is being fetched is given up when its task goes.
-            val there = p.certainty == Certainty.REPORTED && p.phase != TaskPhase.FETCHING
+            val there = p.state == PlacementState.CONFIRMED && p.phase != TaskPhase.FETCHING
             if (there) {
-                worker.usesImage(job.spec.image, job.spec.imageGb)
+                worker.recordImageUse(job.spec.image, job.spec.imageGb)
             } else if (job.spec.image !in
                 cached
             ) {
                 fetching.merge(job.spec.image, left(p, job.spec, type, now), ::minOf)
             }
             when {
-                p.stop != null -> leaving += job.spec.need
+                p.stopGrace != null -> leaving += job.spec.need
 
-                !job.isGang && p.certainty == Certainty.REPORTED && job.spec.priority < Priority.PRODUCTION ->
+                !job.isGang && p.state == PlacementState.CONFIRMED && job.spec.priority < Priority.PRODUCTION ->
                     victims.add(
                         PreemptionCandidate(
                             p.task,
                             job.spec.priority,
                             job.spec.need,
-                            p.runsSince.takeUnless {
+                            p.runningSince.takeUnless {
                                 job.spec.saves
                             },
                         ),
@@ -217,7 +217,7 @@
         }
         return MachineView(
             worker.id, worker.type, worker.zone, worker.spot, worker.cachedImages(type.cacheGb), free, leaving, victims,
-            worker.shunnedBy, lasting(worker), type.resources, worker.placements.isEmpty(), type.fetchGbPerS,
+            worker.avoidedBy, lasting(worker), type.resources, worker.placements.isEmpty(), type.fetchGbPerS,
             fetching, tenants,
         )
     }
@@ -239,7 +239,7 @@
         mayHide: (JobSpec) -> Boolean,
         now: MonotonicInstant,
     ): JobView? {
-        if (job.ended || now < job.notBefore || job.done.all || job.hold != null || job.holding) return null
+        if (job.isTerminal || now < job.notBefore || job.completed.all || job.hold != null || job.holdPending) return null
         // A task that no report names may still run on a silent worker, if its job is older than our term.
         if (job.version <= leadership.termRevision && mayHide(job.spec)) return null
         if (job.isGang) {
@@ -250,17 +250,17 @@
                 }.forEach { table.stop(job, it, Duration.ZERO) }
                 if (job.placements.isNotEmpty()) return null
             }
-            if (job.gang.started || job.placements.values.any { it.stop != null }) return null
-        } else if (job.placements.size + job.done.count >= job.spec.tasks) {
+            if (job.gang.started || job.placements.values.any { it.stopGrace != null }) return null
+        } else if (job.placements.size + job.completed.count >= job.spec.tasks) {
             return null
         }
         val probes = faults.probes(job)
         val most = if (job.isGang) job.spec.tasks else minOf(MAX_PENDING, probes ?: MAX_PENDING)
         val pending = ArrayList<Int>()
-        var index = job.done.firstMissing(0)
+        var index = job.completed.firstMissing(0)
         while (index < job.spec.tasks && pending.size < most) {
             if (index !in job.placements) pending.add(index)
-            index = job.done.firstMissing(index + 1)
+            index = job.completed.firstMissing(index + 1)
         }
         if (pending.isEmpty()) return null
         val join = if (job.isGang && job.placements.isNotEmpty()) job.gang.attempt else null
@@ -328,7 +328,7 @@
         val alone = job.spec.kind == JobKind.ARRAY && !job.spec.spread && !job.spec.oneZone && !view.probe
         return alone &&
             job.placements.isEmpty() &&
-            job.done.count == 0 &&
+            job.completed.count == 0 &&
             now - job.openedAt > BEGIN_AFTER &&
             !quota.allows(job.spec.team, job.spec.need * view.pending.size)
     }
--- a/src/main/kotlin/org/elderhitch/scheduler/DemandReporter.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/DemandReporter.kt
@@ -28,11 +28,11 @@
         cleared: Set<MachineId>,
         usable: (WorkerState) -> Boolean,
     ): List<MachineUse> =
-        table.workers.values.filter { it.settled && it.id in cleared }.map { use(it, catalog, now, usable(it)) }
+        table.workers.values.filter { it.reconciled && it.id in cleared }.map { use(it, catalog, now, usable(it)) }
 
     fun services(): List<JobSpec> = table.jobs.values.filter {
         it.spec.kind == JobKind.SERVICE &&
-            !it.ended &&
+            !it.isTerminal &&
             it.hold == null
     }.map { it.spec }
 
@@ -58,15 +58,15 @@
             usable,
             // A silent machine isn't idle: it may be cut off, and what it runs is counted as lost only for its lease's
             // sake.
-            idle = if (now - worker.lastReport <= suspectAfter && worker.isEmpty) now - worker.idleSince else null,
-            faulty = worker.sick,
+            idle = if (now - worker.lastHeartbeatAt <= suspectAfter && worker.isEmpty) now - worker.idleSince else null,
+            faulty = worker.faulty,
         )
     }
 
     /** By the owner's estimate, which is often wrong: a task over it is given as long again as a part of it. */
     private fun endsWithin(job: JobState, placement: Placement, span: Duration, now: MonotonicInstant): Boolean {
         if (job.spec.kind == JobKind.SERVICE) return false
-        val since = placement.runsSince ?: return false
+        val since = placement.runningSince ?: return false
         val left = job.spec.estimate - (now - since)
         return maxOf(left, job.spec.estimate * OVERRUN_SHARE) < span
     }
--- a/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
@@ -35,7 +35,7 @@
     fun newTerm() {
         waiting.values.forEach { it.complete(HoldResult.NotNow("another term begins")) }
         waiting.clear()
-        table.jobs.values.forEach { it.holding = false }
+        table.jobs.values.forEach { it.holdPending = false }
     }
 
     /** [mayHide]: whether an unreported task of the job may run on a machine that has not reported yet. */
@@ -47,13 +47,13 @@
         mayHide: (JobSpec) -> Boolean,
         reply: CompletableDeferred<HoldResult>,
     ) {
-        val job = table.jobs[id]?.takeUnless { it.ended }
+        val job = table.jobs[id]?.takeUnless { it.isTerminal }
         val refusal = when {
             job == null -> HoldResult.NoSuchJob
 
             job.hold != null -> HoldResult.Held
 
-            job.holding -> HoldResult.NotNow("a hold is being recorded")
+            job.holdPending -> HoldResult.NotNow("a hold is being recorded")
 
             job.version <= leadership.termRevision &&
                 mayHide(
@@ -81,15 +81,15 @@
     }
 
     private fun begin(leadership: LeadershipState.Leader, job: JobState, hold: JobHold) {
-        job.holding = true
-        ports.hold(leadership, job.id, job.version, job.holdKey?.version ?: Revision.ABSENT, hold)
+        job.holdPending = true
+        ports.hold(leadership, job.id, job.version, job.storedHold?.version ?: Revision.ABSENT, hold)
     }
 
     fun written(id: JobId, outcome: HoldWriteResult) {
         val reply = waiting.remove(id)
         val job = table.jobs[id]
         // An unknown write may still come through: until it is seen, or the term ends, nothing is started.
-        if (outcome == HoldWriteResult.NOT_WRITTEN) job?.holding = false
+        if (outcome == HoldWriteResult.NOT_WRITTEN) job?.holdPending = false
         table.dirty = true
         reply?.complete(
             when (outcome) {
@@ -111,18 +111,18 @@
             if (key != null && leadership != null) ports.forgetHold(leadership, id)
             return
         }
-        if (hold == null) job.tally.forgive()
-        job.holdKey = key
-        job.holding = false
+        if (hold == null) job.usage.forgetFailures()
+        job.storedHold = key
+        job.holdPending = false
         table.dirty = true
     }
 
     /** What is suspended stops with a save; seen in each tick, as a takeover may find tasks of it later. */
     fun stopSuspended() {
         for (id in suspended) {
-            val job = table.jobs[id]?.takeUnless { it.ended } ?: continue
+            val job = table.jobs[id]?.takeUnless { it.isTerminal } ?: continue
             for (p in job.placements.values.toList()) {
-                if (p.stop ==
+                if (p.stopGrace ==
                     null
                 ) {
                     table.stop(job, p, job.spec.saveTakes + SAVE_MARGIN)
@@ -134,8 +134,8 @@
     /** Holds the job if a task of it was started as often as the rule of its class allows. */
     fun failed(leadership: LeadershipState.Leader, job: JobState, index: Int) {
         val most = rules.of(job.spec.jobClass).attempts ?: return
-        if (job.hold != null || job.holding || job.ended || job.tally.failuresOf(index) < most) return
-        log.info("job held job={} rule=attempts task={} starts={}", job.id, index, job.tally.failuresOf(index))
+        if (job.hold != null || job.holdPending || job.isTerminal || job.usage.failuresOf(index) < most) return
+        log.info("job held job={} rule=attempts task={} starts={}", job.id, index, job.usage.failuresOf(index))
         begin(
             leadership,
             job,
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -45,11 +45,11 @@
 import org.elderhitch.settings.TeamName
 import org.elderhitch.settings.WorkerTimeouts
 import org.elderhitch.settings.Zone
-import org.elderhitch.tasks.Certainty
 import org.elderhitch.tasks.CompletionReporter
 import org.elderhitch.tasks.JobState
 import org.elderhitch.tasks.MachineRegistry
 import org.elderhitch.tasks.Placement
+import org.elderhitch.tasks.PlacementState
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.tasks.isGang
@@ -94,7 +94,7 @@
     private val taskReconciler = TaskReconciler(table, faults, clock, events, reconciliations::seen)
     private val commands = CommandPlanner(table)
     private val pauseDetector = PauseDetector(TICK)
-    private val workerProber = WorkerProber(table, takeover, workerTimes, pauseDetector, ports, reconciliations.orders)
+    private val workerProber = WorkerProber(table, takeover, workerTimes, pauseDetector, ports, reconciliations.actions)
     private val machineRegistry = MachineRegistry()
     private val delegates = ZoneDelegates(own, nodeZones, times, table, takeover, machineRegistry, ports)
     private val failureDetector =
@@ -119,7 +119,7 @@
     private val news = CompletionReporter(table, clock, wallClock, ports)
     private val explanation = JobExplainer(table, faults, takeover, failureDetector, machineRegistry, teams)
     private val conversation =
-        HeartbeatHandler(table, takeover, taskReconciler, commands, failureDetector, workerProber, machineRegistry, workerTimes, events, ports, reconciliations.orders, {
+        HeartbeatHandler(table, takeover, taskReconciler, commands, failureDetector, workerProber, machineRegistry, workerTimes, events, ports, reconciliations.actions, {
             hinted[it]
         }, ::checkTakeover)
     private var hinted: Map<MachineId, Map<Image, Double>> = emptyMap()
@@ -145,8 +145,8 @@
 
     override fun start() {
         super.start()
-        table.onLost = ::lost
-        table.onDone = { job, placement -> cycleInputBuilder.completed(job, placement, clock.now()) }
+        table.onTaskLost = ::lost
+        table.onTaskCompleted = { job, placement -> cycleInputBuilder.completed(job, placement, clock.now()) }
         scope.launch {
             while (true) {
                 delay(TICK)
@@ -173,12 +173,12 @@
             is SchedulerMessage.InventoryLoaded -> inventory(message)
 
             is SchedulerMessage.MachineProvisioned -> {
-                machineRegistry.rented(message.machine, clock.now())
+                machineRegistry.provisioned(message.machine, clock.now())
                 table.dirty = true
             }
 
             is SchedulerMessage.MachineUsable -> {
-                machineRegistry.clear(message.machine)
+                machineRegistry.markCleared(message.machine)
                 table.dirty = true
             }
 
@@ -200,7 +200,7 @@
                 refused = message.refused
             }
 
-            is SchedulerMessage.CompletionsRecorded -> if (message.term == term()) news.recorded(message.finished)
+            is SchedulerMessage.CompletionsRecorded -> if (message.term == term()) news.onRecorded(message.finished)
 
             is SchedulerMessage.CommandsDelivered -> currentLeadership()?.takeIf {
                 it.term == message.term
@@ -241,13 +241,13 @@
             is SchedulerMessage.GetPlacements -> message.reply.complete(
                 currentLeadership()?.takeIf {
                     tableComplete
-                }?.let { table.whereabouts() },
+                }?.let { table.locations() },
             )
 
             is SchedulerMessage.GetFaultyJobs -> message.reply.complete(
                 currentLeadership()?.takeIf { tableComplete }?.let {
                     table.jobs.values.filter {
-                        !it.ended &&
+                        !it.isTerminal &&
                             faults.atFault(it)
                     }.map { it.id }.toSet()
                 },
@@ -293,10 +293,10 @@
 
     private fun inventory(message: SchedulerMessage.InventoryLoaded) {
         if (message.term != term()) return
-        machineRegistry.inventory(message.mayRun, message.fresh, clock.now())
-        takeover.inventory(
+        machineRegistry.load(message.mayRun, message.fresh, clock.now())
+        takeover.expect(
             message.mayRun.map { it.id }.filter {
-                table.workers[it]?.settled != true &&
+                table.workers[it]?.reconciled != true &&
                     it !in machineRegistry.gone
             }.toSet(),
         )
@@ -305,7 +305,7 @@
     }
 
     private fun checkTakeover() {
-        if (!takeover.check()) return
+        if (!takeover.trySettle()) return
         table.dirty = true
         reconciliations.settled()
     }
@@ -325,25 +325,25 @@
                 table.open(event)
             }
 
-            is JobEvent.TasksCompleted -> table.finished(event)
+            is JobEvent.TasksCompleted -> table.recordCompletions(event)
 
             is JobEvent.Ended -> table.jobs[event.id]?.let { job ->
                 val leadership = currentLeadership()
-                if (leadership != null && job.finished.count > 0) {
+                if (leadership != null && job.recorded.count > 0) {
                     val blocks = (0 until job.spec.tasks).filter {
-                        it in job.finished
+                        it in job.recorded
                     }.map(CompletedTasks::blockOf).toSet()
                     ports.forget(leadership, job.id, blocks)
                 }
                 holds.ended(job.id)
-                if (leadership != null && job.holdKey != null) ports.forgetHold(leadership, job.id)
-                table.end(job)
+                if (leadership != null && job.storedHold != null) ports.forgetHold(leadership, job.id)
+                table.markTerminal(job)
             }
 
             is JobEvent.HoldChanged -> holds.heard(currentLeadership(), event.id, event.key)
 
             is JobEvent.FreshAsOf -> {
-                table.proven = event.since
+                table.freshAsOf = event.since
                 ports.leadership(LeadershipMessage.FreshAsOf(event.since))
             }
         }
@@ -356,15 +356,15 @@
             return
         }
         holds.ask(leadership, message.id, message.kind, message.reason, {
-            takeover.mayHide(it, machineRegistry.known, catalog)
+            takeover.mayRunUnreported(it, machineRegistry.known, catalog)
         }, message.reply)
     }
 
     private fun lost(job: JobState, placement: Placement) {
-        job.tally.gone(job, placement, clock.now(), holds.counts(job))
+        job.usage.recordLoss(job, placement, clock.now(), holds.counts(job))
         val leadership = currentLeadership() ?: return
         // A hold stands beside the job's own record, and a kept job has none.
-        if (holds.counts(job) && !job.kept) holds.failed(leadership, job, placement.task.index)
+        if (holds.counts(job) && !job.providerOwned) holds.failed(leadership, job, placement.task.index)
     }
 
     // ---- workers -----------------------------------------------------------------------------------------------
@@ -386,12 +386,12 @@
     }
 
     private fun machineGone(id: MachineId, proof: String) {
-        machineRegistry.lost(id)
-        takeover.heard(id)
+        machineRegistry.markGone(id)
+        takeover.markAccounted(id)
         table.workers.remove(id)?.let { worker ->
-            if (worker.releaseAsked != MonotonicInstant.NEVER) reconciliations.orders.returnedSilent(id, clock.now())
+            if (worker.releaseRequestedAt != MonotonicInstant.NEVER) reconciliations.actions.recordSuspectGone(id, clock.now())
             events.info("worker gone", id) { "worker settled machine=$id by=$proof tasks=${worker.placements.size}" }
-            table.loseAll(worker)
+            table.removeAllOf(worker)
         }
         table.dirty = true
         checkTakeover()
@@ -433,9 +433,9 @@
         val usable = { worker: WorkerState -> usable(worker, now) }
         val input = cycleInputBuilder.input(
             leadership, {
-                takeover.mayHide(it, machineRegistry.known, catalog)
+                takeover.mayRunUnreported(it, machineRegistry.known, catalog)
             },
-            takeover.reserved(
+            takeover.reservedResources(
                 machineRegistry.known,
                 catalog,
             ),
@@ -520,33 +520,33 @@
     private fun cordon(machines: List<MachineId>) {
         val now = clock.now()
         val (empty, inUse) = machines.partition { table.workers[it]?.isEmpty != false }
-        empty.forEach { table.workers[it]?.releaseAsked = now }
+        empty.forEach { table.workers[it]?.releaseRequestedAt = now }
         ports.fleet(FleetMessage.MachinesCordoned(empty, inUse))
     }
 
     /** A machine that the cloud takes back: what can save, saves; what can't, runs on while it may. */
     private fun drainNoticed() {
         for (worker in table.workers.values) {
-            val notice = worker.notice ?: continue
+            val notice = worker.preemptionNotice ?: continue
             for (p in worker.placements.values.toList()) {
                 val job = table.jobs[p.task.job] ?: continue
-                if (p.stop != null) continue
-                if (p.certainty == Certainty.ASSIGNED) table.remove(job, p)
+                if (p.stopGrace != null) continue
+                if (p.state == PlacementState.ASSIGNED) table.remove(job, p)
                 if (job.spec.saves && job.spec.saveTakes < notice) table.stop(job, p, job.spec.saveTakes + SAVE_MARGIN)
             }
         }
     }
 
-    private fun usable(worker: WorkerState, now: MonotonicInstant): Boolean = worker.settled &&
+    private fun usable(worker: WorkerState, now: MonotonicInstant): Boolean = worker.reconciled &&
         worker.lease?.unanswered == false &&
-        worker.notice == null &&
-        !worker.sick &&
+        worker.preemptionNotice == null &&
+        !worker.faulty &&
         !worker.unreachable &&
-        now > worker.doubtedUntil &&
-        now > worker.drainedUntil &&
+        now > worker.quarantinedUntil &&
+        now > worker.drainingUntil &&
         worker.id in machineRegistry.cleared &&
         !failureDetector.isSuspect(worker, now) &&
-        worker.releaseAsked == MonotonicInstant.NEVER
+        worker.releaseRequestedAt == MonotonicInstant.NEVER
 
     private fun assign(task: TaskId, machine: MachineId, join: Attempt?, now: MonotonicInstant, held: Duration) {
         val job = table.jobs[task.job] ?: return
@@ -556,7 +556,7 @@
             join != null -> join
             else -> job.gang.attemptFor(job.placements.isNotEmpty()) { Attempt(nextAttempt++) } ?: return
         }
-        table.place(job, task, attempt, worker, Certainty.ASSIGNED, now + held + times.cycleBudget, now + held)
+        table.place(job, task, attempt, worker, PlacementState.ASSIGNED, now + held + times.cycleBudget, now + held)
         if (log.isDebugEnabled) {
             val cached = job.spec.image in worker.cachedImages(catalog.types[worker.type]?.cacheGb ?: 0.0)
             log.debug("task assigned task={} machine={} spot={} cached={}", task, machine, worker.spot, cached)
--- a/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
@@ -26,29 +26,29 @@
 
     /** Of a job of an earlier term it is a lower bound: what that saw is not known here. */
     fun account(leadership: LeadershipState.Leader, job: JobState): JobAccount =
-        job.tally.account(job, clock.now(), wallClock.now(), lowerBound = job.version <= leadership.termRevision)
+        job.usage.account(job, clock.now(), wallClock.now(), lowerBound = job.version <= leadership.termRevision)
 
     fun record(leadership: LeadershipState.Leader) {
         if (recording) return
         val now = clock.now()
         // Parts of jobs wait for each other: each rewrites whole blocks, and the end of a job waits for none of that.
         val parts = now - lastParts > PARTS_EVERY
-        val news = table.jobs.values.filter { !it.ended && it.done.count > it.finished.count && (parts || it.done.all) }
+        val news = table.jobs.values.filter { !it.isTerminal && it.completed.count > it.recorded.count && (parts || it.completed.all) }
         // Kept jobs are recorded many at a time and whole: their keeper packs them, once a scheduling cycle.
         val batches = (
-            news.filter { !it.kept }.take(MAX_BATCHES) +
-                if (parts) news.filter { it.kept && it.done.all } else emptyList()
+            news.filter { !it.providerOwned }.take(MAX_BATCHES) +
+                if (parts) news.filter { it.providerOwned && it.completed.all } else emptyList()
             )
             .map {
                 CompletionBatch(
                     it.id,
                     it.version,
-                    it.done,
-                    it.done.beyond(it.finished),
-                    if (it.done.all) account(leadership, it) else null,
-                    it.holdKey != null,
+                    it.completed,
+                    it.completed.beyond(it.recorded),
+                    if (it.completed.all) account(leadership, it) else null,
+                    it.storedHold != null,
                     it.blockVersions,
-                    it.kept,
+                    it.providerOwned,
                 )
             }
         if (batches.isEmpty()) return
@@ -57,11 +57,11 @@
         ports.record(leadership, batches)
     }
 
-    fun recorded(finished: Map<JobId, List<Int>>) {
+    fun onRecorded(finished: Map<JobId, List<Int>>) {
         recording = false
         for ((id, tasks) in finished) {
             val job = table.jobs[id] ?: continue
-            tasks.forEach { job.finished.add(it) }
+            tasks.forEach { job.recorded.add(it) }
         }
     }
 
--- a/src/main/kotlin/org/elderhitch/tasks/GangState.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/GangState.kt
@@ -28,22 +28,22 @@
     }
 
     /** A report brings a member that was not known here. */
-    fun found(member: Attempt) {
+    fun memberFound(member: Attempt) {
         val known = attempt
         if (known != null && known != member) broken = true
         attempt = member
     }
 
-    fun seen(phase: TaskPhase) {
+    fun observe(phase: TaskPhase) {
         if (phase == TaskPhase.RUNNING || phase == TaskPhase.SAVING) started = true
     }
 
-    fun gaveUp() {
+    fun abandon() {
         broken = true
     }
 
     /** A member is gone. Before the start it is replaced; after it, the rest must go before the next attempt. */
-    fun lost(membersLeft: Boolean) {
+    fun memberLost(membersLeft: Boolean) {
         if (!membersLeft) {
             reset()
         } else if (started) {
--- a/src/main/kotlin/org/elderhitch/tasks/JobState.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/JobState.kt
@@ -14,13 +14,13 @@
     val spec: JobSpec,
     val version: Revision,
     val openedAt: MonotonicInstant = MonotonicInstant.NEVER,
-    val kept: Boolean = false,
+    val providerOwned: Boolean = false,
 ) {
     /** Recorded as finished. */
-    val finished = CompletedTasks(spec.tasks)
+    val recorded = CompletedTasks(spec.tasks)
 
     /** Reported as done, recorded or not. */
-    val done = CompletedTasks(spec.tasks)
+    val completed = CompletedTasks(spec.tasks)
     val placements = HashMap<Int, Placement>()
 
     /**
@@ -33,23 +33,23 @@
 
     /** The versions of its recorded blocks of finished tasks. */
     var blockVersions: Map<Int, Revision> = emptyMap()
-    var ended = false
+    var isTerminal = false
 
     /** Its ending was not recorded yet when this was proven: no user was told of it before. */
-    var endedAfter: MonotonicInstant = MonotonicInstant.FOREVER
+    var knownOpenAt: MonotonicInstant = MonotonicInstant.FOREVER
     val gang = GangState()
-    val erredOn = HashSet<MachineId>()
+    val failedOn = HashSet<MachineId>()
     var notBefore: MonotonicInstant = MonotonicInstant.NEVER
-    var tally = JobUsage()
+    var usage = JobUsage()
 
     /** What stands under the key of its hold. */
-    var holdKey: JobHold? = null
+    var storedHold: JobHold? = null
 
     /** Recorded: nothing of it is started. */
-    val hold: JobHold? get() = holdKey?.effective
+    val hold: JobHold? get() = storedHold?.effective
 
     /** A hold is being recorded, or may be: nothing of it is started either. */
-    var holding = false
+    var holdPending = false
     val id: JobId get() = spec.id
 
     fun zones(): Map<Zone, Int> {
@@ -60,11 +60,11 @@
     }
 
     /** Its tasks on machines or on their way there, surplus copies included. */
-    fun everywhere(): Sequence<Placement> =
+    fun allPlacements(): Sequence<Placement> =
         placements.values.asSequence() + surplus?.values.orEmpty().asSequence().flatten()
 
     val running: Int get() = placements.values.count {
-        it.certainty == Certainty.REPORTED &&
+        it.state == PlacementState.CONFIRMED &&
             it.phase == TaskPhase.RUNNING
     }
 }
--- a/src/main/kotlin/org/elderhitch/tasks/JobUsage.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/JobUsage.kt
@@ -24,31 +24,31 @@
     /** Starts of each task that came to nothing by themselves; kept only where a rule asks for it. */
     private var failures: HashMap<Int, Int>? = null
 
-    fun seenStarting(now: MonotonicInstant) {
+    fun recordStart(now: MonotonicInstant) {
         attempts++
         if (now < firstStart) firstStart = now
     }
 
     /** [alike]: when a task that it ran together with was first seen running, for one that was not seen at all. */
-    fun completed(placement: Placement, now: MonotonicInstant, alike: MonotonicInstant?) {
-        if (placement.certainty != Certainty.REPORTED) seenStarting(now)
-        placement.counted = true
-        useful += (placement.runsSince ?: alike)?.let { now - it } ?: Duration.ZERO
+    fun recordCompletion(placement: Placement, now: MonotonicInstant, alike: MonotonicInstant?) {
+        if (placement.state != PlacementState.CONFIRMED) recordStart(now)
+        placement.accounted = true
+        useful += (placement.runningSince ?: alike)?.let { now - it } ?: Duration.ZERO
     }
 
     /** The task is no longer on its machine, and [completed] was not called for it. */
-    fun gone(job: JobState, placement: Placement, now: MonotonicInstant, counting: Boolean) {
-        if (placement.counted || placement.certainty != Certainty.REPORTED) return
-        placement.counted = true
+    fun recordLoss(job: JobState, placement: Placement, now: MonotonicInstant, counting: Boolean) {
+        if (placement.accounted || placement.state != PlacementState.CONFIRMED) return
+        placement.accounted = true
         val ran = ran(placement, now)
-        val saved = placement.stop.let { it != null && job.spec.saves && it >= job.spec.saveTakes }
+        val saved = placement.stopGrace.let { it != null && job.spec.saves && it >= job.spec.saveTakes }
         if (saved || job.spec.kind == JobKind.SERVICE) useful += ran else wasted += ran
-        if (placement.stop != null) return
+        if (placement.stopGrace != null) return
         lost++
         // A member of a gang that waited in vain for the others, or a fetch that was cut short, says nothing of the
         // task.
         if (counting &&
-            (placement.failed || placement.runsSince != null)
+            (placement.failed || placement.runningSince != null)
         ) {
             (failures ?: HashMap<Int, Int>().also { failures = it }).merge(placement.task.index, 1, Int::plus)
         }
@@ -56,18 +56,18 @@
 
     fun failuresOf(index: Int): Int = failures?.get(index) ?: 0
 
-    fun forgive() {
+    fun forgetFailures() {
         failures = null
     }
 
     private fun ran(placement: Placement, now: MonotonicInstant): Duration =
-        placement.runsSince?.let { now - it } ?: Duration.ZERO
+        placement.runningSince?.let { now - it } ?: Duration.ZERO
 
     fun account(job: JobState, now: MonotonicInstant, wallClock: WallTime, lowerBound: Boolean): JobAccount {
         var serving = useful
         var open = wasted
         for (p in job.placements.values) {
-            if (p.counted) continue
+            if (p.accounted) continue
             if (job.spec.kind == JobKind.SERVICE) serving += ran(p, now) else open += ran(p, now)
         }
         return JobAccount(
--- a/src/main/kotlin/org/elderhitch/tasks/MachineRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/MachineRegistry.kt
@@ -26,24 +26,24 @@
         lost.clear()
     }
 
-    fun inventory(mayRun: Collection<Machine>, fresh: Collection<Machine>, now: MonotonicInstant) {
+    fun load(mayRun: Collection<Machine>, fresh: Collection<Machine>, now: MonotonicInstant) {
         mayRun.forEach {
             machines[it.id] = it
             this.mayRun.add(it.id)
         }
-        fresh.forEach { rented(it, now) }
+        fresh.forEach { provisioned(it, now) }
     }
 
-    fun rented(machine: Machine, now: MonotonicInstant) {
+    fun provisioned(machine: Machine, now: MonotonicInstant) {
         machines[machine.id] = machine
         rentedAt[machine.id] = now
     }
 
-    fun clear(machine: MachineId) {
+    fun markCleared(machine: MachineId) {
         mayRun.add(machine)
     }
 
-    fun lost(machine: MachineId) {
+    fun markGone(machine: MachineId) {
         machines.remove(machine)
         rentedAt.remove(machine)
         mayRun.remove(machine)
--- a/src/main/kotlin/org/elderhitch/tasks/Placement.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/Placement.kt
@@ -8,7 +8,7 @@
 import kotlin.time.Duration
 
 /** How sure it is that a task is on its machine. */
-internal enum class Certainty {
+internal enum class PlacementState {
     /** Decided, not sent: can be taken back. */
     ASSIGNED,
 
@@ -16,14 +16,14 @@
     SENT,
 
     /** Reported by the worker. */
-    REPORTED,
+    CONFIRMED,
 }
 
 internal class Placement(
     val task: TaskId,
     val attempt: Attempt,
     val worker: WorkerState,
-    var certainty: Certainty,
+    var state: PlacementState,
     /** A start that was not sent by then is not sent at all. */
     val sendBy: MonotonicInstant,
     /** Members of a gang that have their image start later, so that they don't wait in vain for those that fetch it. */
@@ -32,13 +32,13 @@
     var phase: TaskPhase = TaskPhase.FETCHING
 
     /** Told to stop, with this grace; a withdrawal may still cut a saving short. */
-    var stop: Duration? = null
+    var stopGrace: Duration? = null
 
     /** The start was sent to the worker's own address and is not answered yet: it may be executed at any time. */
-    var onItsWay: Boolean = false
+    var directStartPending: Boolean = false
 
     /** The start was sent in an answer to a report too. */
-    var answered: Boolean = false
+    var sentInResponse: Boolean = false
 
     /** The stop has been sent at least once. */
     var stopSent: Boolean = false
@@ -50,10 +50,10 @@
     var failed: Boolean = false
 
     /** Its run stands in the job's account. */
-    var counted: Boolean = false
+    var accounted: Boolean = false
 
     /** When it was first seen running; null: it has not been. */
-    var runsSince: MonotonicInstant? = null
+    var runningSince: MonotonicInstant? = null
 
     val zone: Zone get() = worker.zone
 }
--- a/src/main/kotlin/org/elderhitch/tasks/TaskTable.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/TaskTable.kt
@@ -21,13 +21,13 @@
     private val keeps: (JobId) -> JobEvent.Opened? = { null },
 ) {
     /** Told when a task that was seen on a machine is gone from it without having completed. */
-    var onLost: (JobState, Placement) -> Unit = { _, _ -> }
+    var onTaskLost: (JobState, Placement) -> Unit = { _, _ -> }
 
     /** Told when a task that this term started has completed. */
-    var onDone: (JobState, Placement) -> Unit = { _, _ -> }
+    var onTaskCompleted: (JobState, Placement) -> Unit = { _, _ -> }
 
     /** Nothing that had happened to any job then is missing here. */
-    var proven = MonotonicInstant.NEVER
+    var freshAsOf = MonotonicInstant.NEVER
 
     val jobs = LinkedHashMap<JobId, JobState>()
     val workers = HashMap<MachineId, WorkerState>()
@@ -52,11 +52,11 @@
         for (job in jobs.values) {
             job.placements.clear()
             job.surplus = null
-            job.tally = JobUsage()
-            job.done.addAll(job.finished)
+            job.usage = JobUsage()
+            job.completed.addAll(job.recorded)
             job.gang.reset()
         }
-        jobs.values.filter { it.ended }.forEach(::depart)
+        jobs.values.filter { it.isTerminal }.forEach(::depart)
         dirty = true
     }
 
@@ -65,52 +65,52 @@
     }
 
     /** Tasks of a job that are recorded as finished. */
-    fun finished(event: JobEvent.TasksCompleted) {
+    fun recordCompletions(event: JobEvent.TasksCompleted) {
         val job = jobs[event.id] ?: return
         job.blockVersions += event.block to event.version
-        job.finished.addAll(event.tasks)
-        job.done.addAll(event.tasks)
+        job.recorded.addAll(event.tasks)
+        job.completed.addAll(event.tasks)
     }
 
     /** An open job that a worker names, perhaps one that was not opened here yet; null: it has ended. */
-    fun named(id: JobId): JobState? = jobs[id] ?: keeps(id)?.let(::open)
+    fun findOrOpen(id: JobId): JobState? = jobs[id] ?: keeps(id)?.let(::open)
 
     fun place(
         job: JobState,
         task: TaskId,
         attempt: Attempt,
         worker: WorkerState,
-        certainty: Certainty,
+        state: PlacementState,
         sendBy: MonotonicInstant,
         sendFrom: MonotonicInstant = MonotonicInstant.NEVER,
     ): Placement {
-        val placement = Placement(task, attempt, worker, certainty, sendBy, sendFrom)
+        val placement = Placement(task, attempt, worker, state, sendBy, sendFrom)
         job.placements[task.index] = placement
         put(job, placement)
-        if (certainty == Certainty.ASSIGNED) undelivered.add(worker)
+        if (state == PlacementState.ASSIGNED) undelivered.add(worker)
         return placement
     }
 
     private fun put(job: JobState, placement: Placement) {
         placement.worker.placements[placement.task] = placement
         placement.worker.changed()
-        if (placement.certainty == Certainty.REPORTED) job.tally.seenStarting(clock.now())
+        if (placement.state == PlacementState.CONFIRMED) job.usage.recordStart(clock.now())
     }
 
     /** A copy that a worker reports beside the one that counts: it is stopped, and uses room until it is gone. */
     fun placeSurplus(job: JobState, task: TaskId, attempt: Attempt, worker: WorkerState): Placement {
         val placement =
-            Placement(task, attempt, worker, Certainty.REPORTED, MonotonicInstant.NEVER, MonotonicInstant.NEVER)
+            Placement(task, attempt, worker, PlacementState.CONFIRMED, MonotonicInstant.NEVER, MonotonicInstant.NEVER)
         put(job, placement)
         demote(job, placement)
         return placement
     }
 
     fun stop(job: JobState, placement: Placement, grace: Duration) {
-        if (placement.certainty == Certainty.ASSIGNED) {
+        if (placement.state == PlacementState.ASSIGNED) {
             remove(job, placement)
-        } else if (placement.stop.let { it == null || grace < it }) {
-            placement.stop = grace
+        } else if (placement.stopGrace.let { it == null || grace < it }) {
+            placement.stopGrace = grace
             placement.worker.changed()
             undelivered.add(placement.worker)
         }
@@ -119,12 +119,12 @@
     fun remove(job: JobState, placement: Placement) {
         val counts = job.placements[placement.task.index] === placement
         if (counts) promote(job, placement.task.index) else forgetSurplus(job, placement)
-        if (!placement.counted) onLost(job, placement)
+        if (!placement.accounted) onTaskLost(job, placement)
         placement.worker.placements.remove(placement.task)
         placement.worker.changed()
         if (placement.worker.placements.isEmpty()) placement.worker.idleSince = clock.now()
-        if (job.isGang && counts) job.gang.lost(membersLeft = job.placements.isNotEmpty())
-        if (job.ended && job.placements.isEmpty()) depart(job)
+        if (job.isGang && counts) job.gang.memberLost(membersLeft = job.placements.isNotEmpty())
+        if (job.isTerminal && job.placements.isEmpty()) depart(job)
         dirty = true
     }
 
@@ -134,7 +134,7 @@
         val surplus = job.surplus ?: HashMap<Int, MutableList<Placement>>().also { job.surplus = it }
         surplus.getOrPut(placement.task.index) { ArrayList() }.add(placement)
         // One that is saving already is let finish that.
-        if (placement.stop == null) stop(job, placement, Duration.ZERO)
+        if (placement.stopGrace == null) stop(job, placement, Duration.ZERO)
     }
 
     /** The copy that counted is gone: until the others are too, the first of them stands for the task. */
@@ -166,38 +166,38 @@
     }
 
     /** Where each task is by this table, surplus copies not counted. */
-    fun whereabouts(): Map<TaskId, MachineId> =
-        jobs.values.flatMap { it.placements.values }.filter { it.certainty != Certainty.ASSIGNED }.associate {
+    fun locations(): Map<TaskId, MachineId> =
+        jobs.values.flatMap { it.placements.values }.filter { it.state != PlacementState.ASSIGNED }.associate {
             it.task to
                 it.worker.id
         }
 
     /** What a task takes of a job that ended lately; null: it is not known. */
-    fun departed(id: JobId): JobSpec? = departed[id]?.first
+    fun recentlyEnded(id: JobId): JobSpec? = departed[id]?.first
 
     /**
      * Whether the ending of a job that a worker names has been read here; null: it is not open here, and may have been
      * recorded after what is known.
      */
-    fun hasEnded(id: JobId, complete: Boolean): Boolean? =
-        named(id)?.ended ?: if (complete || id in departed) true else null
+    fun isTerminal(id: JobId, complete: Boolean): Boolean? =
+        findOrOpen(id)?.isTerminal ?: if (complete || id in departed) true else null
 
-    fun end(job: JobState) {
-        if (!job.ended) job.endedAfter = proven
-        job.ended = true
-        for (p in job.everywhere().toList()) stop(job, p, Duration.ZERO)
+    fun markTerminal(job: JobState) {
+        if (!job.isTerminal) job.knownOpenAt = freshAsOf
+        job.isTerminal = true
+        for (p in job.allPlacements().toList()) stop(job, p, Duration.ZERO)
         if (job.placements.isEmpty()) depart(job)
     }
 
-    fun loseAll(worker: WorkerState) {
+    fun removeAllOf(worker: WorkerState) {
         for (p in worker.placements.values.toList()) lose(worker, p)
         worker.changed()
         worker.tasks = emptyList()
     }
 
     /** Its session is over, and with it all that it was sent; what was only decided may go to the next one. */
-    fun loseSent(worker: WorkerState) {
-        for (p in worker.placements.values.toList()) if (p.certainty != Certainty.ASSIGNED) lose(worker, p)
+    fun removeSentTo(worker: WorkerState) {
+        for (p in worker.placements.values.toList()) if (p.state != PlacementState.ASSIGNED) lose(worker, p)
         worker.changed()
         worker.tasks = emptyList()
     }
--- a/src/main/kotlin/org/elderhitch/tasks/WorkerState.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/WorkerState.kt
@@ -26,64 +26,64 @@
     since: MonotonicInstant,
 ) {
     var address: Address? = null
-    var order: HeartbeatSequence? = null
+    var heartbeatSequence: HeartbeatSequence? = null
 
     /** A report with our term has come: its list is the truth. */
-    var settled: Boolean = false
+    var reconciled: Boolean = false
 
     /** When it last said anything, by whatever way: a report, or a reply to a question or a command. */
-    var lastWord: MonotonicInstant = since
+    var lastSeenAt: MonotonicInstant = since
 
     /**
      * When a report of its own was last answered here. Only that renews its lease: one that answers questions and sends
      * no reports loses all that it runs.
      */
-    var lastReport: MonotonicInstant = since
+    var lastHeartbeatAt: MonotonicInstant = since
 
     /** Null: it has said nothing yet. */
     var lease: LeaseView? = null
         private set
-    var notice: Duration? = null
+    var preemptionNotice: Duration? = null
     var tasks: List<TaskStatus> = emptyList()
     val placements: HashMap<TaskId, Placement> = HashMap()
 
     /**
      * Of each task here whose job is not open any more: that job. They are told to stop, and use room until they have.
      */
-    var strangers: List<JobId> = emptyList()
+    var unknownTaskJobs: List<JobId> = emptyList()
     var idleSince: MonotonicInstant = since
 
     /** Errors here by job. */
-    val erredJobs: HashMap<JobId, Int> = HashMap()
+    val failuresByJob: HashMap<JobId, Int> = HashMap()
 
     /** Its services are being moved elsewhere; until then nothing new comes. */
-    var drainedUntil: MonotonicInstant = MonotonicInstant.NEVER
+    var drainingUntil: MonotonicInstant = MonotonicInstant.NEVER
 
     /** Something failed here; until then nothing new comes. */
-    var doubtedUntil: MonotonicInstant = MonotonicInstant.NEVER
-    var sick: Boolean = false
-    var releaseAsked: MonotonicInstant = MonotonicInstant.NEVER
-    var clearAsked: MonotonicInstant = MonotonicInstant.NEVER
+    var quarantinedUntil: MonotonicInstant = MonotonicInstant.NEVER
+    var faulty: Boolean = false
+    var releaseRequestedAt: MonotonicInstant = MonotonicInstant.NEVER
+    var clearanceRequestedAt: MonotonicInstant = MonotonicInstant.NEVER
 
     /** A command to its own address is not answered yet. */
-    var calling: Boolean = false
-    var calledAt: MonotonicInstant = MonotonicInstant.NEVER
+    var commandInFlight: Boolean = false
+    var lastCommandAt: MonotonicInstant = MonotonicInstant.NEVER
 
     /** It took no connection since its last report. */
     var unreachable: Boolean = false
 
     /** Starts sent to its own address that nobody answered: each may still be executed, or executed once more. */
-    val loose: HashSet<Pair<TaskId, Attempt>> = HashSet()
+    val unacknowledgedStarts: HashSet<Pair<TaskId, Attempt>> = HashSet()
 
     /** Takes a word of the given session that is no [MessageFreshness.STALE] one, sent at [at] at the latest. */
-    fun hears(session: Long, at: MonotonicInstant, obeys: Boolean): MessageFreshness {
+    fun recordMessage(session: Long, at: MonotonicInstant, obeys: Boolean): MessageFreshness {
         val before = lease
         lease = before?.told(session, at, obeys) ?: LeaseView.firstWord(session, at, obeys)
         return before?.judge(session) ?: MessageFreshness.SAME
     }
 
     /** A report of its known session, which came at [at], is being answered. */
-    fun answered(at: MonotonicInstant) {
+    fun heartbeatAnswered(at: MonotonicInstant) {
         lease = lease?.answered(at)
     }
 
@@ -92,7 +92,7 @@
      * [lastAnswer]: by when a
      * lease delegate of its zone may have renewed it.
      */
-    fun outlived(now: MonotonicInstant, times: LeaseTimeouts, lastAnswer: MonotonicInstant): Boolean {
+    fun expireLease(now: MonotonicInstant, times: LeaseTimeouts, lastAnswer: MonotonicInstant): Boolean {
         val belief = lease ?: return false
         if (!belief.isOver(now, times, lastAnswer)) return false
         lease = belief.over()
@@ -106,28 +106,28 @@
     var viewedAt: MonotonicInstant = MonotonicInstant.NEVER
 
     /** Jobs that failed here lately, and until when they go elsewhere. */
-    private val shuns = HashMap<JobId, MonotonicInstant>()
-    val shunnedBy: Set<JobId> get() = if (shuns.isEmpty()) emptySet() else HashSet(shuns.keys)
+    private val avoidedUntil = HashMap<JobId, MonotonicInstant>()
+    val avoidedBy: Set<JobId> get() = if (avoidedUntil.isEmpty()) emptySet() else HashSet(avoidedUntil.keys)
 
     fun changed() {
         view = null
     }
 
-    fun shun(job: JobId, until: MonotonicInstant) {
-        shuns[job] = until
+    fun avoid(job: JobId, until: MonotonicInstant) {
+        avoidedUntil[job] = until
         changed()
     }
 
     /** Lets jobs come back whose time elsewhere is over. */
     fun forgive(now: MonotonicInstant) {
-        if (shuns.isNotEmpty() && shuns.values.removeAll { it < now }) changed()
+        if (avoidedUntil.isNotEmpty() && avoidedUntil.values.removeAll { it < now }) changed()
     }
 
     /** Images by last use, the latest last; what the machine most likely keeps. */
     private val images = LinkedHashMap<Image, Double>()
 
     /** A use makes it the last that the machine would drop. */
-    fun usesImage(image: Image, gb: Double) {
+    fun recordImageUse(image: Image, gb: Double) {
         images.remove(image)
         images[image] = gb
     }
--- a/src/test/kotlin/org/elderhitch/failuredetection/FailureAttributionTest.kt
+++ b/src/test/kotlin/org/elderhitch/failuredetection/FailureAttributionTest.kt
@@ -16,8 +16,8 @@
 import org.elderhitch.settings.TeamName
 import org.elderhitch.settings.Zone
 import org.elderhitch.store.Revision
-import org.elderhitch.tasks.Certainty
 import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.PlacementState
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.time.MonotonicInstant
@@ -62,11 +62,11 @@
     @Test
     fun `thirty errors of one job that runs well elsewhere are the machines'`() {
         val job = job("req-1")
-        job.done.add(39)
+        job.completed.add(39)
         val sick = List(5) { worker("sick$it") }
         // Five machines at once: by their number alone these errors would be the job's.
         repeat(30) { fails(job, sick[it % 5], it) }
-        assertTrue(sick.all { it.sick })
+        assertTrue(sick.all { it.faulty })
         assertTrue(job.notBefore < now, "the job waits for nothing")
     }
 
@@ -75,7 +75,7 @@
         val job = job("req-1")
         val machines = List(6) { worker("m$it") }
         machines.forEachIndexed { n, machine -> repeat(2) { fails(job, machine, n * 2 + it) } }
-        assertTrue(machines.none { it.sick })
+        assertTrue(machines.none { it.faulty })
         assertTrue(job.notBefore > now + 10.seconds)
     }
 
@@ -83,19 +83,19 @@
     fun `errors of several jobs are the machine's, and so are those whose job proves well later`() {
         val machine = worker("m1")
         fails(job("req-1"), machine, 0)
-        assertTrue(!machine.sick && machine.doubtedUntil > now, "one error is no proof, but nothing new goes there")
+        assertTrue(!machine.faulty && machine.quarantinedUntil > now, "one error is no proof, but nothing new goes there")
         fails(job("req-2"), machine, 0)
-        assertTrue(machine.sick)
+        assertTrue(machine.faulty)
         val other = worker("m2")
         val job = job("req-3")
         repeat(2) { fails(job, other, it) }
-        assertEquals(false, other.sick)
+        assertEquals(false, other.faulty)
         val well = worker("m3")
-        table.place(job, TaskId(job.id, 5), Attempt(9), well, Certainty.REPORTED, MonotonicInstant.NEVER).runsSince =
+        table.place(job, TaskId(job.id, 5), Attempt(9), well, PlacementState.CONFIRMED, MonotonicInstant.NEVER).runningSince =
             now
         now += 20.seconds
         faults.reconsider(now)
-        assertTrue(other.sick && !well.sick)
+        assertTrue(other.faulty && !well.faulty)
     }
 
     /** Seen: seventy tasks of one job failed on fifty machines within 1.5 s, and closed each to everybody for ten. */
@@ -109,9 +109,9 @@
         fails(job, machines[1], 1)
         assertEquals(2, faults.probes(job), "two machines are")
         machines.forEachIndexed { n, machine -> fails(job, machine, n) }
-        assertTrue(machines.all { it.doubtedUntil < now && !it.sick })
+        assertTrue(machines.all { it.quarantinedUntil < now && !it.faulty })
         assertEquals(1, faults.probes(job))
-        table.place(job, TaskId(job.id, 60), Attempt(60), worker("m99"), Certainty.SENT, MonotonicInstant.FOREVER)
+        table.place(job, TaskId(job.id, 60), Attempt(60), worker("m99"), PlacementState.SENT, MonotonicInstant.FOREVER)
         assertEquals(0, faults.probes(job), "one at a time")
     }
 
@@ -129,7 +129,7 @@
             repeat(200) {
                 now += random.nextInt(50, 400).milliseconds
                 val machine =
-                    (sick + well).filter { !it.sick && it.doubtedUntil < now }.randomOrNull(random) ?: return@repeat
+                    (sick + well).filter { !it.faulty && it.quarantinedUntil < now }.randomOrNull(random) ?: return@repeat
                 val job =
                     (bad + good).filter {
                         it.notBefore < now && faults.probes(it).let { n -> n == null || n > 0 }
@@ -144,9 +144,9 @@
                         TaskId(job.id, index),
                         Attempt(attempt.toLong()),
                         machine,
-                        Certainty.REPORTED,
+                        PlacementState.CONFIRMED,
                         MonotonicInstant.NEVER,
-                    ).runsSince =
+                    ).runningSince =
                         now
                 }
                 faults.reconsider(now)
@@ -154,11 +154,11 @@
             assertTrue(good.all { it.notBefore < now }, "seed $seed: a good job waits")
             assertTrue(
                 sick.count {
-                    it.sick
+                    it.faulty
                 } * 2 > sick.size,
-                "seed $seed: faulty machines found: ${sick.count { it.sick }} of ${sick.size}",
+                "seed $seed: faulty machines found: ${sick.count { it.faulty }} of ${sick.size}",
             )
-            val returned = well.count { it.sick }
+            val returned = well.count { it.faulty }
             assertTrue(returned <= bad.size, "seed $seed: $returned good machines cordoned")
         }
     }
--- a/src/test/kotlin/org/elderhitch/heartbeat/CommandPlannerTest.kt
+++ b/src/test/kotlin/org/elderhitch/heartbeat/CommandPlannerTest.kt
@@ -13,8 +13,8 @@
 import org.elderhitch.settings.TeamName
 import org.elderhitch.settings.Zone
 import org.elderhitch.store.Revision
-import org.elderhitch.tasks.Certainty
 import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.PlacementState
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.time.MonotonicInstant
@@ -60,7 +60,7 @@
                 TaskId(ended.id, it),
                 Attempt(it.toLong()),
                 worker,
-                Certainty.REPORTED,
+                PlacementState.CONFIRMED,
                 MonotonicInstant.NEVER,
             )
         }
@@ -70,11 +70,11 @@
                 TaskId(job.id, it),
                 Attempt(1000L + it),
                 worker,
-                Certainty.ASSIGNED,
+                PlacementState.ASSIGNED,
                 now + 5.seconds,
             )
         }
-        table.end(ended)
+        table.markTerminal(ended)
         val commands = CommandPlanner(table)
         val seen = ArrayList<Command>()
         repeat(4) {
@@ -85,11 +85,11 @@
             for (p in worker.placements.values.toList()) {
                 assertEquals(
                     p.task in started,
-                    p.certainty == Certainty.SENT,
+                    p.state == PlacementState.SENT,
                     "${p.task} counts as sent and is not in the answer",
                 )
-                if (p.certainty == Certainty.SENT) p.certainty = Certainty.REPORTED
-                if (p.stop != null) table.remove(ended, p)
+                if (p.state == PlacementState.SENT) p.state = PlacementState.CONFIRMED
+                if (p.stopGrace != null) table.remove(ended, p)
             }
         }
         assertEquals(1000, seen.count { it is Command.Start })
@@ -111,11 +111,11 @@
                 TaskId(ended.id, it),
                 Attempt(it.toLong()),
                 worker,
-                Certainty.REPORTED,
+                PlacementState.CONFIRMED,
                 MonotonicInstant.NEVER,
             )
         }
-        table.end(ended)
+        table.markTerminal(ended)
         val commands = CommandPlanner(table)
         fun named() = worker.placements.values.map { TaskStatus(it.task, it.attempt, TaskPhase.RUNNING, null) }
         assertNull(commands.endings(worker, named(), complete = true, mayStart = false))
--- a/src/test/kotlin/org/elderhitch/recovery/ActionLedgerTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/ActionLedgerTest.kt
@@ -19,48 +19,48 @@
     private fun task(n: Int) = TaskId(JobId("req-1"), n)
 
     private fun ActionLedger.regret(kind: NeedlessActionKind): Any =
-        (read().getValue("regret") as Map<*, *>)[kind.name.lowercase()] ?: 0L
+        (snapshot().getValue("regret") as Map<*, *>)[kind.statusWord] ?: 0L
 
     @Test
     fun `a start is regretted that is stopped soon, and that nobody asked for`() {
         val orders = ActionLedger()
-        for (n in 0..3) orders.started(task(n), begin)
-        orders.stopped(task(0), asked = false, begin + 30.seconds)
-        orders.stopped(task(1), asked = true, begin + 5.seconds)
+        for (n in 0..3) orders.recordStart(task(n), begin)
+        orders.recordStop(task(0), asked = false, begin + 30.seconds)
+        orders.recordStop(task(1), asked = true, begin + 5.seconds)
         // Sent again in a later answer: it is as old as the first time.
-        orders.started(task(2), begin + 10.seconds)
-        orders.stopped(task(2), asked = false, begin + 31.seconds)
-        orders.stopped(task(9), asked = false, begin + 1.seconds)
+        orders.recordStart(task(2), begin + 10.seconds)
+        orders.recordStop(task(2), asked = false, begin + 31.seconds)
+        orders.recordStop(task(9), asked = false, begin + 1.seconds)
         assertEquals(1L, orders.regret(NeedlessActionKind.START_STOPPED))
-        assertEquals(mapOf("start" to 5L, "stop" to 4L), orders.read()["given"])
+        assertEquals(mapOf("start" to 5L, "stop" to 4L), orders.snapshot()["given"])
     }
 
     @Test
     fun `a return is regretted whose machine speaks, or whose like is hired, within a minute`() {
         val orders = ActionLedger()
-        orders.returnedSilent(MachineId("m1"), begin)
-        orders.returnedSilent(MachineId("m2"), begin)
-        orders.spoke(MachineId("m1"), begin + 59.seconds)
-        orders.spoke(MachineId("m1"), begin + 59.seconds)
-        orders.spoke(MachineId("m2"), begin + 61.seconds)
-        assertEquals(1L, orders.regret(NeedlessActionKind.RETURNED_SPOKE))
-        for (n in 0..4) orders.returnedIdle(market, begin + 20.seconds * n)
-        orders.hired(market, 50, begin + 90.seconds)
-        assertEquals(3L, orders.regret(NeedlessActionKind.RETURNED_HIRED), "those of 40, 60 and 80 s")
-        orders.hired(market, 50, begin + 91.seconds)
-        assertEquals(3L, orders.regret(NeedlessActionKind.RETURNED_HIRED), "each is regretted once")
+        orders.recordSuspectGone(MachineId("m1"), begin)
+        orders.recordSuspectGone(MachineId("m2"), begin)
+        orders.machineSeen(MachineId("m1"), begin + 59.seconds)
+        orders.machineSeen(MachineId("m1"), begin + 59.seconds)
+        orders.machineSeen(MachineId("m2"), begin + 61.seconds)
+        assertEquals(1L, orders.regret(NeedlessActionKind.TERMINATED_WHILE_ALIVE))
+        for (n in 0..4) orders.recordIdleTermination(market, begin + 20.seconds * n)
+        orders.recordProvisioned(market, 50, begin + 90.seconds)
+        assertEquals(3L, orders.regret(NeedlessActionKind.TERMINATED_THEN_PROVISIONED), "those of 40, 60 and 80 s")
+        orders.recordProvisioned(market, 50, begin + 91.seconds)
+        assertEquals(3L, orders.regret(NeedlessActionKind.TERMINATED_THEN_PROVISIONED), "each is regretted once")
     }
 
     @Test
     fun `the peak is what was ordered within a second, and a new term begins with nothing`() {
         val orders = ActionLedger()
-        for (n in 0 until 40) orders.gave(ActionKind.ASK, 1, begin + 100.milliseconds * n)
-        orders.gave(ActionKind.STOP, 7, begin + 10.seconds)
-        assertEquals(10, orders.read()["peak_per_s"])
+        for (n in 0 until 40) orders.record(ActionKind.PROBE, 1, begin + 100.milliseconds * n)
+        orders.record(ActionKind.STOP, 7, begin + 10.seconds)
+        assertEquals(10, orders.snapshot()["peak_per_s"])
         orders.newTerm()
         assertEquals(
             mapOf("given" to emptyMap<String, Long>(), "peak_per_s" to 0, "regret" to emptyMap<String, Long>()),
-            orders.read(),
+            orders.snapshot(),
         )
     }
 
@@ -68,9 +68,9 @@
     @Test
     fun `what can't be regretted any more is forgotten`() {
         val orders = ActionLedger()
-        for (n in 0 until 50_000) orders.started(task(n), begin + 1.milliseconds * (n / 100))
-        orders.stopped(task(49_999), asked = false, begin + 1.seconds)
-        orders.stopped(task(100), asked = false, begin + 1.seconds)
+        for (n in 0 until 50_000) orders.recordStart(task(n), begin + 1.milliseconds * (n / 100))
+        orders.recordStop(task(49_999), asked = false, begin + 1.seconds)
+        orders.recordStop(task(100), asked = false, begin + 1.seconds)
         assertEquals(1L, orders.regret(NeedlessActionKind.START_STOPPED), "the hundredth is beyond what is remembered")
     }
 }
--- a/src/test/kotlin/org/elderhitch/recovery/DuplicatesTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/DuplicatesTest.kt
@@ -22,8 +22,8 @@
 import org.elderhitch.settings.TeamName
 import org.elderhitch.settings.Zone
 import org.elderhitch.store.Revision
-import org.elderhitch.tasks.Certainty
 import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.PlacementState
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.time.MonotonicInstant
@@ -77,7 +77,7 @@
 
     @Test
     fun `an unsent start is taken back for a task that runs elsewhere`() {
-        table.place(job, task(0), Attempt(9), workers[0], Certainty.ASSIGNED, MonotonicInstant.FOREVER)
+        table.place(job, task(0), Attempt(9), workers[0], PlacementState.ASSIGNED, MonotonicInstant.FOREVER)
         says(workers[1], runs(0, 3))
         assertSame(workers[1], job.placements[0]?.worker)
         assertTrue(workers[0].placements.isEmpty())
@@ -91,8 +91,8 @@
             says(workers[if (later) 1 else 0], runs(index, if (later) 8 else 5))
             says(workers[if (later) 0 else 1], runs(index, if (later) 5 else 8))
             assertEquals(Attempt(5), job.placements[index]?.attempt)
-            assertNull(job.placements[index]?.stop)
-            assertEquals(Duration.ZERO, workers[1].placements[task(index)]?.stop)
+            assertNull(job.placements[index]?.stopGrace)
+            assertEquals(Duration.ZERO, workers[1].placements[task(index)]?.stopGrace)
             assertEquals(2, job.copies, "both use room and quota")
         }
     }
@@ -112,7 +112,7 @@
     fun `any mess is in the table as it is on the machines, and ends`() {
         for (seed in 1..300) {
             val random = Random(seed)
-            workers.forEach { table.loseAll(it) }
+            workers.forEach { table.removeAllOf(it) }
             val really = HashMap<Pair<Int, Int>, Long>()
             var attempt = 100L
             repeat(40) {
@@ -144,7 +144,7 @@
                 for (n in job.placements.keys) {
                     assertTrue(
                         job.surplus?.get(n).orEmpty().all {
-                            it.stop == Duration.ZERO
+                            it.stopGrace == Duration.ZERO
                         },
                     )
                 }
--- a/src/test/kotlin/org/elderhitch/recovery/ReconciliationTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/ReconciliationTest.kt
@@ -57,8 +57,8 @@
     fun `what lives of a job that has ended is stopped`() {
         for (task in everyTask().filter { it.live && it.exists }) {
             when (task.job) {
-                JobLifecycle.OPEN -> assertTrue(!TaskReconciliation.stops(task))
-                JobLifecycle.ENDED -> assertTrue(TaskReconciliation.stops(task), "$task")
+                JobLifecycle.OPEN -> assertTrue(!TaskReconciliation.mustStop(task))
+                JobLifecycle.ENDED -> assertTrue(TaskReconciliation.mustStop(task), "$task")
                 JobLifecycle.UNKNOWN -> assertEquals(TaskVerdict.STOP, TaskReconciliation.row(task).verdict, "$task")
             }
         }
--- a/src/test/kotlin/org/elderhitch/recovery/TakeoverTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/TakeoverTest.kt
@@ -90,23 +90,23 @@
     /** Seen: all services of earlier terms waited four seconds for the word of one spot machine that was gone. */
     @Test
     fun `a job's tasks hide only where the job may run`() {
-        assertTrue(takeover.mayHide(spec(false), known, catalog), "nobody knows yet which machines there are")
-        takeover.inventory(setOf(spot.id))
-        assertFalse(takeover.mayHide(spec(false), known, catalog))
-        assertTrue(takeover.mayHide(spec(true), known, catalog))
-        assertFalse(takeover.mayHide(spec(true, Zone("b")), known, catalog))
-        takeover.inventory(setOf(spot.id, ordinary.id))
-        assertTrue(takeover.mayHide(spec(false), known, catalog))
+        assertTrue(takeover.mayRunUnreported(spec(false), known, catalog), "nobody knows yet which machines there are")
+        takeover.expect(setOf(spot.id))
+        assertFalse(takeover.mayRunUnreported(spec(false), known, catalog))
+        assertTrue(takeover.mayRunUnreported(spec(true), known, catalog))
+        assertFalse(takeover.mayRunUnreported(spec(true, Zone("b")), known, catalog))
+        takeover.expect(setOf(spot.id, ordinary.id))
+        assertTrue(takeover.mayRunUnreported(spec(false), known, catalog))
         assertTrue(
-            takeover.mayHide(spec(false), emptyMap(), catalog),
+            takeover.mayRunUnreported(spec(false), emptyMap(), catalog),
             "a machine of which nothing is known could run anything",
         )
         assertFalse(
-            takeover.mayHide(spec(true).copy(need = Resources(32.0, 0.0, 56.0)), known, catalog),
+            takeover.mayRunUnreported(spec(true).copy(need = Resources(32.0, 0.0, 56.0)), known, catalog),
             "too large for either",
         )
-        takeover.heard(ordinary.id)
-        assertFalse(takeover.mayHide(spec(false), known, catalog))
+        takeover.markAccounted(ordinary.id)
+        assertFalse(takeover.mayRunUnreported(spec(false), known, catalog))
     }
 
     /**
@@ -116,27 +116,27 @@
      */
     @Test
     fun `a takeover outwaits the leases that its own answers renewed, and a deaf machine doesn't hold it for ever`() {
-        takeover.inventory(setOf(spot.id, ordinary.id))
+        takeover.expect(setOf(spot.id, ordinary.id))
         val end = now + (4.seconds + LeadershipTimeouts.of(times).answerGracePeriod + times.lease) * 1.001 + 500.milliseconds
         now = end - 2.seconds
-        assertFalse(takeover.closing(now))
-        takeover.answered(spot.id, now)
+        assertFalse(takeover.refusesUnawareWorkers(now))
+        takeover.heartbeatAnswered(spot.id, now)
         now = end + 1.milliseconds
-        assertFalse(takeover.check(), "the lease that was renewed two seconds ago runs on")
-        assertTrue(takeover.closing(now), "whoever still doesn't know the term is answered no more")
+        assertFalse(takeover.trySettle(), "the lease that was renewed two seconds ago runs on")
+        assertTrue(takeover.refusesUnawareWorkers(now), "whoever still doesn't know the term is answered no more")
         now = end - 2.seconds + times.lease * 1.001 + 499.milliseconds
-        assertFalse(takeover.check())
+        assertFalse(takeover.trySettle())
         now += 2.milliseconds
-        assertTrue(takeover.check())
-        assertFalse(takeover.closing(now))
+        assertTrue(takeover.trySettle())
+        assertFalse(takeover.refusesUnawareWorkers(now))
     }
 
     @Test
     fun `a machine that has told the term what it runs holds the takeover no longer`() {
-        takeover.inventory(setOf(spot.id))
-        takeover.answered(spot.id, now)
-        takeover.answered(ordinary.id, now)
-        takeover.heard(spot.id)
-        assertTrue(takeover.check(), "all that may run something have told, whatever else was answered")
+        takeover.expect(setOf(spot.id))
+        takeover.heartbeatAnswered(spot.id, now)
+        takeover.heartbeatAnswered(ordinary.id, now)
+        takeover.markAccounted(spot.id)
+        assertTrue(takeover.trySettle(), "all that may run something have told, whatever else was answered")
     }
 }
--- a/src/test/kotlin/org/elderhitch/scheduler/CycleInputBuilderTest.kt
+++ b/src/test/kotlin/org/elderhitch/scheduler/CycleInputBuilderTest.kt
@@ -18,8 +18,8 @@
 import org.elderhitch.settings.Zone
 import org.elderhitch.store.LeaseId
 import org.elderhitch.store.Revision
-import org.elderhitch.tasks.Certainty
 import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.PlacementState
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.time.MonotonicInstant
@@ -80,7 +80,7 @@
                 TaskId(other.id, it),
                 Attempt(it.toLong()),
                 worker,
-                Certainty.REPORTED,
+                PlacementState.CONFIRMED,
                 MonotonicInstant.NEVER,
             )
         }
@@ -96,7 +96,7 @@
         )
         assertEquals(listOf(50 to false), views("req-2", mostGpus = 100.0))
         assertEquals(listOf(21 to false), views("req-1", mostGpus = 10.0), "it has begun")
-        table.place(large, TaskId(large.id, 0), Attempt(90), worker, Certainty.ASSIGNED, MonotonicInstant.FOREVER)
+        table.place(large, TaskId(large.id, 0), Attempt(90), worker, PlacementState.ASSIGNED, MonotonicInstant.FOREVER)
         assertEquals(listOf(49 to false), views("req-2", mostGpus = 10.0))
     }
 }
--- a/src/test/kotlin/org/elderhitch/scheduler/GangStartTest.kt
+++ b/src/test/kotlin/org/elderhitch/scheduler/GangStartTest.kt
@@ -48,7 +48,7 @@
             table.workers[MachineId("m$n")] =
                 WorkerState(MachineId("m$n"), type.name, Zone("a"), false, MonotonicInstant(0))
         }
-        table.workers.getValue(MachineId("m0")).usesImage(spec.image, imageGb)
+        table.workers.getValue(MachineId("m0")).recordImageUse(spec.image, imageGb)
         val placed = List(3) { PlacementDecision(TaskId(spec.id, it), MachineId("m$it"), null) }
         return GangStart(30.seconds, table, Catalog(mapOf(type.name to type))).heldBack(placed)
     }
--- a/src/test/kotlin/org/elderhitch/tasks/DepartedTest.kt
+++ b/src/test/kotlin/org/elderhitch/tasks/DepartedTest.kt
@@ -31,13 +31,13 @@
                 Revision(7),
             ),
         )
-        table.end(open("req-1"))
+        table.markTerminal(open("req-1"))
         now += times.cancel + times.lease
-        table.end(open("req-2"))
-        assertNotNull(table.departed(JobId("req-1")))
+        table.markTerminal(open("req-2"))
+        assertNotNull(table.recentlyEnded(JobId("req-1")))
         now += times.lease + 1.seconds
-        table.end(open("req-3"))
-        assertNull(table.departed(JobId("req-1")), "and not for ever")
-        assertNotNull(table.departed(JobId("req-2")))
+        table.markTerminal(open("req-3"))
+        assertNull(table.recentlyEnded(JobId("req-1")), "and not for ever")
+        assertNotNull(table.recentlyEnded(JobId("req-2")))
     }
 }
--- a/src/test/kotlin/org/elderhitch/tasks/MachineRegistryTest.kt
+++ b/src/test/kotlin/org/elderhitch/tasks/MachineRegistryTest.kt
@@ -25,25 +25,25 @@
 
     @Test
     fun `a rush is over when half is up, and when what is missing is late`() {
-        repeat(4) { machineRegistry.rented(machine(it), start) }
+        repeat(4) { machineRegistry.provisioned(machine(it), start) }
         assertTrue(machineRegistry.mostlyBooting(catalog, start + 30.seconds))
-        machineRegistry.clear(MachineId("m0"))
+        machineRegistry.markCleared(MachineId("m0"))
         assertTrue(machineRegistry.mostlyBooting(catalog, start + 30.seconds))
         assertFalse(
             machineRegistry.mostlyBooting(catalog, start + 90.seconds),
             "a cloud that never delivers must not hold back what is there",
         )
-        machineRegistry.clear(MachineId("m1"))
+        machineRegistry.markCleared(MachineId("m1"))
         assertFalse(machineRegistry.mostlyBooting(catalog, start + 30.seconds))
     }
 
     @Test
     fun `what came up in an earlier term doesn't boot, and what is gone stays gone until the next`() {
-        machineRegistry.inventory(mayRun = List(2) { machine(it) }, fresh = List(3) { machine(10 + it) }, start)
+        machineRegistry.load(mayRun = List(2) { machine(it) }, fresh = List(3) { machine(10 + it) }, start)
         assertEquals(5, machineRegistry.known.size)
         assertEquals(setOf(MachineId("m0"), MachineId("m1")), machineRegistry.cleared)
         assertTrue(machineRegistry.mostlyBooting(catalog, start + 1.seconds))
-        repeat(2) { machineRegistry.lost(MachineId("m1$it")) }
+        repeat(2) { machineRegistry.markGone(MachineId("m1$it")) }
         assertFalse(machineRegistry.mostlyBooting(catalog, start + 1.seconds))
         assertTrue(MachineId("m10") in machineRegistry.gone && MachineId("m10") !in machineRegistry.known)
         machineRegistry.newTerm()
