--- a/src/main/kotlin/org/elderhitch/fleet/Arrivals.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Arrivals.kt
@@ -1,7 +1,7 @@
 package org.elderhitch.fleet
 
 import org.elderhitch.jobs.JobSpec
-import org.elderhitch.placement.Expected
+import org.elderhitch.placement.ExpectedArrivals
 import org.elderhitch.time.MonotonicInstant
 import kotlin.math.exp
 import kotlin.time.Duration.Companion.seconds
@@ -21,8 +21,8 @@
     fun perSecond(jobClass: String, now: MonotonicInstant): Double =
         classes[jobClass]?.let { it.ratePerS * exp(-((now - it.at) / OVER)) } ?: 0.0
 
-    fun expected(now: MonotonicInstant): List<Expected> = classes.values.map {
-        Expected(it.spec, perSecond(it.spec.jobClass, now))
+    fun expected(now: MonotonicInstant): List<ExpectedArrivals> = classes.values.map {
+        ExpectedArrivals(it.spec, perSecond(it.spec.jobClass, now))
     }
 
     /** Machines' worth of tasks that arrive while a machine boots. */
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
@@ -4,7 +4,7 @@
 import org.elderhitch.jobs.MachineType
 import org.elderhitch.jobs.Priority
 import org.elderhitch.jobs.Resources
-import org.elderhitch.placement.Fits
+import org.elderhitch.placement.FittingTypes
 import org.elderhitch.placement.UnplacedTasks
 import org.elderhitch.settings.Zone
 import org.elderhitch.time.MonotonicInstant
@@ -164,7 +164,7 @@
     private fun guestTypes(spec: JobSpec): Set<MachineType> {
         if (input.scarce.isEmpty()) return emptySet()
         val fits = input.catalog.fitting(spec).mapTo(HashSet()) { it.name }
-        return fits.filterTo(HashSet()) { type -> input.scarce.any { type in it && Fits.isGuest(fits, it) } }
+        return fits.filterTo(HashSet()) { type -> input.scarce.any { type in it && FittingTypes.isFlexible(fits, it) } }
     }
 
     private fun buy(spec: JobSpec, zones: Map<Zone, Int>): Paper? {
--- a/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
@@ -17,6 +17,8 @@
 import org.elderhitch.placement.CapacityReservation
 import org.elderhitch.placement.CycleInput
 import org.elderhitch.placement.JobView
+import org.elderhitch.placement.MachineImages
+import org.elderhitch.placement.MachineLoad
 import org.elderhitch.placement.MachineView
 import org.elderhitch.placement.Occupant
 import org.elderhitch.placement.PreemptionCandidate
@@ -70,8 +72,7 @@
                 quota.add(
                     job.spec.team,
                     job.spec.need * job.copies,
-                    lasts =
-                    job.spec.kind == JobKind.SERVICE,
+                    service = job.spec.kind == JobKind.SERVICE,
                 )
             }
         }
@@ -90,12 +91,12 @@
             refused,
             now,
         )
-            .flatMap { if (mustBegin(it, quota, now)) it.begun() else listOf(it) }
+            .flatMap { if (mustBegin(it, quota, now)) it.withFirstTaskApart() else listOf(it) }
         val machines = ArrayList<MachineView>()
         for (worker in table.workers.values) {
             if (!usable(worker)) continue
             worker.forgive(now)
-            if (worker.view?.fetching?.isNotEmpty() == true &&
+            if (worker.view?.images?.fetching?.isNotEmpty() == true &&
                 now - worker.viewedAt > FETCH_SEEN_AFTER
             ) {
                 worker.changed()
@@ -104,10 +105,12 @@
         }
         return CycleInput(
             machines, views, quota, keptFree + awaited(leadership, mayHide),
-            wholeMachines = table.jobs.values.any {
-                it.isGang
-            },
-            rush = rush, now = now, besideGpu = besideGpu(), expected = arrivals.expected(now), coming = coming,
+            wholeMachinesNeeded = table.jobs.values.any { it.isGang },
+            mostlyBooting = rush,
+            now = now,
+            hostResourcesPerGpu = hostResourcesPerGpu(),
+            expectedArrivals = arrivals.expected(now),
+            bootingMachines = coming,
         )
     }
 
@@ -163,7 +166,7 @@
         return sum
     }
 
-    private fun besideGpu(): Resources {
+    private fun hostResourcesPerGpu(): Resources {
         var cpus = 0.0
         var memoryGb = 0.0
         for (job in table.jobs.values) {
@@ -215,10 +218,24 @@
                     )
             }
         }
+        val images = MachineImages(worker.cachedImages(type.cacheGb), type.fetchGbPerS, fetching)
+        val load = MachineLoad(
+            free,
+            leaving,
+            victims,
+            serviceWeight(worker),
+            worker.placements.isEmpty(),
+            tenants,
+        )
         return MachineView(
-            worker.id, worker.type, worker.zone, worker.spot, worker.cachedImages(type.cacheGb), free, leaving, victims,
-            worker.avoidedBy, lasting(worker), type.resources, worker.placements.isEmpty(), type.fetchGbPerS,
-            fetching, tenants,
+            worker.id,
+            worker.type,
+            worker.zone,
+            worker.spot,
+            type.resources,
+            images,
+            load,
+            worker.avoidedBy,
         )
     }
 
@@ -229,7 +246,7 @@
         return (spec.imageGb - fetched).coerceAtLeast(spec.imageGb * LAST_PART)
     }
 
-    private fun lasting(worker: WorkerState): Double = worker.placements.values.sumOf { p ->
+    private fun serviceWeight(worker: WorkerState): Double = worker.placements.values.sumOf { p ->
         table.jobs[p.task.job]?.takeIf { it.spec.kind == JobKind.SERVICE }?.spec?.need?.weight ?: 0.0
     }
 
@@ -315,7 +332,7 @@
                 )
         }
         for ((job, _) in whole) dues[job.id] = due.ofWhole(job.spec, job.openedAt, now)
-        return jobs.map { (job, view) -> dues.getValue(job.id).let { view.due(it.at, it.late) } }
+        return jobs.map { (job, view) -> dues.getValue(job.id).let { view.withDue(it.at, it.late) } }
     }
 
     /**
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -457,7 +457,7 @@
                 held[placed.task] ?: Duration.ZERO,
             )
         }
-        for (task in output.stopped) {
+        for (task in output.preempted) {
             val job = table.jobs[task.job] ?: continue
             val p = job.placements[task.index] ?: continue
             events.info("task stopped for room", p.worker.id) {
@@ -482,7 +482,7 @@
                     demand.services(),
                     takeover.settled,
                     failureDetector.cutZones,
-                    output.scarce,
+                    output.scarceTypes,
                 ),
             )
         }
@@ -490,7 +490,7 @@
     }
 
     private fun rest(input: CycleInput, output: CycleOutput, began: MonotonicInstant) {
-        onCycle(output.visits + input.machines.size)
+        onCycle(output.machineVisits + input.machines.size)
         val ended = clock.now()
         cycleAgain = ended + minOf(maxOf(CYCLE_LEAST, (ended - began) * cycleRest), CYCLE_MOST)
         if (log.isDebugEnabled) {
@@ -502,10 +502,10 @@
                 output.unplaced.sumOf {
                     it.count
                 },
-                output.visits, output.kept, (ended - began).inWholeMilliseconds,
+                output.machineVisits, output.reservedMachines, (ended - began).inWholeMilliseconds,
                 input.machines.groupBy {
                     it.type
-                }.map { (type, its) -> "$type:${its.size}:${its.sumOf { it.free.cpus }.toInt()}" },
+                }.map { (type, its) -> "$type:${its.size}:${its.sumOf { it.load.free.cpus }.toInt()}" },
             )
         }
     }
--- a/src/test/kotlin/org/elderhitch/placement/ScarceCapacityTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/ScarceCapacityTest.kt
@@ -43,27 +43,20 @@
         val whole = has.getValue(type)
         val free = tenants.fold(whole) { left, tenant -> left - tenant.spec.need }
         return MachineView(
-            MachineId(
-                id,
-            ),
+            MachineId(id),
             type,
-            Zone(
-                "a",
-            ),
-            true,
-            setOf(
-                Image("img"),
+            Zone("a"),
+            spot = true,
+            capacity = whole,
+            images = MachineImages(setOf(Image("img")), 1.0, emptyMap()),
+            load = MachineLoad(
+                free,
+                Resources.NONE,
+                emptyList(),
+                serviceWeight = 0.0,
+                empty = tenants.isEmpty(),
+                occupants = tenants.toList(),
             ),
-            free,
-            Resources.NONE,
-            emptyList(),
-            emptySet(),
-            0.0,
-            whole,
-            tenants.isEmpty(),
-            1.0,
-            emptyMap(),
-            tenants.toList(),
         )
     }
 
@@ -82,15 +75,15 @@
     private fun input(
         machines: List<MachineView>,
         jobs: List<JobView>,
-        expected: List<Expected> = emptyList(),
+        expected: List<ExpectedArrivals> = emptyList(),
         coming: Map<MachineType, Int> = emptyMap(),
     ) = CycleInput(
         machines,
         jobs,
         QuotaLedger(mapOf(team to Team(team, 0.0, 0.0, null, null)), Resources.NONE),
         now = now,
-        expected = expected,
-        coming = coming,
+        expectedArrivals = expected,
+        bootingMachines = coming,
     )
 
     private fun guests(count: Int, until: MonotonicInstant) = Array(count) { Occupant(spec("sack$it", sack), until) }
@@ -112,7 +105,7 @@
             }.eachCount(),
             "none on l1, whose guests leave first",
         )
-        assertEquals(listOf(setOf(large)), output.scarce)
+        assertEquals(listOf(setOf(large)), output.scarceTypes)
         val alone = SchedulingCycle(
             input(listOf(soon, later, machine("s1", small)), listOf(job(spec("sack", sack, 10)))),
         ).decide()
@@ -136,7 +129,7 @@
             input(
                 idle,
                 listOf(job(spec("sack", sack, 100))),
-                listOf(Expected(spec("kiln", kiln), perS)),
+                listOf(ExpectedArrivals(spec("kiln", kiln), perS)),
                 mapOf(large to coming),
             ),
         ).decide().placed.size
@@ -163,13 +156,13 @@
         val jobs = listOf(job(spec("sack", sack, 40)), job(spec("kiln", kiln), 2))
         assertEquals(
             emptyList(),
-            ScarceCapacity(input(listOf(machine("l1", large), machine("l2", large)), jobs)).scarce,
+            ScarceCapacity(input(listOf(machine("l1", large), machine("l2", large)), jobs)).scarceTypes,
         )
         assertEquals(
             emptyList(),
             ScarceCapacity(
                 input(listOf(machine("l1", large), machine("s1", small)), listOf(job(spec("sack", sack)))),
-            ).scarce,
+            ).scarceTypes,
         )
     }
 
--- a/src/test/kotlin/org/elderhitch/placement/SchedulingCycleTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/SchedulingCycleTest.kt
@@ -54,14 +54,19 @@
         free: Resources = full,
         type: String = "g8",
         images: Set<Image> = emptySet(),
-        victims: List<PreemptionCandidate> = emptyList(),
-        lasting: Double = 0.0,
-        leaving: Resources = Resources.NONE,
+        preemptible: List<PreemptionCandidate> = emptyList(),
+        serviceWeight: Double = 0.0,
+        releasing: Resources = Resources.NONE,
         fetching: Map<Image, Double> = emptyMap(),
         fetchGbPerS: Double = 1.0,
     ) = MachineView(
-        MachineId(id), MachineType(type), Zone(zone), spot, images, free, leaving, victims, emptySet(), lasting, full,
-        empty = free == full, fetchGbPerS = fetchGbPerS, fetching = fetching,
+        MachineId(id),
+        MachineType(type),
+        Zone(zone),
+        spot,
+        full,
+        MachineImages(images, fetchGbPerS, fetching),
+        MachineLoad(free, releasing, preemptible, serviceWeight, empty = free == full),
     )
 
     private fun quota(mostGpus: Double? = null, reserved: Resources = Resources.NONE) =
@@ -142,7 +147,7 @@
         )
         for ((id, placed) in output.placed.groupBy { it.machine }) {
             val taken = placed.fold(Resources.NONE) { sum, p -> sum + specs.getValue(p.task.job).need }
-            assertTrue(taken.fitsIn(byMachine.getValue(id).free), "$what: $id overfull")
+            assertTrue(taken.fitsIn(byMachine.getValue(id).load.free), "$what: $id overfull")
         }
         for ((id, placed) in output.placed.groupBy { it.task.job }) {
             val spec = specs.getValue(id)
@@ -176,7 +181,7 @@
                     n % 2 == 0,
                     full - task * busy,
                     images = setOf(Image("img-${n % 9}")),
-                    victims = victims,
+                    preemptible = victims,
                 )
             }
             val jobs = List(240) { n ->
@@ -206,7 +211,7 @@
             assertKept("scheduling cycle $cycle", machines, jobs, output, 200.0)
             assertTrue(output.placed.isNotEmpty(), "scheduling cycle $cycle: nothing placed")
             // Seen: some 7,900.
-            assertTrue(output.visits < 20_000, "scheduling cycle $cycle: ${output.visits} looks at a machine")
+            assertTrue(output.machineVisits < 20_000, "scheduling cycle $cycle: ${output.machineVisits} looks at a machine")
         }
     }
 
@@ -244,11 +249,11 @@
 
     @Test
     fun `services leave half a machine to work that yields to them, unless others need it whole`() {
-        fun half() = machine("m1", free = full - Resources(16.0, 4.0, 120.0), lasting = 26.0)
-        fun less() = machine("m2", free = full - Resources(16.0, 4.0, 120.0), lasting = 5.0)
+        fun half() = machine("m1", free = full - Resources(16.0, 4.0, 120.0), serviceWeight = 26.0)
+        fun less() = machine("m2", free = full - Resources(16.0, 4.0, 120.0), serviceWeight = 5.0)
         val service = job(spec(1, JobKind.SERVICE, 1, Priority.PRODUCTION, spot = false))
         fun chosen(whole: Boolean) = SchedulingCycle(
-            CycleInput(listOf(half(), less()), listOf(service), quota(), wholeMachines = whole),
+            CycleInput(listOf(half(), less()), listOf(service), quota(), wholeMachinesNeeded = whole),
         ).decide().placed.single().machine
         assertEquals(MachineId("m2"), chosen(whole = false))
         assertEquals(MachineId("m1"), chosen(whole = true))
@@ -257,7 +262,7 @@
     @Test
     fun `services gather where services are, however full the others`() {
         val fullOfTasks = machine("m1", free = full - Resources(28.0, 7.0, 210.0))
-        val someServices = machine("m2", free = full - Resources(8.0, 2.0, 60.0), lasting = 10.0)
+        val someServices = machine("m2", free = full - Resources(8.0, 2.0, 60.0), serviceWeight = 10.0)
         val service = job(spec(1, JobKind.SERVICE, 1, Priority.PRODUCTION, spot = false))
         assertEquals(
             MachineId("m2"),
@@ -277,21 +282,21 @@
         val urgent = job(spec(1, JobKind.SERVICE, 1, Priority.PRODUCTION, spot = false))
         assertEquals(
             1,
-            decide(listOf(machine("m1", free = taken, victims = victims(Priority.LOW))), listOf(urgent)).stopped.size,
+            decide(listOf(machine("m1", free = taken, preemptible = victims(Priority.LOW))), listOf(urgent)).preempted.size,
         )
         assertEquals(
             0,
             decide(
-                listOf(machine("m1", free = taken, victims = victims(Priority.PRODUCTION))),
+                listOf(machine("m1", free = taken, preemptible = victims(Priority.PRODUCTION))),
                 listOf(urgent),
-            ).stopped.size,
+            ).preempted.size,
         )
         assertEquals(
             0,
             decide(
-                listOf(machine("m1", free = taken, victims = victims(Priority.LOW))),
+                listOf(machine("m1", free = taken, preemptible = victims(Priority.LOW))),
                 listOf(job(spec(2, priority = Priority.LOW))),
-            ).stopped.size,
+            ).preempted.size,
         )
     }
 
@@ -299,22 +304,22 @@
     fun `a place that has the image is made free rather than a long fetch begun elsewhere`() {
         val victims =
             List(8) { PreemptionCandidate(TaskId(JobId("req-9"), it), Priority.LOW, Resources(4.0, 1.0, 30.0)) }
-        fun warm(leaving: Resources = Resources.NONE) = machine(
+        fun warm(releasing: Resources = Resources.NONE) = machine(
             "m1",
             free = Resources(0.0, 0.0, 0.0),
             images = setOf(Image("img")),
-            victims = victims,
-            leaving = leaving,
+            preemptible = victims,
+            releasing = releasing,
         )
         fun service(gb: Double) = job(spec(1, JobKind.SERVICE, 1, Priority.PRODUCTION, spot = false).copy(imageGb = gb))
         val long = decide(listOf(warm(), machine("m2")), listOf(service(50.0)))
-        assertEquals(0 to 1, long.placed.size to long.stopped.size)
+        assertEquals(0 to 1, long.placed.size to long.preempted.size)
         assertTrue(long.unplaced.isEmpty(), "nothing is to be rented for it")
         val short = decide(listOf(warm(), machine("m2")), listOf(service(5.0)))
-        assertEquals(1 to 0, short.placed.size to short.stopped.size)
+        assertEquals(1 to 0, short.placed.size to short.preempted.size)
         // Room that is already being left is waited for, and nothing more is stopped.
-        val second = decide(listOf(warm(leaving = Resources(4.0, 1.0, 30.0)), machine("m2")), listOf(service(50.0)))
-        assertEquals(0 to 0, second.placed.size to second.stopped.size)
+        val second = decide(listOf(warm(releasing = Resources(4.0, 1.0, 30.0)), machine("m2")), listOf(service(50.0)))
+        assertEquals(0 to 0, second.placed.size to second.preempted.size)
     }
 
     @Test
@@ -403,7 +408,7 @@
         val small = spec(1, tasks = 1000, need = Resources(0.25, 0.0, 1.8))
         val photos = spec(2, tasks = 8, need = Resources(5.0, 1.0, 36.0))
         fun cycle(jobs: List<JobView>, machine: MachineView) =
-            SchedulingCycle(CycleInput(listOf(machine), jobs, quota(), besideGpu = beside)).decide().placed
+            SchedulingCycle(CycleInput(listOf(machine), jobs, quota(), hostResourcesPerGpu = beside)).decide().placed
         val first = cycle(listOf(job(small)), machine("m"))
         assertEquals(32, first.size, "8 of 48 processors are left beside eight accelerators")
         val left = full - small.need * first.size
@@ -435,11 +440,11 @@
     fun `for a job that failed wherever it was tried nothing is stopped, kept or rented`() {
         val victims =
             List(8) { PreemptionCandidate(TaskId(JobId("req-9"), it), Priority.LOW, Resources(4.0, 1.0, 30.0)) }
-        val machine = machine("m", free = Resources(16.0, 0.0, 100.0), victims = victims)
+        val machine = machine("m", free = Resources(16.0, 0.0, 100.0), preemptible = victims)
         for (kind in listOf(JobKind.ARRAY, JobKind.GANG)) {
             val tried = job(spec(1, kind, priority = Priority.HIGH, tasks = 2), probe = true)
             val output = decide(listOf(machine), listOf(tried))
-            assertTrue(output.stopped.isEmpty() && output.unplaced.isEmpty(), "$kind")
+            assertTrue(output.preempted.isEmpty() && output.unplaced.isEmpty(), "$kind")
             assertEquals(2, decide(listOf(machine("free")), listOf(tried)).placed.size, "$kind")
         }
     }
@@ -464,7 +469,7 @@
             }
         val machines = List(2) { machine("m$it") }
         fun rush(jobs: List<JobView>, on: List<MachineView>) =
-            SchedulingCycle(CycleInput(on, jobs, quota(), rush = true)).decide()
+            SchedulingCycle(CycleInput(on, jobs, quota(), mostlyBooting = true)).decide()
         val output = rush(services, machines)
         assertEquals(listOf(3, 2, 1).map { JobId("req-$it") }, output.placed.map { it.task.job }.distinct())
         assertTrue(
@@ -476,7 +481,7 @@
         assertEquals(6, output.unplaced.sumOf { it.count })
         assertEquals(16, decide(machines, services).placed.size, "later nothing is held back")
         val warm =
-            machine("m", free = full - Resources(4.0, 1.0, 30.0) * 4, images = setOf(Image("img0")), lasting = 20.0)
+            machine("m", free = full - Resources(4.0, 1.0, 30.0) * 4, images = setOf(Image("img0")), serviceWeight = 20.0)
         assertEquals(4, rush(listOf(services[0]), listOf(warm)).placed.size, "where the image is, nobody waits")
     }
 
@@ -488,12 +493,12 @@
         fun joining(leftGb: Double) = machine(
             "joined",
             free = Resources.NONE,
-            victims = victims,
+            preemptible = victims,
             fetching = mapOf(Image("img") to leftGb),
             fetchGbPerS = 0.25,
         )
         val empty = machine("empty", fetchGbPerS = 0.25)
-        assertEquals(1, decide(listOf(joining(5.0), empty), listOf(service)).stopped.size)
+        assertEquals(1, decide(listOf(joining(5.0), empty), listOf(service)).preempted.size)
         assertEquals("empty", decide(listOf(joining(19.0), empty), listOf(service)).placed.single().machine.text)
     }
 
@@ -515,7 +520,7 @@
         fun busy(id: String, zone: String, priority: Priority, count: Int = 8, spot: Boolean = false): MachineView {
             val victims =
                 List(count) { PreemptionCandidate(TaskId(JobId("req-9$id"), it), priority, Resources(5.0, 1.0, 27.0)) }
-            return machine(id, zone, spot, full - Resources(5.0, 1.0, 27.0) * count, victims = victims)
+            return machine(id, zone, spot, full - Resources(5.0, 1.0, 27.0) * count, preemptible = victims)
         }
         val one =
             listOf(
@@ -524,18 +529,18 @@
                 busy("3", "a", Priority.NORMAL),
                 busy("4", "a", Priority.LOW, spot = true),
             )
-        assertTrue(decide(one, listOf(gang)).let { it.stopped.isEmpty() && it.unplaced.size == 1 })
+        assertTrue(decide(one, listOf(gang)).let { it.preempted.isEmpty() && it.unplaced.size == 1 })
         val two = one + busy("5", "b", Priority.LOW, 3) + busy("6", "a", Priority.LOW)
         val output = decide(two, listOf(gang))
-        assertEquals(setOf("req-92", "req-95"), output.stopped.map { it.job.text }.toSet())
-        assertEquals(11, output.stopped.size)
+        assertEquals(setOf("req-92", "req-95"), output.preempted.map { it.job.text }.toSet())
+        assertEquals(11, output.preempted.size)
         assertTrue(output.placed.isEmpty() && output.unplaced.isEmpty())
         // While they leave, nobody else is stopped, and less important work doesn't take what is free there.
         val leaving = two.map {
             if (it.id.text in
                 setOf("2", "5")
             ) {
-                machine(it.id.text, "b", free = it.free, leaving = full - it.free)
+                machine(it.id.text, "b", free = it.load.free, releasing = full - it.load.free)
             } else {
                 it
             }
@@ -548,7 +553,7 @@
                     job(spec(2, tasks = 30, priority = Priority.LOW, need = Resources(5.0, 1.0, 27.0)), order = 2),
                 ),
             )
-        assertTrue(next.stopped.isEmpty() && next.placed.none { it.machine.text in setOf("2", "5") })
+        assertTrue(next.preempted.isEmpty() && next.placed.none { it.machine.text in setOf("2", "5") })
     }
 
     /** Seen: eight of 800 small jobs began anew again and again, each time after minutes that no checkpoint kept. */
@@ -576,10 +581,10 @@
                         now - it.seconds,
                     )
                 }
-            return machine(id, free = Resources(5.0, 1.0, 100.0), victims = small + large)
+            return machine(id, free = Resources(5.0, 1.0, 100.0), preemptible = small + large)
         }
         val machines = listOf(busy("1", now - 100.seconds), busy("2", null), busy("3", now - 30.seconds))
-        val stopped = SchedulingCycle(CycleInput(machines, listOf(gang), quota(), now = now)).decide().stopped
+        val stopped = SchedulingCycle(CycleInput(machines, listOf(gang), quota(), now = now)).decide().preempted
         assertEquals(7, stopped.count { it.job.text == "req-large2" })
         assertEquals(
             (0..11).toSet(),
@@ -609,32 +614,32 @@
         val late = JobView(spec(8, need = small), Revision(2), listOf(1), emptyMap(), null, late = true)
         fun stopped(vararg machines: MachineView) = SchedulingCycle(
             CycleInput(machines.toList(), listOf(urgent, late), quota(), now = now),
-        ).decide().stopped.map {
+        ).decide().preempted.map {
             it.job.text
         }
         assertEquals(
             listOf("req-8"),
             stopped(
-                machine("m", free = Resources.NONE, victims = listOf(victim("9", small, 1), victim("8", small, 25))),
+                machine("m", free = Resources.NONE, preemptible = listOf(victim("9", small, 1), victim("8", small, 25))),
             ),
         )
         assertEquals(
             listOf("req-9"),
             stopped(
-                machine("m", free = Resources.NONE, victims = listOf(victim("9", small, 1), victim("8", small, 45))),
+                machine("m", free = Resources.NONE, preemptible = listOf(victim("9", small, 1), victim("8", small, 45))),
             ),
             "not at any price",
         )
         val large = victim("7", Resources(32.0, 0.0, 56.0), 5)
         assertEquals(
             listOf("req-9"),
-            stopped(machine("m", free = Resources.NONE, victims = listOf(large, victim("9", small, 60)))),
+            stopped(machine("m", free = Resources.NONE, preemptible = listOf(large, victim("9", small, 60)))),
         )
         assertEquals(
             listOf("req-9"),
             stopped(
-                machine("m1", free = Resources.NONE, victims = listOf(large)),
-                machine("m2", free = Resources.NONE, victims = listOf(victim("9", small, 60))),
+                machine("m1", free = Resources.NONE, preemptible = listOf(large)),
+                machine("m2", free = Resources.NONE, preemptible = listOf(victim("9", small, 60))),
             ),
         )
     }
@@ -671,20 +676,20 @@
         val gang = job(spec(1, JobKind.GANG, tasks = 2, priority = Priority.HIGH, need = Resources(40.0, 8.0, 300.0)))
         val array = job(spec(2, tasks = 50), order = 2)
         val machines = List(8) { machine("m$it") }
-        fun ledger(used: Double, lasts: Boolean) = quota(24.0).apply { add(team, Resources(0.0, used, 0.0), lasts) }
+        fun ledger(used: Double, service: Boolean) = quota(24.0).apply { add(team, Resources(0.0, used, 0.0), service) }
         assertEquals(
             emptyList(),
-            decide(machines, listOf(gang, array), ledger(12.0, lasts = false)).placed,
+            decide(machines, listOf(gang, array), ledger(12.0, service = false)).placed,
             "it waits for four more",
         )
-        assertEquals(2 + 8, decide(machines, listOf(gang, array), ledger(0.0, lasts = false)).placed.size)
+        assertEquals(2 + 8, decide(machines, listOf(gang, array), ledger(0.0, service = false)).placed.size)
         // Services end when their users say so: nothing waits behind a gang that waits for that.
-        assertEquals(12, decide(machines, listOf(gang, array), ledger(12.0, lasts = true)).placed.size)
+        assertEquals(12, decide(machines, listOf(gang, array), ledger(12.0, service = true)).placed.size)
     }
 
     @Test
     fun `the first task of what must begin comes before others' next ones, and never before more important work`() {
-        val waits = job(spec(1, tasks = 40), order = 9, due = MonotonicInstant(0) + 900.seconds).begun()
+        val waits = job(spec(1, tasks = 40), order = 9, due = MonotonicInstant(0) + 900.seconds).withFirstTaskApart()
         assertEquals(listOf(1, 39), waits.map { it.pending.size })
         val small = job(spec(2, tasks = 20), order = 1, due = MonotonicInstant(0) + 10.seconds)
         val urgent = job(spec(3, tasks = 3, priority = Priority.HIGH), order = 2)
--- a/src/test/kotlin/org/elderhitch/scheduler/CycleInputBuilderTest.kt
+++ b/src/test/kotlin/org/elderhitch/scheduler/CycleInputBuilderTest.kt
@@ -64,7 +64,7 @@
             }, Resources.NONE, Catalog.EMPTY, emptyList(), now, rush = false, coming = emptyMap(), refused = emptySet()) {
                 false
             }
-        return input.jobs.filter { it.spec.id.text == id }.map { it.pending.size to it.begins }
+        return input.jobs.filter { it.spec.id.text == id }.map { it.pending.size to it.starved }
     }
 
     /**
