--- a/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
+++ b/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
@@ -146,7 +146,7 @@
                 SchedulerMessage.ProbeCompleted(
                     leadershipState.term,
                     machine,
-                    line.ask(at, leadershipState.term) {
+                    line.probe(at, leadershipState.term) {
                         entitled(leadershipState)
                     },
                 ),
@@ -158,13 +158,13 @@
         leadershipState: LeadershipState.Leader,
         to: Address,
         machine: MachineId,
-        session: Long,
+        agentEpoch: Long,
         commands: List<Command>,
     ) {
         scope.launch {
-            val outcome = line.send(to, leadershipState.term, session, commands) { entitled(leadershipState) }
+            val outcome = line.send(to, leadershipState.term, agentEpoch, commands) { entitled(leadershipState) }
             val starts = commands.filterIsInstance<Command.Start>().map { it.task to it.attempt }.toSet()
-            tell(SchedulerMessage.CommandsDelivered(leadershipState.term, machine, session, starts, outcome))
+            tell(SchedulerMessage.CommandsDelivered(leadershipState.term, machine, agentEpoch, starts, outcome))
         }
     }
 
--- a/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
+++ b/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
@@ -63,7 +63,7 @@
         lines.add(
             "of ${job.spec.tasks} tasks ${job.completed.count} done$parts; ${job.usage.attempts} starts seen, ${job.usage.lost} lost, in this term",
         )
-        val cut = job.placements.values.count { failureDetector.isCutOff(it.zone) }
+        val cut = job.placements.values.count { failureDetector.isPartitioned(it.zone) }
         if (cut > 0) lines.add("$cut of its tasks are in a zone that is cut off")
     }
 
@@ -95,7 +95,7 @@
                 "at fault: failed on ${job.failedOn.size} machines and runs on none; tried again in ${(job.notBefore - now).inWholeSeconds} s",
             )
         }
-        faults.probes(job)?.let {
+        faults.trialLimit(job)?.let {
             lines.add("failed on ${job.failedOn.size} machines: no more than a few tasks are tried at a time")
         }
         if (job.isGang &&
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureAttribution.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureAttribution.kt
@@ -22,7 +22,7 @@
 internal class FailureAttribution(private val table: TaskTable) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
 
-    fun erred(worker: WorkerState, job: JobState, task: TaskStatus, now: MonotonicInstant) {
+    fun recordTaskFailure(worker: WorkerState, job: JobState, task: TaskStatus, now: MonotonicInstant) {
         log.info("task failed task={} machine={}", task.task, worker.id)
         job.failedOn.add(worker.id)
         worker.avoid(job.id, now + ERROR_SHUN)
@@ -64,15 +64,15 @@
      * their
      * way tell, and the others would only fail beside them. Null: as many as there are.
      */
-    fun probes(job: JobState): Int? {
+    fun trialLimit(job: JobState): Int? {
         if (job.failedOn.size < SUSPECT || runsSomewhere(job, besides = null)) return null
         return (if (job.failedOn.size < JOB_AT_FAULT) PROBES else 1) - job.placements.size
     }
 
-    fun atFault(job: JobState): Boolean = job.failedOn.size >= JOB_AT_FAULT
+    fun isFaulty(job: JobState): Boolean = job.failedOn.size >= JOB_AT_FAULT
 
     /** Time brings evidence too: jobs that failed on a machine prove well elsewhere. */
-    fun reconsider(now: MonotonicInstant) {
+    fun reassess(now: MonotonicInstant) {
         for (worker in table.workers.values) if (worker.failuresByJob.isNotEmpty()) judge(worker, now)
         for (job in table.jobs.values) {
             if (job.notBefore > now &&
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
@@ -64,7 +64,7 @@
             DetectionTimeouts(
                 workerTimes.heartbeatDeadline,
                 releaseAfter,
-                leases.longest,
+                leases.maxDuration,
                 UNLISTED_PATIENCE,
                 UNASKED_MARGIN,
                 UNHEARD_MARGIN,
@@ -80,7 +80,7 @@
 
     /** When any worker of the zone was last heard. */
     private val lastWord = HashMap<Zone, MonotonicInstant>()
-    var cutZones: Set<Zone> = emptySet()
+    var partitionedZones: Set<Zone> = emptySet()
         private set
 
     /**
@@ -109,21 +109,21 @@
      * It may be about to lose all that it runs, and would lose what it is given: it says nothing, or only answers what
      * it is asked.
      */
-    fun isSuspect(worker: WorkerState, now: MonotonicInstant): Boolean =
+    fun isSuspected(worker: WorkerState, now: MonotonicInstant): Boolean =
         now - minOf(worker.lastSeenAt, renewedBy(worker)) > suspectAfter
 
     /** When a report of it was last answered, here or by a lease delegate that is away. */
     private fun renewedBy(worker: WorkerState): MonotonicInstant =
         maxOf(worker.lastHeartbeatAt, delegates.latestPossibleRenewal(worker.zone))
 
-    fun isCutOff(zone: Zone): Boolean = zone in cutZones
+    fun isPartitioned(zone: Zone): Boolean = zone in partitionedZones
 
     fun heard(worker: WorkerState) {
         quietTicks[worker.zone] = 0
         lastWord[worker.zone] = worker.lastSeenAt
     }
 
-    fun watch(leadership: LeadershipState.Leader, now: MonotonicInstant, known: Map<MachineId, Machine>) {
+    fun assess(leadership: LeadershipState.Leader, now: MonotonicInstant, known: Map<MachineId, Machine>) {
         if (!leadership.maySendCommands(now)) closedAt = now
         delegates.recordPossibleRenewals(now)
         val zones = HashMap<Zone, ZoneHealth>()
@@ -169,9 +169,9 @@
         } else {
             emptySet()
         }
-        if (cut != cutZones) log.info("zones cut off zones={} silent={}", cut, silent + unheard.size)
-        for (zone in cutZones - cut) reopenedAt[zone] = now
-        cutZones = cut
+        if (cut != partitionedZones) log.info("zones cut off zones={} silent={}", cut, silent + unheard.size)
+        for (zone in partitionedZones - cut) reopenedAt[zone] = now
+        partitionedZones = cut
         if (leadership.maySendCommands(now)) release(leadership, now, unheard, known)
     }
 
@@ -306,7 +306,7 @@
                 id,
             ),
             workerProber.unreachableSince(id), workerProber.wasAskedInVain(id), lastWord[zone],
-            zone in doubtfulZones, zone in cutZones, zone in missingZones, mute,
+            zone in doubtfulZones, zone in partitionedZones, zone in missingZones, mute,
         )
         val endsSoon = takeover.endsSoon(now)
         if (quiet <= reconciliation.patience(machine, !takeover.settled, endsSoon)) return null
@@ -319,7 +319,7 @@
     }
 
     /** Its return had not gone out when it spoke. */
-    fun spared(worker: WorkerState) {
+    fun onTerminationCancelled(worker: WorkerState) {
         if (worker.lastSeenAt > worker.releaseRequestedAt) worker.releaseRequestedAt = MonotonicInstant.NEVER
         table.dirty = true
     }
--- a/src/main/kotlin/org/elderhitch/failuredetection/PauseDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/PauseDetector.kt
@@ -19,7 +19,7 @@
         private set
 
     /** How long the process stood still until now; null: it did not. */
-    fun tick(now: MonotonicInstant): Duration? {
+    fun check(now: MonotonicInstant): Duration? {
         val pause = now - last
         last = now
         if (pause < tick + PAUSE) return null
--- a/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
@@ -45,7 +45,7 @@
     }
 
     /** The cloud's list in this term, and where it says that machines are. */
-    fun listed(where: Map<MachineId, Address?>) {
+    fun updateListing(where: Map<MachineId, Address?>) {
         listed = HashSet(where.keys)
         where.forEach { (machine, address) -> if (address != null) addresses[machine] = address }
     }
@@ -72,7 +72,7 @@
     }
 
     /** In a zone that seems to be cut off only a few are asked: one answer tells that it isn't. */
-    fun ask(leadership: LeadershipState.Leader, now: MonotonicInstant, isCutOff: (Zone) -> Boolean) {
+    fun probeWorkers(leadership: LeadershipState.Leader, now: MonotonicInstant, isCutOff: (Zone) -> Boolean) {
         var may = pace.allow(
             takeover.unaccounted.size,
             now - maxOf(leadership.claimedAt, pauseDetector.since),
--- a/src/main/kotlin/org/elderhitch/heartbeat/CommandOutcome.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/CommandOutcome.kt
@@ -1,15 +1,16 @@
 package org.elderhitch.heartbeat
 
-/** What became of commands that were sent to a worker's own address. */
+/** The outcome of a request to a worker's own address: commands or a probe. */
 public sealed interface CommandOutcome {
-    public data class Executed(val report: Heartbeat) : CommandOutcome
+    /** The worker executed the commands and answered with its state. */
+    public data class Executed(val heartbeat: Heartbeat) : CommandOutcome
 
-    /** Surely not executed, now or later. */
+    /** The commands were surely not executed and never will be. */
     public data object NotExecuted : CommandOutcome
 
-    /** The same, and the worker took no connection. */
+    /** The worker took no connection, so the commands were surely not executed. */
     public data object Unreachable : CommandOutcome
 
-    /** Executed, or not, or still to be executed. */
+    /** The commands may have been executed, or may still be. */
     public data object Unknown : CommandOutcome
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatCodec.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatCodec.kt
@@ -40,7 +40,7 @@
             type = MachineType(body.string("rig")),
             zone = Zone(body.string("hall")),
             spot = body.boolean("borrowedRigs"),
-            order = HeartbeatSequence(body.count("shift"), body.count("tallyNo")),
+            sequence = HeartbeatSequence(body.count("shift"), body.count("tallyNo")),
             term = Term(body.count("gavel")),
             notice = body.amountOrNull("recallS")?.seconds,
             tasks = body.objects("crates").map(::task),
--- a/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatHandler.kt
@@ -43,7 +43,7 @@
     private val onSettled: () -> Unit,
 ) {
     /** [cycle]: gives away the room that a report brought, before it is answered. */
-    fun report(
+    fun handle(
         leadership: LeadershipState.Leader,
         report: Heartbeat,
         now: MonotonicInstant,
@@ -64,9 +64,9 @@
         val worker = table.workers.getOrPut(report.machine) { worker(report, now) }
         // Late reports tell what was: answering one would renew nothing, and believing one would free a task, or bring
         // back one that was lost.
-        if (worker.lease?.judge(report.order.session) == MessageFreshness.STALE) return HeartbeatResponse.Redirect(null)
+        if (worker.lease?.freshnessOf(report.sequence.agentEpoch) == MessageFreshness.STALE) return HeartbeatResponse.Redirect(null)
         val order = worker.heartbeatSequence
-        if (order != null && report.order <= order) {
+        if (order != null && report.sequence <= order) {
             // But one that a command to the worker's own address has overtaken is no late one: it waits for its answer.
             if (now - worker.lastCommandAt > WorkerTimeouts.ANSWER_WAIT) return HeartbeatResponse.Redirect(null)
             val stops =
@@ -76,17 +76,17 @@
             return HeartbeatResponse.Accepted(leadership.term, stops)
         }
         heard(leadership, worker, report, now)
-        val obeys = report.term == leadership.term
-        if (obeys &&
+        val acknowledgesTerm = report.term == leadership.term
+        if (acknowledgesTerm &&
             tableComplete
         ) {
             settle(worker, report)
-        } else if (!obeys &&
+        } else if (!acknowledgesTerm &&
             takeover.refusesUnawareWorkers(now)
         ) {
             return HeartbeatResponse.Redirect(null)
         }
-        val maySendCommands = obeys && tableComplete && leadership.maySendCommands(now)
+        val maySendCommands = acknowledgesTerm && tableComplete && leadership.maySendCommands(now)
         val stops =
             commands.endings(worker, report.tasks, tableComplete, maySendCommands)
                 ?: return HeartbeatResponse.Redirect(null)
@@ -132,15 +132,15 @@
         now: MonotonicInstant,
     ) {
         orders.machineSeen(worker.id, now)
-        if (worker.recordMessage(report.order.session, now, obeys = report.term == leadership.term) ==
-            MessageFreshness.NEW_SESSION
+        if (worker.recordMessage(report.sequence.agentEpoch, now, acknowledgesTerm = report.term == leadership.term) ==
+            MessageFreshness.NEW_EPOCH
         ) {
             // Commands to its own address name the session: those of an earlier one are never executed now, and what
             // ran in it is gone.
             worker.unacknowledgedStarts.clear()
             table.removeSentTo(worker)
         }
-        worker.heartbeatSequence = report.order
+        worker.heartbeatSequence = report.sequence
         worker.unreachable = false
         worker.lastSeenAt = now
         worker.address = report.address
@@ -191,7 +191,7 @@
         while (workers.hasNext()) {
             val worker = workers.next()
             val address = worker.address
-            val session = worker.heartbeatSequence?.session
+            val session = worker.heartbeatSequence?.agentEpoch
             if (worker === answering || worker.commandInFlight) continue
             if (address == null ||
                 session == null ||
@@ -234,7 +234,7 @@
         val worker = table.workers[message.machine] ?: return
         worker.commandInFlight = false
         worker.lastCommandAt = now
-        if (worker.heartbeatSequence?.session != message.session) return
+        if (worker.heartbeatSequence?.agentEpoch != message.agentEpoch) return
         val outcome = message.outcome
         if (outcome == CommandOutcome.Unknown) {
             // Bound to this worker until it shows them, or its session ends; each answer to it repeats them.
@@ -252,7 +252,7 @@
         }
         placements.forEach { it.directStartPending = false }
         if (outcome is CommandOutcome.Executed) {
-            val report = outcome.report
+            val report = outcome.heartbeat
             if (report.machine == worker.id && report.term == leadership.term && isNews(worker, report)) {
                 heard(leadership, worker, report, now)
                 settle(worker, report, inReply = true)
@@ -280,7 +280,7 @@
         if (machine in machineRegistry.gone) return
         workerProber.took(machine, connection = outcome != CommandOutcome.Unreachable, now)
         if (outcome !is CommandOutcome.Executed) orders.recordNeedless(NeedlessActionKind.PROBE_FAILED)
-        val said = (outcome as? CommandOutcome.Executed)?.report
+        val said = (outcome as? CommandOutcome.Executed)?.heartbeat
         // A machine's address may be another's by now.
         if (said == null || said.machine != machine) return
         if (said.term > leadership.term) {
@@ -295,8 +295,8 @@
     }
 
     private fun isNews(worker: WorkerState, report: Heartbeat): Boolean =
-        worker.lease?.judge(report.order.session) != MessageFreshness.STALE &&
-            worker.heartbeatSequence.let { it == null || report.order > it }
+        worker.lease?.freshnessOf(report.sequence.agentEpoch) != MessageFreshness.STALE &&
+            worker.heartbeatSequence.let { it == null || report.sequence > it }
 
     private companion object {
         val CLEAR_AGAIN = 2.seconds
--- a/src/main/kotlin/org/elderhitch/heartbeat/LeaseTimeouts.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/LeaseTimeouts.kt
@@ -7,30 +7,31 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * When a lease is surely over on its worker's clock. The only place that compares times with a lease (PROTOCOL,
- * "Leases": a
- * worker ends a session when its last answered report was *sent* more than `lease_s` ago, or when the session began
- * then).
+ * When a worker's lease has surely expired, on this node's clock. A worker starts a new agent epoch, and drops all its
+ * tasks, once its last answered heartbeat was *sent* more than `lease_s` ago, or once the epoch began then (PROTOCOL,
+ * "Leases"). No other code compares times with a lease.
+ *
+ * @param lease the lease as the workers count it, each on its own clock.
  */
 internal class LeaseTimeouts(private val lease: Duration) {
-    /** A lease that was renewed by nothing that left its worker after [last] is over from then on. */
-    fun overAfter(last: MonotonicInstant): MonotonicInstant = last + longest
+    /** How long after its last renewal a lease has surely expired: the lease, the clocks' drift and a margin. */
+    val maxDuration: Duration = lease.stretched() + MARGIN
 
-    /** How long after the last report that renewed it a lease is surely over. */
-    val longest: Duration = lease.stretched() + MARGIN
+    /** From when on a lease has expired that no message renewed which left its worker after [lastRenewal]. */
+    fun expiredAfter(lastRenewal: MonotonicInstant): MonotonicInstant = lastRenewal + maxDuration
 
     /**
-     * Whoever led before a claim answers nobody longer than its window and its hold time; from then on every lease that
-     * it kept alive is over.
+     * From when on every lease has expired that a previous leader kept alive. A previous leader answers nobody for
+     * longer than its command window and its answer grace period after the [claimed] instant.
      */
-    fun overAfterClaim(claimed: MonotonicInstant, times: LeadershipTimeouts): MonotonicInstant =
-        claimed + (times.commandWindow + times.answerGracePeriod + lease).stretched() + MARGIN
+    fun expiredAfterClaim(claimed: MonotonicInstant, timeouts: LeadershipTimeouts): MonotonicInstant =
+        claimed + (timeouts.commandWindow + timeouts.answerGracePeriod + lease).stretched() + MARGIN
 
-    /** Whether leases that end at [end] do so within one lease's time. */
-    fun endSoon(end: MonotonicInstant, now: MonotonicInstant): Boolean = end - now < lease
+    /** Whether leases that expire at [expiry] do so within the time of one lease. */
+    fun expireSoon(expiry: MonotonicInstant, now: MonotonicInstant): Boolean = expiry - now < lease
 
     private companion object {
-        /** On top of a lease that is surely over: the clocks' steps. */
+        /** Allows for steps of the clocks, on top of their drift. */
         val MARGIN = 500.milliseconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/LeaseView.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/LeaseView.kt
@@ -3,65 +3,77 @@
 import org.elderhitch.time.MonotonicInstant
 
 /**
- * What a leader believes about one worker's lease, in its term. Immutable; each transition is a fact that was learnt,
- * [LeaseView.over]
- * the conclusion. Its proof stands in `docs/design.md`, "What is believed about a lease".
+ * What a leader believes, in its term, about one worker's lease. Immutable: each transition records an observation, and
+ * [isExpired] draws the conclusion. `docs/design.md`, "What is believed about a lease", proves it.
  *
- * [renewedBy] is not before the latest moment at which a report left the worker that this session's lease may have been
- * renewed by, and not before
- * the session's beginning. A session that one is told of may have begun at any time up to then: to count it from the
- * last answer to an
- * earlier one declared tasks lost that had just been started, and started them elsewhere
- * (`docs/incidents/sessions-told.md`).
+ * @property agentEpoch the latest known agent epoch of the worker.
+ * @property renewedBy an instant that is not before the agent epoch's start, nor before the latest moment at which a
+ *   heartbeat left the worker that may have renewed the epoch's lease. An epoch that a message tells of may have begun
+ *   at any time up to that message: counting it from the last answer to an earlier epoch declared tasks lost that had
+ *   just been started (`docs/incidents/sessions-told.md`).
+ * @property acknowledgesTerm whether the worker knows this term, so that no other leader's answers renew its lease.
+ * @property awaitingFirstResponse whether the epoch began in this term and none of its heartbeats has been answered:
+ *   how much of its lease is left isn't known.
+ * @property lastExpiredEpoch all epochs up to this one have expired, whatever messages still arrive from them.
  */
 internal data class LeaseView(
-    val session: Long,
+    val agentEpoch: Long,
     val renewedBy: MonotonicInstant,
-    /** The worker knows our term: nobody else's answers renew its lease. */
-    val obeys: Boolean,
-    /** No report of this session has been answered, and it began in this term: nobody knows how much of it is left. */
-    val unanswered: Boolean,
-    /** All sessions up to this one are over, whatever still comes from them. */
-    val ended: Long,
+    val acknowledgesTerm: Boolean,
+    val awaitingFirstResponse: Boolean,
+    val lastExpiredEpoch: Long,
 ) {
-    /** What a word of [session] is worth; it changes nothing. */
-    fun judge(session: Long): MessageFreshness = when {
-        session <= ended || session < this.session -> MessageFreshness.STALE
-        session == this.session -> MessageFreshness.SAME
-        else -> MessageFreshness.NEW_SESSION
+    /** How a message of the given [agentEpoch] relates to the known epoch. */
+    fun freshnessOf(agentEpoch: Long): MessageFreshness = when {
+        agentEpoch <= lastExpiredEpoch || agentEpoch < this.agentEpoch -> MessageFreshness.STALE
+        agentEpoch == this.agentEpoch -> MessageFreshness.CURRENT_EPOCH
+        else -> MessageFreshness.NEW_EPOCH
     }
 
-    /**
-     * The worker said something, by whatever way, that is not [MessageFreshness.STALE]; it was sent at [at] at the
-     * latest.
-     */
-    fun told(session: Long, at: MonotonicInstant, obeys: Boolean): LeaseView = when {
-        session > this.session -> LeaseView(session, at, this.obeys || obeys, unanswered = true, ended = session - 1)
+    /** After any message of the worker that is not [MessageFreshness.STALE] and was sent at [at] at the latest. */
+    fun afterMessage(agentEpoch: Long, at: MonotonicInstant, acknowledgesTerm: Boolean): LeaseView = when {
+        agentEpoch > this.agentEpoch -> LeaseView(
+            agentEpoch,
+            renewedBy = at,
+            acknowledgesTerm = this.acknowledgesTerm || acknowledgesTerm,
+            awaitingFirstResponse = true,
+            lastExpiredEpoch = agentEpoch - 1,
+        )
 
-        // Until it knew our term an earlier leader may have answered it.
-        !this.obeys -> copy(renewedBy = maxOf(renewedBy, at), obeys = obeys)
+        // Until the worker knew this term, an earlier leader may have answered it.
+        !this.acknowledgesTerm -> copy(renewedBy = maxOf(renewedBy, at), acknowledgesTerm = acknowledgesTerm)
 
         else -> this
     }
 
-    /** A report of the known session is being answered, which came at [at]. */
-    fun answered(at: MonotonicInstant): LeaseView = copy(renewedBy = maxOf(renewedBy, at), unanswered = false)
+    /** After a heartbeat of the known epoch, received at [at], is answered. */
+    fun afterResponse(at: MonotonicInstant): LeaseView =
+        copy(renewedBy = maxOf(renewedBy, at), awaitingFirstResponse = false)
 
     /**
-     * Nothing of the known session can be on the worker any more, and no word of it counts. Only of a worker that
-     * [obeys]. [lastAnswer]: no lease delegate of
-     * this term answers a report that leaves the worker after that; [MonotonicInstant.NEVER]: none was named.
+     * Whether the known epoch has surely expired: nothing of it is on the worker any more, and no message of it counts.
+     * Concluded only of a worker that [acknowledgesTerm].
+     *
+     * @param lastDelegateResponse no lease delegate of this term answers a heartbeat that leaves the worker later;
+     *   [MonotonicInstant.NEVER] if no delegate was named.
      */
-    fun isOver(
+    fun isExpired(
         now: MonotonicInstant,
-        times: LeaseTimeouts,
-        lastAnswer: MonotonicInstant = MonotonicInstant.NEVER,
-    ): Boolean = obeys && now > times.overAfter(maxOf(renewedBy, lastAnswer))
+        timeouts: LeaseTimeouts,
+        lastDelegateResponse: MonotonicInstant = MonotonicInstant.NEVER,
+    ): Boolean = acknowledgesTerm && now > timeouts.expiredAfter(maxOf(renewedBy, lastDelegateResponse))
 
-    fun over(): LeaseView = if (ended >= session) this else copy(ended = session)
+    /** The same lease once its known epoch has been concluded to have expired. */
+    fun expired(): LeaseView = if (lastExpiredEpoch >= agentEpoch) this else copy(lastExpiredEpoch = agentEpoch)
 
     companion object {
-        fun firstWord(session: Long, at: MonotonicInstant, obeys: Boolean): LeaseView =
-            LeaseView(session, at, obeys, unanswered = false, ended = session - 1)
+        /** The view after the first message of a worker in this term, sent at [at] at the latest. */
+        fun fromFirstMessage(agentEpoch: Long, at: MonotonicInstant, acknowledgesTerm: Boolean): LeaseView = LeaseView(
+            agentEpoch,
+            renewedBy = at,
+            acknowledgesTerm,
+            awaitingFirstResponse = false,
+            lastExpiredEpoch = agentEpoch - 1,
+        )
     }
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/MessageFreshness.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/MessageFreshness.kt
@@ -1,13 +1,13 @@
 package org.elderhitch.heartbeat
 
-/** What a worker's word says of its session. */
+/** How a worker's message relates to the agent epoch that is known of the worker. */
 internal enum class MessageFreshness {
-    /** Of a session that was over when it came, or older than what is known: it says nothing of now. */
+    /** Of an epoch that is older than the known one or has expired: it tells nothing about the present. */
     STALE,
 
-    /** The session that was known. */
-    SAME,
+    /** Of the known epoch. */
+    CURRENT_EPOCH,
 
-    /** The first word of a session. Whatever ran in an earlier one is gone. */
-    NEW_SESSION,
+    /** The first message of a newer epoch. All tasks of earlier epochs are gone from the worker. */
+    NEW_EPOCH,
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/WorkerClient.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/WorkerClient.kt
@@ -21,7 +21,7 @@
     public suspend fun send(
         to: Address,
         term: Term,
-        session: Long,
+        agentEpoch: Long,
         commands: List<Command>,
         entitled: () -> Boolean,
     ): CommandOutcome = turns.withPermit {
@@ -31,7 +31,7 @@
                 to,
                 "POST",
                 "/do",
-                HeartbeatCodec.encodeDirect(term, session, commands),
+                HeartbeatCodec.encodeDirect(term, agentEpoch, commands),
                 CONNECT,
                 TIMEOUT,
             )
@@ -52,7 +52,7 @@
      * What a worker says, once it knows our term. Two connections must fail before it counts as unreachable: a single
      * lost packet keeps one from coming about for a second.
      */
-    public suspend fun ask(at: Address, term: Term, entitled: () -> Boolean): CommandOutcome = questions.withPermit {
+    public suspend fun probe(at: Address, term: Term, entitled: () -> Boolean): CommandOutcome = questions.withPermit {
         var first = transport.deliver(at, "GET", "/inspect", null, ASK_CONNECT, TIMEOUT)
         if (first == Delivery.NotSent) first = transport.deliver(at, "GET", "/inspect", null, ASK_CONNECT, TIMEOUT)
         val said = when (first) {
@@ -63,12 +63,12 @@
 
             Delivery.Unknown -> return CommandOutcome.Unknown
         }
-        if (said.report.term >= term || !entitled()) return said
+        if (said.heartbeat.term >= term || !entitled()) return said
         val told = transport.deliver(
             at,
             "POST",
             "/do",
-            HeartbeatCodec.encodeDirect(term, said.report.order.session, emptyList()),
+            HeartbeatCodec.encodeDirect(term, said.heartbeat.sequence.agentEpoch, emptyList()),
             CONNECT,
             TIMEOUT,
         )
--- a/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
@@ -51,7 +51,7 @@
         renewed.clear()
         settled = leadership.previousLeader == null
         previousLeaderEnded = leadership.previousLeader == null
-        end = leases.overAfterClaim(leadership.claimedAt, times)
+        end = leases.expiredAfterClaim(leadership.claimedAt, times)
     }
 
     fun expect(machines: Set<MachineId>) {
@@ -77,14 +77,14 @@
 
     /** The former leader has surely stopped answering workers: each lease that it kept alive ends from now on. */
     fun previousLeadersStopped() {
-        if (!settled) end = minOf(end, leases.overAfter(clock.now()))
+        if (!settled) end = minOf(end, leases.expiredAfter(clock.now()))
     }
 
     /** True when the takeover has just ended. */
     fun trySettle(): Boolean {
         if (settled) return false
         val now = clock.now()
-        val overdue = now > end && renewed.values.all { now > leases.overAfter(it) }
+        val overdue = now > end && renewed.values.all { now > leases.expiredAfter(it) }
         if (!overdue && silent?.isEmpty() != true) return false
         log.info("takeover settled term={} by={}", term, if (overdue) "leases over" else "reports")
         settled = true
@@ -117,7 +117,7 @@
     }
 
     /** It ends within one lease's time, whatever happens. */
-    fun endsSoon(now: MonotonicInstant): Boolean = leases.endSoon(end, now)
+    fun endsSoon(now: MonotonicInstant): Boolean = leases.expireSoon(end, now)
 
     /** What the silent machines could be running, whoever it belongs to. */
     fun reservedResources(known: Map<MachineId, Machine>, catalog: Catalog): Resources {
--- a/src/main/kotlin/org/elderhitch/recovery/TaskReconciler.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/TaskReconciler.kt
@@ -193,7 +193,7 @@
         when (task.cause) {
             ExitCause.ERROR -> {
                 placement.failed = true
-                faults.erred(worker, job, task, now)
+                faults.recordTaskFailure(worker, job, task, now)
             }
 
             ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN -> {
--- a/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
@@ -271,7 +271,7 @@
         } else if (job.placements.size + job.completed.count >= job.spec.tasks) {
             return null
         }
-        val probes = faults.probes(job)
+        val probes = faults.trialLimit(job)
         val most = if (job.isGang) job.spec.tasks else minOf(MAX_PENDING, probes ?: MAX_PENDING)
         val pending = ArrayList<Int>()
         var index = job.completed.firstMissing(0)
@@ -288,7 +288,7 @@
             job.zones(),
             join,
             probe = probes != null,
-            atFault = faults.atFault(job),
+            atFault = faults.isFaulty(job),
         )
     }
 
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -206,7 +206,7 @@
                 it.term == message.term
             }?.let { conversation.commanded(it, message, clock.now()) }
 
-            is SchedulerMessage.MachinesListed -> workerProber.listed(message.where)
+            is SchedulerMessage.MachinesListed -> workerProber.updateListing(message.where)
 
             is SchedulerMessage.ProbeCompleted -> currentLeadership()?.takeIf {
                 it.term == message.term
@@ -217,7 +217,7 @@
             is SchedulerMessage.CordonMachines -> cordon(message.machines)
 
             is SchedulerMessage.TerminationCancelled -> table.workers[message.machine]?.let {
-                failureDetector.spared(it)
+                failureDetector.onTerminationCancelled(it)
             }
 
             is SchedulerMessage.HoldJob -> hold(message)
@@ -248,7 +248,7 @@
                 currentLeadership()?.takeIf { tableComplete }?.let {
                     table.jobs.values.filter {
                         !it.isTerminal &&
-                            faults.atFault(it)
+                            faults.isFaulty(it)
                     }.map { it.id }.toSet()
                 },
             )
@@ -375,7 +375,7 @@
             currentLeadership()
                 ?: return delegates.respond(report, now)
                     ?: HeartbeatResponse.Redirect((leadershipState as? LeadershipState.Follower)?.leader)
-        return conversation.report(leadership, report, now, tableComplete) { worker ->
+        return conversation.handle(leadership, report, now, tableComplete) { worker ->
             if (table.dirty &&
                 leadership.maySendCommands(now) &&
                 now > cycleAgain
@@ -402,20 +402,20 @@
 
     private fun tick() {
         val now = clock.now()
-        pauseDetector.tick(now)?.let { log.info("woke up after_ms={}", it.inWholeMilliseconds) }
+        pauseDetector.check(now)?.let { log.info("woke up after_ms={}", it.inWholeMilliseconds) }
         events.tick()
         reconciliations.tick()
         val leadership = currentLeadership() ?: return delegates.checkReachability(now)
         checkTakeover()
-        failureDetector.watch(leadership, now, machineRegistry.known)
+        failureDetector.assess(leadership, now, machineRegistry.known)
         if (now - lastCounts > COUNTS_EVERY) {
             lastCounts = now
-            faults.reconsider(now)
+            faults.reassess(now)
             ports.ordered(reconciliations.read())
             ports.running(table.jobs.values.filter { it.placements.isNotEmpty() }.associate { it.id to it.running })
         }
         if (!tableComplete || !leadership.maySendCommands(now)) return
-        workerProber.ask(leadership, now, failureDetector::isCutOff)
+        workerProber.probeWorkers(leadership, now, failureDetector::isPartitioned)
         holds.stopSuspended()
         news.record(leadership)
         if (now - lastHint > HINT_EVERY) {
@@ -481,7 +481,7 @@
                     demand.uses(catalog, now, machineRegistry.cleared, usable),
                     demand.services(),
                     takeover.settled,
-                    failureDetector.cutZones,
+                    failureDetector.partitionedZones,
                     output.scarceTypes,
                 ),
             )
@@ -538,14 +538,14 @@
     }
 
     private fun usable(worker: WorkerState, now: MonotonicInstant): Boolean = worker.reconciled &&
-        worker.lease?.unanswered == false &&
+        worker.lease?.awaitingFirstResponse == false &&
         worker.preemptionNotice == null &&
         !worker.faulty &&
         !worker.unreachable &&
         now > worker.quarantinedUntil &&
         now > worker.drainingUntil &&
         worker.id in machineRegistry.cleared &&
-        !failureDetector.isSuspect(worker, now) &&
+        !failureDetector.isSuspected(worker, now) &&
         worker.releaseRequestedAt == MonotonicInstant.NEVER
 
     private fun assign(task: TaskId, machine: MachineId, join: Attempt?, now: MonotonicInstant, held: Duration) {
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerMessage.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerMessage.kt
@@ -92,7 +92,7 @@
     public data class CommandsDelivered(
         val term: Term,
         val machine: MachineId,
-        val session: Long,
+        val agentEpoch: Long,
         val starts: Set<Pair<TaskId, Attempt>>,
         val outcome: CommandOutcome,
     ) : SchedulerMessage
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerPorts.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerPorts.kt
@@ -35,7 +35,7 @@
         leadershipState: LeadershipState.Leader,
         to: Address,
         machine: MachineId,
-        session: Long,
+        agentEpoch: Long,
         commands: List<Command>,
     )
 
--- a/src/main/kotlin/org/elderhitch/tasks/WorkerState.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/WorkerState.kt
@@ -75,27 +75,32 @@
     /** Starts sent to its own address that nobody answered: each may still be executed, or executed once more. */
     val unacknowledgedStarts: HashSet<Pair<TaskId, Attempt>> = HashSet()
 
-    /** Takes a word of the given session that is no [MessageFreshness.STALE] one, sent at [at] at the latest. */
-    fun recordMessage(session: Long, at: MonotonicInstant, obeys: Boolean): MessageFreshness {
+    /** Records a message of [agentEpoch] that is not [MessageFreshness.STALE] and was sent at [at] at the latest. */
+    fun recordMessage(agentEpoch: Long, at: MonotonicInstant, acknowledgesTerm: Boolean): MessageFreshness {
         val before = lease
-        lease = before?.told(session, at, obeys) ?: LeaseView.firstWord(session, at, obeys)
-        return before?.judge(session) ?: MessageFreshness.SAME
+        lease = before?.afterMessage(agentEpoch, at, acknowledgesTerm)
+            ?: LeaseView.fromFirstMessage(agentEpoch, at, acknowledgesTerm)
+        return before?.freshnessOf(agentEpoch) ?: MessageFreshness.CURRENT_EPOCH
     }
 
-    /** A report of its known session, which came at [at], is being answered. */
+    /** A heartbeat of the known agent epoch, received at [at], is being answered. */
     fun heartbeatAnswered(at: MonotonicInstant) {
-        lease = lease?.answered(at)
+        lease = lease?.afterResponse(at)
     }
 
     /**
-     * Whether all that it was given is surely gone with its session; from then on no word of that session counts.
-     * [lastAnswer]: by when a
-     * lease delegate of its zone may have renewed it.
+     * Marks the lease as expired if it surely is, and tells whether it is: then no task of the agent epoch is on the
+     * worker any more, and no message of that epoch counts. [lastDelegateResponse]: by when a lease delegate of the
+     * worker's zone may have renewed the lease.
      */
-    fun expireLease(now: MonotonicInstant, times: LeaseTimeouts, lastAnswer: MonotonicInstant): Boolean {
-        val belief = lease ?: return false
-        if (!belief.isOver(now, times, lastAnswer)) return false
-        lease = belief.over()
+    fun expireLease(
+        now: MonotonicInstant,
+        timeouts: LeaseTimeouts,
+        lastDelegateResponse: MonotonicInstant,
+    ): Boolean {
+        val current = lease ?: return false
+        if (!current.isExpired(now, timeouts, lastDelegateResponse)) return false
+        lease = current.expired()
         return true
     }
 
--- a/src/test/kotlin/org/elderhitch/failuredetection/FailureAttributionTest.kt
+++ b/src/test/kotlin/org/elderhitch/failuredetection/FailureAttributionTest.kt
@@ -52,7 +52,7 @@
     private fun worker(id: String) =
         WorkerState(MachineId(id), MachineType("g8"), Zone("a"), false, now).also { table.workers[it.id] = it }
 
-    private fun fails(job: JobState, worker: WorkerState, task: Int) = faults.erred(
+    private fun fails(job: JobState, worker: WorkerState, task: Int) = faults.recordTaskFailure(
         worker,
         job,
         TaskStatus(TaskId(job.id, task), Attempt(task.toLong()), TaskPhase.EXITED, ExitCause.ERROR),
@@ -94,7 +94,7 @@
         table.place(job, TaskId(job.id, 5), Attempt(9), well, PlacementState.CONFIRMED, MonotonicInstant.NEVER).runningSince =
             now
         now += 20.seconds
-        faults.reconsider(now)
+        faults.reassess(now)
         assertTrue(other.faulty && !well.faulty)
     }
 
@@ -102,17 +102,17 @@
     @Test
     fun `machines are open again once the job is known to be at fault, and it is only probed`() {
         val job = job("req-1", tasks = 70)
-        assertEquals(null, faults.probes(job))
+        assertEquals(null, faults.trialLimit(job))
         val machines = List(50) { worker("m$it") }
         fails(job, machines[0], 0)
-        assertEquals(null, faults.probes(job), "one error is no suspicion")
+        assertEquals(null, faults.trialLimit(job), "one error is no suspicion")
         fails(job, machines[1], 1)
-        assertEquals(2, faults.probes(job), "two machines are")
+        assertEquals(2, faults.trialLimit(job), "two machines are")
         machines.forEachIndexed { n, machine -> fails(job, machine, n) }
         assertTrue(machines.all { it.quarantinedUntil < now && !it.faulty })
-        assertEquals(1, faults.probes(job))
+        assertEquals(1, faults.trialLimit(job))
         table.place(job, TaskId(job.id, 60), Attempt(60), worker("m99"), PlacementState.SENT, MonotonicInstant.FOREVER)
-        assertEquals(0, faults.probes(job), "one at a time")
+        assertEquals(0, faults.trialLimit(job), "one at a time")
     }
 
     @Test
@@ -132,7 +132,7 @@
                     (sick + well).filter { !it.faulty && it.quarantinedUntil < now }.randomOrNull(random) ?: return@repeat
                 val job =
                     (bad + good).filter {
-                        it.notBefore < now && faults.probes(it).let { n -> n == null || n > 0 }
+                        it.notBefore < now && faults.trialLimit(it).let { n -> n == null || n > 0 }
                     }.randomOrNull(random)
                         ?: return@repeat
                 val index = attempt++ % 40
@@ -149,7 +149,7 @@
                     ).runningSince =
                         now
                 }
-                faults.reconsider(now)
+                faults.reassess(now)
             }
             assertTrue(good.all { it.notBefore < now }, "seed $seed: a good job waits")
             assertTrue(
--- a/src/test/kotlin/org/elderhitch/golden/GoldenWorkerWireTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenWorkerWireTest.kt
@@ -72,8 +72,8 @@
         assertEquals("k4", read.type.name)
         assertEquals("west", read.zone.name)
         assertEquals(true, read.spot)
-        assertEquals(6, read.order.session)
-        assertEquals(1207, read.order.sequence)
+        assertEquals(6, read.sequence.agentEpoch)
+        assertEquals(1207, read.sequence.number)
         assertEquals(33, read.term.number)
         assertEquals(22.5.seconds, read.notice)
         assertEquals(List(12) { "req-0${610 + it}" to it }, read.tasks.map { it.task.job.text to it.task.index })
@@ -136,7 +136,7 @@
         val line = WorkerClient(worker)
         val outcome = line.send(Address("10.4.2.17:9100"), Term(34), 6, commands) { true }
         assertIs<CommandOutcome.Executed>(outcome)
-        assertEquals("host-000907", outcome.report.machine.text)
+        assertEquals("host-000907", outcome.heartbeat.machine.text)
         line.send(Address("10.4.2.17:9100"), Term(34), 6, emptyList()) { true }
         val bodies = listOf("do", "do-empty").map { "POST /do " + GoldenFiles.text("wire/$it.json") }
         assertEquals(bodies, worker.sent)
@@ -154,12 +154,12 @@
     @Test
     fun `a worker is asked, and told a token that it doesn't know`() = runTest {
         val worker = Worker(Response(200, report), Response(200, report))
-        val outcome = WorkerClient(worker).ask(Address("10.4.2.17:9100"), Term(34)) { true }
+        val outcome = WorkerClient(worker).probe(Address("10.4.2.17:9100"), Term(34)) { true }
         assertIs<CommandOutcome.Executed>(outcome)
-        assertEquals(1207, outcome.report.order.sequence)
+        assertEquals(1207, outcome.heartbeat.sequence.number)
         assertEquals(listOf("GET /inspect ", "POST /do " + GoldenFiles.text("wire/do-empty.json")), worker.sent)
         val knowing = Worker(Response(200, report))
-        WorkerClient(knowing).ask(Address("10.4.2.17:9100"), Term(33)) { true }
+        WorkerClient(knowing).probe(Address("10.4.2.17:9100"), Term(33)) { true }
         assertEquals(listOf("GET /inspect "), knowing.sent)
     }
 
--- a/src/test/kotlin/org/elderhitch/heartbeat/LeaseViewTest.kt
+++ b/src/test/kotlin/org/elderhitch/heartbeat/LeaseViewTest.kt
@@ -17,42 +17,42 @@
 
     @Test
     fun `a session that is told of in answer to a question has a lease of its own`() {
-        val before = LeaseView.firstWord(1, start, obeys = true).answered(start)
+        val before = LeaseView.fromFirstMessage(1, start, acknowledgesTerm = true).afterResponse(start)
         val now = start + 32.seconds
-        val told = before.told(2, now, obeys = true)
-        assertTrue(before.isOver(now, leases))
-        assertTrue(!told.isOver(now, leases), "it may have begun just now")
-        assertTrue(told.unanswered && !told.answered(now).unanswered)
-        assertTrue(told.isOver(now + lease + 1.seconds, leases))
-        assertEquals(MessageFreshness.STALE, told.judge(1))
+        val told = before.afterMessage(2, now, acknowledgesTerm = true)
+        assertTrue(before.isExpired(now, leases))
+        assertTrue(!told.isExpired(now, leases), "it may have begun just now")
+        assertTrue(told.awaitingFirstResponse && !told.afterResponse(now).awaitingFirstResponse)
+        assertTrue(told.isExpired(now + lease + 1.seconds, leases))
+        assertEquals(MessageFreshness.STALE, told.freshnessOf(1))
     }
 
     @Test
     fun `a question renews nothing, and a session that is over stays over`() {
-        val known = LeaseView.firstWord(3, start, obeys = true)
-        val asked = known.told(3, start + 10.seconds, obeys = true)
-        assertTrue(asked.isOver(start + 12.seconds, leases))
-        val over = asked.over()
-        assertEquals(MessageFreshness.STALE, over.judge(3), "a report of it was held back on its way")
-        assertEquals(MessageFreshness.NEW_SESSION, over.judge(4))
-        assertEquals(over, over.over())
+        val known = LeaseView.fromFirstMessage(3, start, acknowledgesTerm = true)
+        val asked = known.afterMessage(3, start + 10.seconds, acknowledgesTerm = true)
+        assertTrue(asked.isExpired(start + 12.seconds, leases))
+        val over = asked.expired()
+        assertEquals(MessageFreshness.STALE, over.freshnessOf(3), "a report of it was held back on its way")
+        assertEquals(MessageFreshness.NEW_EPOCH, over.freshnessOf(4))
+        assertEquals(over, over.expired())
     }
 
     @Test
     fun `a lease that a lease delegate may have renewed is counted from its last answer`() {
-        val known = LeaseView.firstWord(1, start, obeys = true).answered(start)
-        assertTrue(known.isOver(start + 12.seconds, leases, start))
-        assertTrue(!known.isOver(start + 25.seconds, leases, start + 14.seconds))
-        assertTrue(known.isOver(start + 26.seconds, leases, start + 14.seconds))
+        val known = LeaseView.fromFirstMessage(1, start, acknowledgesTerm = true).afterResponse(start)
+        assertTrue(known.isExpired(start + 12.seconds, leases, start))
+        assertTrue(!known.isExpired(start + 25.seconds, leases, start + 14.seconds))
+        assertTrue(known.isExpired(start + 26.seconds, leases, start + 14.seconds))
     }
 
     @Test
     fun `until it knows our term an earlier leader may have renewed its lease`() {
-        val known = LeaseView.firstWord(1, start, obeys = false)
-        assertTrue(!known.isOver(start + 60.seconds, leases), "nothing is known of the earlier leader's answers")
-        val obeying = known.told(1, start + 60.seconds, obeys = true)
-        assertTrue(!obeying.isOver(start + 70.seconds, leases))
-        assertTrue(obeying.isOver(start + 72.seconds, leases))
+        val known = LeaseView.fromFirstMessage(1, start, acknowledgesTerm = false)
+        assertTrue(!known.isExpired(start + 60.seconds, leases), "nothing is known of the earlier leader's answers")
+        val obeying = known.afterMessage(1, start + 60.seconds, acknowledgesTerm = true)
+        assertTrue(!obeying.isExpired(start + 70.seconds, leases))
+        assertTrue(obeying.isExpired(start + 72.seconds, leases))
     }
 
     /** A worker as PROTOCOL describes it ("Tokens", "Leases"), on a clock of its own. */
@@ -108,7 +108,7 @@
         fun moment(t: Duration) = start + t * (1 + leaderDrift)
 
         fun word(session: Long, number: Int, obeys: Boolean, t: Duration): Boolean {
-            val judged = belief?.judge(session)
+            val judged = belief?.freshnessOf(session)
             if (judged == MessageFreshness.STALE) stale++
             if (judged == MessageFreshness.STALE ||
                 known.let {
@@ -119,7 +119,7 @@
                 return false
             }
             known = session to number
-            belief = belief?.told(session, moment(t), obeys) ?: LeaseView.firstWord(session, moment(t), obeys)
+            belief = belief?.afterMessage(session, moment(t), obeys) ?: LeaseView.fromFirstMessage(session, moment(t), obeys)
             return true
         }
 
@@ -146,7 +146,7 @@
                     val byOld = sent < 30.seconds && random.nextDouble() < 0.5
                     at(came) {
                         if (byOld || word(session, number, obeys, came)) {
-                            if (!byOld) belief = belief?.answered(moment(came))
+                            if (!byOld) belief = belief?.afterResponse(moment(came))
                             if (random.nextDouble() <
                                 0.8
                             ) {
@@ -161,14 +161,14 @@
             val look = t + random.nextInt(0, 2_000).milliseconds
             at(look) {
                 val now = belief ?: return@at
-                if (!now.isOver(moment(look), leases)) return@at
+                if (!now.isExpired(moment(look), leases)) return@at
                 worker.advance(look)
                 assertTrue(
-                    worker.session > now.session,
-                    "seed $seed: session ${now.session} was said to be over at $look, and is not",
+                    worker.session > now.agentEpoch,
+                    "seed $seed: session ${now.agentEpoch} was said to be over at $look, and is not",
                 )
                 conclusions++
-                belief = now.over()
+                belief = now.expired()
             }
         }
         while (queue.isNotEmpty()) queue.poll().run()
