--- a/src/main/kotlin/org/elderhitch/drmaa/Names.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Names.kt
@@ -76,7 +76,7 @@
             val count = if (members.isEmpty()) {
                 null
             } else {
-                members.toInt().takeIf { it <= JobCodec.MOST_TASKS }
+                members.toInt().takeIf { it <= JobCodec.MAX_TASKS }
                     ?: return null
             }
             return JobName(SessionName(session), ClientTag(tag), number.toInt(), count)
--- a/src/main/kotlin/org/elderhitch/drmaa/TemplateCheck.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/TemplateCheck.kt
@@ -54,9 +54,9 @@
             }
             val bulk = Bulk(start.toInt(), end.toInt(), step.toInt())
             if (bulk.members >
-                JobCodec.MOST_TASKS
+                JobCodec.MAX_TASKS
             ) {
-                throw Refused(Fault.InvalidArgumentException, "bulk: more than ${JobCodec.MOST_TASKS} members")
+                throw Refused(Fault.InvalidArgumentException, "bulk: more than ${JobCodec.MAX_TASKS} members")
             }
             return bulk
         }
--- a/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
+++ b/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
@@ -118,11 +118,11 @@
         val fitting = catalog.fitting(spec)
         if (fitting.size == catalog.types.size) return null
         val up = table.workers.values.count {
-            spec.mayUse(it.type, it.zone, it.spot) &&
+            spec.permitsMachine(it.type, it.zone, it.spot) &&
                 fitting.any { type -> type.name == it.type }
         }
         val more = if (refused.containsAll(catalog.markets(spec))) "none more to be had" else "more can be rented"
-        return "waits for room of ${spec.need.cpus} CPUs on ${fitting.joinToString(" or ") {
+        return "waits for room of ${spec.resources.cpus} CPUs on ${fitting.joinToString(" or ") {
             it.name.name
         }}: $up up, $more; others leave them as their tasks end"
     }
@@ -130,8 +130,8 @@
     private fun limit(job: JobState): String? {
         val team = teams[job.spec.team] ?: return "its team is unknown here"
         var used = Resources.NONE
-        for (other in table.jobs.values) if (other.spec.team == team.name) used += other.spec.need * other.copies
-        val atOnce = job.spec.need * if (job.isGang) job.spec.tasks - job.placements.size else 1
+        for (other in table.jobs.values) if (other.spec.team == team.name) used += other.spec.resources * other.copies
+        val atOnce = job.spec.resources * if (job.isGang) job.spec.tasks - job.placements.size else 1
         val gpus = team.mostGpus?.takeIf { used.gpus + atOnce.gpus > it }
         if (gpus != null) return "waits for its team's limit: ${used.gpus} of $gpus GPUs in use, ${atOnce.gpus} needed"
         val cpus = team.mostCpus?.takeIf { used.cpus + atOnce.cpus > it } ?: return null
@@ -146,14 +146,15 @@
         usable: (WorkerState) -> Boolean,
     ) {
         val spec = job.spec
-        val allowed = table.workers.values.filter { it.type in fitting && spec.mayUse(it.type, it.zone, it.spot) }
+        val allowed =
+            table.workers.values.filter { it.type in fitting && spec.permitsMachine(it.type, it.zone, it.spot) }
         val ready = allowed.filter(usable)
-        val roomy = ready.count { worker -> free(worker, catalog)?.let { spec.need.fitsIn(it) } ?: false }
+        val roomy = ready.count { worker -> free(worker, catalog)?.let { spec.resources.fitsIn(it) } ?: false }
         val booting = machineRegistry.known.values.count {
             it.id !in machineRegistry.cleared &&
-                spec.mayUse(it.type, it.zone, it.spot)
+                spec.permitsMachine(it.type, it.zone, it.spot)
         }
-        val what = "${spec.need.cpus} CPUs, ${spec.need.gpus} GPUs, ${spec.need.memoryGb} GB"
+        val what = "${spec.resources.cpus} CPUs, ${spec.resources.gpus} GPUs, ${spec.resources.memoryGb} GB"
         val place = place(spec)
         lines.add(
             if (roomy == 0) {
@@ -176,7 +177,7 @@
 
     private fun free(worker: WorkerState, catalog: Catalog): Resources? {
         var free = catalog.resources(worker.type) ?: return null
-        for (p in worker.placements.values) table.jobs[p.task.job]?.let { free -= it.spec.need }
+        for (p in worker.placements.values) table.jobs[p.task.job]?.let { free -= it.spec.resources }
         return free
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/Fleet.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Fleet.kt
@@ -28,7 +28,7 @@
     public fun fitting(spec: JobSpec): List<TypeInfo> = types.values.filter {
         (spec.types == null || it.name in spec.types) &&
             (spec.zone == null || spec.zone in it.zones) &&
-            spec.need.fitsIn(it.resources)
+            spec.resources.fitsIn(it.resources)
     }
 
     /** Where machines could be rented on which a task of the job may run. */
@@ -36,7 +36,7 @@
         .flatMap { type ->
             type.zones.flatMap { zone -> listOf(Market(type.name, zone, true), Market(type.name, zone, false)) }
         }
-        .filter { spec.mayUse(it.type, it.zone, it.spot) }
+        .filter { spec.permitsMachine(it.type, it.zone, it.spot) }
 
     public companion object {
         public val EMPTY: Catalog = Catalog(emptyMap())
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
@@ -107,7 +107,7 @@
                 it.spec.priority
             }.thenBy { input.catalog.fitting(it.spec).size },
         )) {
-            place(need.spec, need.count.coerceAtMost(MOST_TASKS), HashMap(need.zones))
+            place(need.spec, need.count.coerceAtMost(MAX_TASKS), HashMap(need.zones))
         }
         keepHeadroom()
         return PlanOutput(bought.map { (market, count) -> ProvisioningRequest(market, count) }, releases(), drain())
@@ -122,7 +122,7 @@
         input.now - planned.hiredAt > type.bootTime * input.lateBoot
 
     private fun allowed(spec: JobSpec, market: Market, zones: Map<Zone, Int>): Boolean =
-        spec.mayUse(market.type, market.zone, market.spot) && spec.zoneAllows(zones, market.zone)
+        spec.permitsMachine(market.type, market.zone, market.spot) && spec.zoneAllows(zones, market.zone)
 
     /**
      * Tasks of one shape, one after the other. Room only shrinks and zones only fill, so that what a task passed over
@@ -136,7 +136,7 @@
             .filter {
                 (!it.later || spec.priority < Priority.PRODUCTION && it.market.type !in guestOn) &&
                     allowed(spec, it.market, zones) &&
-                    spec.need.fitsIn(it.free)
+                    spec.resources.fitsIn(it.free)
             }
             .sortedWith(
                 compareBy<Paper> {
@@ -147,13 +147,13 @@
         var bought: Paper? = null
         repeat(count) {
             while (next < fitting.size &&
-                !(spec.need.fitsIn(fitting[next].free) && allowed(spec, fitting[next].market, zones))
+                !(spec.resources.fitsIn(fitting[next].free) && allowed(spec, fitting[next].market, zones))
             ) {
                 next++
             }
-            val kept = bought?.takeIf { spec.need.fitsIn(it.free) && allowed(spec, it.market, zones) }
+            val kept = bought?.takeIf { spec.resources.fitsIn(it.free) && allowed(spec, it.market, zones) }
             val paper = fitting.getOrNull(next) ?: kept ?: buy(spec, zones)?.also { bought = it } ?: return
-            paper.free -= spec.need
+            paper.free -= spec.resources
             paper.used = true
             if (paper.later) paper.machine?.let { spareUsed.add(it.id) }
             zones.merge(paper.market.zone, 1, Int::plus)
@@ -200,9 +200,9 @@
         val type = input.catalog.types[market.type] ?: return Double.MAX_VALUE
         val has = type.resources
         val share = maxOf(
-            spec.need.cpus / maxOf(has.cpus, TINY),
-            spec.need.gpus / maxOf(has.gpus, TINY),
-            spec.need.memoryGb / maxOf(has.memoryGb, TINY),
+            spec.resources.cpus / maxOf(has.cpus, TINY),
+            spec.resources.gpus / maxOf(has.gpus, TINY),
+            spec.resources.memoryGb / maxOf(has.memoryGb, TINY),
         )
         return share * if (market.spot) type.spotPrice else type.price
     }
@@ -221,12 +221,13 @@
         for (want in input.headroom.sortedByDescending { it.free }) {
             val spec = want.spec.copy(spread = false, zone = null, tasks = want.tasks)
             val room = { it: Spare -> if (want.free) it.free else it.free + it.yielding }
-            val fitting = spare.filter { allowed(spec, market(it.machine), emptyMap()) && spec.need.fitsIn(room(it)) }
+            val fitting =
+                spare.filter { allowed(spec, market(it.machine), emptyMap()) && spec.resources.fitsIn(room(it)) }
                 .sortedWith(compareBy({ it.free.gpus + it.yielding.gpus }, { it.machine.id.text }))
             var missing = want.tasks
             for (machine in fitting) {
-                while (missing > 0 && spec.need.fitsIn(room(machine))) {
-                    machine.free -= spec.need
+                while (missing > 0 && spec.resources.fitsIn(room(machine))) {
+                    machine.free -= spec.resources
                     spareUsed.add(machine.machine.id)
                     missing--
                 }
@@ -278,7 +279,7 @@
         var room = Resources.NONE
         for ((other, its, has) in serving) if (other.id != machine.id) room += has - its.busy
         var wanted = use.serving
-        for (kept in input.headroom) wanted += kept.spec.need * kept.tasks
+        for (kept in input.headroom) wanted += kept.spec.resources * kept.tasks
         return machine.id.takeIf { wanted.fitsIn(room) }
     }
 
@@ -319,7 +320,7 @@
         public const val LATE_BOOT: Double = 2.0
         public const val HOPELESS_BOOT: Double = 3.5
         private val HOPELESS_MARGIN = 10.seconds
-        private const val MOST_TASKS = 2000
+        private const val MAX_TASKS = 2000
         private const val STAND_BY_SHARE = 0.15
 
         /** A guest on a machine that others wait for costs them as much again. */
@@ -336,9 +337,9 @@
 
         /** How many tasks of a shape a machine holds. */
         public fun tasksPerMachine(spec: JobSpec, type: TypeInfo): Double = minOf(
-            ratio(type.resources.cpus, spec.need.cpus),
-            ratio(type.resources.gpus, spec.need.gpus),
-            ratio(type.resources.memoryGb, spec.need.memoryGb),
+            ratio(type.resources.cpus, spec.resources.cpus),
+            ratio(type.resources.gpus, spec.resources.gpus),
+            ratio(type.resources.memoryGb, spec.resources.memoryGb),
         )
 
         private const val MS = 1000.0
--- a/src/main/kotlin/org/elderhitch/fleet/SpareCapacity.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/SpareCapacity.kt
@@ -18,7 +18,7 @@
 ) {
     fun room(services: List<JobSpec>, catalog: Catalog, now: MonotonicInstant): List<Headroom> =
         services.groupBy { it.jobClass }.values.flatMap { specs ->
-            val spec = specs.maxBy { it.need.gpus }
+            val spec = specs.maxBy { it.resources.gpus }
             val type = catalog.fitting(spec).minByOrNull { it.price } ?: return@flatMap emptyList()
             val rate = minOf(arrivals.perSecond(spec.jobClass, now), MOST_RATE)
             val arriving = FleetPlan.arrivingTasks(type, rate, policy)
--- a/src/main/kotlin/org/elderhitch/jobs/Job.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/Job.kt
@@ -54,8 +54,8 @@
 
     public operator fun times(count: Int): Resources = Resources(cpus * count, gpus * count, memoryGb * count)
 
-    /** Amounts below nothing count as nothing. */
-    public fun atLeastNone(): Resources = Resources(maxOf(cpus, 0.0), maxOf(gpus, 0.0), maxOf(memoryGb, 0.0))
+    /** Negative amounts raised to zero. */
+    public fun coerceAtLeastZero(): Resources = Resources(maxOf(cpus, 0.0), maxOf(gpus, 0.0), maxOf(memoryGb, 0.0))
 
     /** What machines' loads are compared by, whatever they have. */
     public val weight: Double get() = gpus + cpus
@@ -78,7 +78,7 @@
     val kind: JobKind,
     val priority: Priority,
     val tasks: Int,
-    val need: Resources,
+    val resources: Resources,
     val types: Set<MachineType>?,
     val zone: Zone?,
     val oneZone: Boolean,
@@ -87,24 +87,24 @@
     val image: Image,
     val imageGb: Double,
     val estimate: Duration,
-    val checkpointEvery: Duration,
-    val saveTakes: Duration,
+    val checkpointInterval: Duration,
+    val checkpointDuration: Duration,
     val deadline: Duration?,
     /** The earlier job that this one repeats. */
     val repeatOf: JobId? = null,
 ) {
-    public val saves: Boolean get() = checkpointEvery > Duration.ZERO
+    public val takesCheckpoints: Boolean get() = checkpointInterval > Duration.ZERO
 
     /** How many of the job's tasks may be in one zone. */
-    public val mostInOneZone: Int get() = if (spread) (tasks + 1) / 2 else tasks
+    public val maxTasksPerZone: Int get() = if (spread) (tasks + 1) / 2 else tasks
 
     /** Whether a task may run on such a machine at all. */
-    public fun mayUse(type: MachineType, zone: Zone, spot: Boolean): Boolean =
+    public fun permitsMachine(type: MachineType, zone: Zone, spot: Boolean): Boolean =
         (types == null || type in types) && (this.zone == null || zone == this.zone) && (!spot || spotAllowed)
 
     /** Whether one more task may be in the zone, given where the others are. */
     public fun zoneAllows(zones: Map<Zone, Int>, zone: Zone): Boolean =
-        if (oneZone) zones.isEmpty() || zone in zones else (zones[zone] ?: 0) < mostInOneZone
+        if (oneZone) zones.isEmpty() || zone in zones else (zones[zone] ?: 0) < maxTasksPerZone
 }
 
 /** How a job ended, for ever. */
--- a/src/main/kotlin/org/elderhitch/jobs/JobCodec.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobCodec.kt
@@ -10,9 +10,9 @@
 
 /** Jobs as users send them and as the state service keeps them: one form for both. */
 public object JobCodec {
-    public const val MOST_TASKS: Int = 100_000
-    private const val LONGEST_NAME = 200
-    private const val MOST_TYPES = 64
+    public const val MAX_TASKS: Int = 100_000
+    private const val MAX_NAME_LENGTH = 200
+    private const val MAX_TYPES = 64
 
     private val kinds = mapOf("array" to JobKind.ARRAY, "gang" to JobKind.GANG, "daemon" to JobKind.SERVICE)
     private val priorities = mapOf(
@@ -31,10 +31,10 @@
     public fun decode(body: JsonObject): JobSpec {
         val kind = kinds[body.string("lotKind")] ?: throw MalformedJson("lotKind: unknown")
         val tasks = body.long("crates")
-        if (tasks !in 1..MOST_TASKS) throw MalformedJson("crates: not from 1 to $MOST_TASKS")
-        val need = Resources(body.amount("cores"), body.amount("accelerators"), body.amount("memGb"))
+        if (tasks !in 1..MAX_TASKS) throw MalformedJson("crates: not from 1 to $MAX_TASKS")
+        val resources = Resources(body.amount("cores"), body.amount("accelerators"), body.amount("memGb"))
         val types = body.stringsOrNull("rigs")?.map { MachineType(name("rigs", it)) }?.toSet()
-        if (types != null && types.size > MOST_TYPES) throw MalformedJson("rigs: too many")
+        if (types != null && types.size > MAX_TYPES) throw MalformedJson("rigs: too many")
         return JobSpec(
             id = id(body),
             jobClass = name("lotClass", body.string("lotClass")),
@@ -42,7 +42,7 @@
             kind = kind,
             priority = priorities[body.string("urgency")] ?: throw MalformedJson("urgency: unknown"),
             tasks = tasks.toInt(),
-            need = need,
+            resources = resources,
             types = types,
             zone = body.stringOrNull("hall")?.let { Zone(name("hall", it)) },
             oneZone = body.booleanOrNull("samePlace") ?: false,
@@ -51,8 +51,8 @@
             image = Image(name("catchImage", body.string("catchImage"))),
             imageGb = body.amount("pullGb"),
             estimate = body.amount("haulS").seconds,
-            checkpointEvery = body.amount("tallyS").seconds,
-            saveTakes = body.amount("stowS").seconds,
+            checkpointInterval = body.amount("tallyS").seconds,
+            checkpointDuration = body.amount("stowS").seconds,
             deadline = body.amountOrNull("closingS")?.seconds,
             repeatOf = body.stringOrNull("repeatOf")?.let {
                 JobId.parse(it)
@@ -68,9 +68,9 @@
         "lotKind" to kinds.entries.first { it.value == spec.kind }.key,
         "urgency" to priorities.entries.first { it.value == spec.priority }.key,
         "crates" to spec.tasks,
-        "cores" to spec.need.cpus,
-        "accelerators" to spec.need.gpus,
-        "memGb" to spec.need.memoryGb,
+        "cores" to spec.resources.cpus,
+        "accelerators" to spec.resources.gpus,
+        "memGb" to spec.resources.memoryGb,
         "catchImage" to spec.image.name,
         "pullGb" to spec.imageGb,
         "rigs" to spec.types?.map { it.name },
@@ -79,8 +79,8 @@
         "spread" to spec.spread,
         "borrowedRigs" to spec.spotAllowed,
         "haulS" to spec.estimate.toDouble(DurationUnit.SECONDS),
-        "tallyS" to spec.checkpointEvery.toDouble(DurationUnit.SECONDS),
-        "stowS" to spec.saveTakes.toDouble(DurationUnit.SECONDS),
+        "tallyS" to spec.checkpointInterval.toDouble(DurationUnit.SECONDS),
+        "stowS" to spec.checkpointDuration.toDouble(DurationUnit.SECONDS),
         "closingS" to spec.deadline?.toDouble(DurationUnit.SECONDS),
         "repeatOf" to spec.repeatOf?.text,
     ).filterValues { it != null }
@@ -95,9 +95,9 @@
     )
 
     private fun name(field: String, text: String): String = if (text.isEmpty() ||
-        text.length > LONGEST_NAME
+        text.length > MAX_NAME_LENGTH
     ) {
-        throw MalformedJson("$field: empty or over $LONGEST_NAME characters")
+        throw MalformedJson("$field: empty or over $MAX_NAME_LENGTH characters")
     } else {
         text
     }
--- a/src/main/kotlin/org/elderhitch/jobs/JobService.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobService.kt
@@ -131,7 +131,7 @@
     private fun neverRuns(spec: JobSpec): JobResponse? {
         rules.deniesRepeat(spec)?.let { return JobResponse.NeverRuns(it) }
         val team = teams[spec.team] ?: return JobResponse.NeverRuns("desk: unknown team")
-        val atOnce = spec.need * if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
+        val atOnce = spec.resources * if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
         if (team.mostCpus != null &&
             atOnce.cpus > team.mostCpus ||
             team.mostGpus != null &&
--- a/src/main/kotlin/org/elderhitch/placement/ConfinedGroup.kt
+++ b/src/main/kotlin/org/elderhitch/placement/ConfinedGroup.kt
@@ -30,7 +30,7 @@
     }
 
     fun addDemand(spec: JobSpec, tasks: Double) {
-        if (tasks > 0) demands.add(Demand(spec.need, tasks))
+        if (tasks > 0) demands.add(Demand(spec.resources, tasks))
     }
 
     /**
--- a/src/main/kotlin/org/elderhitch/placement/CycleDecisions.kt
+++ b/src/main/kotlin/org/elderhitch/placement/CycleDecisions.kt
@@ -33,17 +33,17 @@
     fun place(job: JobView, taskIndex: Int, machine: RemainingCapacity, zones: MutableMap<Zone, Int>) {
         val spec = job.spec
         val isService = spec.kind == JobKind.SERVICE
-        machine.free -= spec.need
+        machine.free -= spec.resources
         if (machine.reserved != Resources.NONE && !scarcity.isReservedAgainst(spec, machine.view)) {
-            machine.reserved = (machine.reserved - spec.need).atLeastNone()
+            machine.reserved = (machine.reserved - spec.resources).coerceAtLeastZero()
         }
         machine.empty = false
         if (spec.image !in machine.view.images.cached && machine.fetchingImages.add(spec.image)) {
             machine.pendingFetchGb += spec.imageGb
         }
-        if (isService) machine.serviceWeight += spec.need.weight
+        if (isService) machine.serviceWeight += spec.resources.weight
         zones.merge(machine.view.zone, 1, Int::plus)
-        quota.add(spec.team, spec.need, service = isService)
+        quota.add(spec.team, spec.resources, service = isService)
         placed.add(PlacementDecision(TaskId(spec.id, taskIndex), machine.view.id, job.joinAttempt))
     }
 }
--- a/src/main/kotlin/org/elderhitch/placement/CycleInput.kt
+++ b/src/main/kotlin/org/elderhitch/placement/CycleInput.kt
@@ -35,7 +35,7 @@
 ) {
     /** The order in which jobs are placed. */
     internal fun jobOrder(): Comparator<JobView> = compareByDescending<JobView> { it.spec.priority }
-        .thenByDescending { quota.withinGuarantee(it.spec.team, it.spec.need) }
+        .thenByDescending { quota.withinGuarantee(it.spec.team, it.spec.resources) }
         .thenByDescending { it.starved }
         // Where all services start at once, those with the longest fetch start first.
         .thenByDescending { if (mostlyBooting && it.spec.kind == JobKind.SERVICE) it.spec.imageGb else 0.0 }
@@ -44,9 +44,9 @@
 
     /** The least that any task here requests, of each resource by itself. */
     internal fun smallestRequest(): Resources = Resources(
-        jobs.minOfOrNull { it.spec.need.cpus } ?: Double.MAX_VALUE,
-        jobs.minOfOrNull { it.spec.need.gpus } ?: Double.MAX_VALUE,
-        jobs.minOfOrNull { it.spec.need.memoryGb } ?: Double.MAX_VALUE,
+        jobs.minOfOrNull { it.spec.resources.cpus } ?: Double.MAX_VALUE,
+        jobs.minOfOrNull { it.spec.resources.gpus } ?: Double.MAX_VALUE,
+        jobs.minOfOrNull { it.spec.resources.memoryGb } ?: Double.MAX_VALUE,
     )
 
     /**
@@ -54,7 +54,7 @@
      * Without that, a job that failed on the only machines there were would wait for ever once they are terminated.
      */
     internal fun hasNoMachineToTry(job: JobView): Boolean = machines.none {
-        job.spec.mayUse(it.type, it.zone, it.spot) && (job.atFault || job.spec.id !in it.avoidedBy)
+        job.spec.permitsMachine(it.type, it.zone, it.spot) && (job.atFault || job.spec.id !in it.avoidedBy)
     }
 }
 
--- a/src/main/kotlin/org/elderhitch/placement/FittingTypes.kt
+++ b/src/main/kotlin/org/elderhitch/placement/FittingTypes.kt
@@ -16,7 +16,7 @@
 
     fun of(spec: JobSpec): Set<MachineType> = cache.getOrPut(spec.id) {
         capacities.filter { (type, capacity) ->
-            (spec.types == null || type in spec.types) && spec.need.fitsIn(capacity)
+            (spec.types == null || type in spec.types) && spec.resources.fitsIn(capacity)
         }.keys
     }
 
--- a/src/main/kotlin/org/elderhitch/placement/GangPlacer.kt
+++ b/src/main/kotlin/org/elderhitch/placement/GangPlacer.kt
@@ -13,7 +13,7 @@
     private class PreemptionOffer(val machine: RemainingCapacity, val victims: List<PreemptionCandidate>)
 
     fun place(job: JobView) {
-        val total = job.spec.need * job.pending.size
+        val total = job.spec.resources * job.pending.size
         if (!decisions.quotaAllows(job.spec, total)) {
             decisions.reserveQuota(job.spec, total)
             return
@@ -52,8 +52,8 @@
         while (chosen.size < job.pending.size) {
             val machine = candidates[position]
             index.visit()
-            if (spec.need.fitsIn(free) && (zones[machine.view.zone] ?: 0) < spec.mostInOneZone) {
-                free -= spec.need
+            if (spec.resources.fitsIn(free) && (zones[machine.view.zone] ?: 0) < spec.maxTasksPerZone) {
+                free -= spec.resources
                 zones.merge(machine.view.zone, 1, Int::plus)
                 chosen.add(machine)
             } else {
@@ -72,7 +72,7 @@
         val spec = job.spec
         val machinesWillCome = if (job.probe) !input.hasNoMachineToTry(job) else preempt(job, candidates)
         if (machinesWillCome) return
-        if (decisions.addDemand(spec, spec.need * job.pending.size)) {
+        if (decisions.addDemand(spec, spec.resources * job.pending.size)) {
             decisions.unplaced.add(UnplacedTasks(spec, job.pending.size, job.zones))
         }
         reserveMachines(job, choices)
@@ -84,7 +84,7 @@
      */
     private fun reserveMachines(job: JobView, choices: List<List<RemainingCapacity>>) {
         val best = choices.maxByOrNull { it.size } ?: return
-        for (machine in best.take(job.pending.size)) machine.free -= job.spec.need
+        for (machine in best.take(job.pending.size)) machine.free -= job.spec.resources
     }
 
     /**
@@ -125,7 +125,7 @@
 
     /** The offers for all pending tasks that cost least, in one zone if the gang must be; null if there are too few. */
     private fun cheapest(job: JobView, offers: List<PreemptionOffer>): List<PreemptionOffer>? {
-        val request = job.spec.need
+        val request = job.spec.resources
         val groups = if (job.spec.oneZone) offers.groupBy { it.machine.view.zone }.values else listOf(offers)
         return groups.filter { it.size >= job.pending.size }
             .map { group -> group.sortedBy { preemption.cost(it.victims, request) }.take(job.pending.size) }
--- a/src/main/kotlin/org/elderhitch/placement/MachineScorer.kt
+++ b/src/main/kotlin/org/elderhitch/placement/MachineScorer.kt
@@ -9,7 +9,7 @@
     fun accepts(spec: JobSpec, machine: RemainingCapacity): Boolean =
         fits(spec, machine) && !waitsForMoreMachines(spec, machine)
 
-    private fun fits(spec: JobSpec, machine: RemainingCapacity): Boolean = spec.need.fitsIn(machine.free) &&
+    private fun fits(spec: JobSpec, machine: RemainingCapacity): Boolean = spec.resources.fitsIn(machine.free) &&
         scarcity.admits(spec, machine.view, machine.free, machine.reserved)
 
     /**
@@ -23,7 +23,7 @@
         !input.wholeMachinesNeeded &&
         spec.kind == JobKind.SERVICE &&
         spec.image !in machine.view.images.cached &&
-        machine.serviceWeight + spec.need.weight > machine.view.capacity.weight / 2
+        machine.serviceWeight + spec.resources.weight > machine.view.capacity.weight / 2
 
     /**
      * How much a service prefers the machine to others of the same penalty; 0 for other jobs.
@@ -35,7 +35,7 @@
     fun serviceAffinity(spec: JobSpec, machine: RemainingCapacity): Double {
         if (spec.kind != JobKind.SERVICE) return 0.0
         val withinHalf = input.wholeMachinesNeeded ||
-            machine.serviceWeight + spec.need.weight <= machine.view.capacity.weight / 2
+            machine.serviceWeight + spec.resources.weight <= machine.view.capacity.weight / 2
         return if (withinHalf) machine.serviceWeight else -machine.serviceWeight
     }
 
--- a/src/main/kotlin/org/elderhitch/placement/MachineView.kt
+++ b/src/main/kotlin/org/elderhitch/placement/MachineView.kt
@@ -29,7 +29,7 @@
     public val avoidedBy: Set<JobId> = emptySet(),
 ) {
     /** Whether tasks of the job may run here, whatever the load. */
-    internal fun allows(spec: JobSpec): Boolean = spec.mayUse(type, zone, spot) && spec.id !in avoidedBy
+    internal fun allows(spec: JobSpec): Boolean = spec.permitsMachine(type, zone, spot) && spec.id !in avoidedBy
 }
 
 /**
--- a/src/main/kotlin/org/elderhitch/placement/Preemption.kt
+++ b/src/main/kotlin/org/elderhitch/placement/Preemption.kt
@@ -27,7 +27,7 @@
             index.visit()
             machine.view.allows(spec) && spec.zoneAllows(zones, machine.view.zone) && usable(machine)
         }
-        val machine = index.releasing.firstOrNull { spec.need.fitsIn(it.free + it.releasing) && accepted(it) }
+        val machine = index.releasing.firstOrNull { spec.resources.fitsIn(it.free + it.releasing) && accepted(it) }
             ?: preemptCheapest(spec, accepted)
             ?: return false
         claim(machine, spec)
@@ -41,12 +41,12 @@
      */
     fun claim(machine: RemainingCapacity, spec: JobSpec) {
         val fromFree = Resources(
-            minOf(machine.free.cpus, spec.need.cpus),
-            minOf(machine.free.gpus, spec.need.gpus),
-            minOf(machine.free.memoryGb, spec.need.memoryGb),
+            minOf(machine.free.cpus, spec.resources.cpus),
+            minOf(machine.free.gpus, spec.resources.gpus),
+            minOf(machine.free.memoryGb, spec.resources.memoryGb),
         )
         machine.free -= fromFree
-        machine.releasing -= spec.need - fromFree
+        machine.releasing -= spec.resources - fromFree
     }
 
     /** Stops the tasks on the machine. */
@@ -70,7 +70,7 @@
             val fetch = scorer.fetchSeconds(spec, machine)
             val cheaper = best == null ||
                 fetch < bestFetch ||
-                (fetch == bestFetch && cost(victims, spec.need) < cost(bestVictims, spec.need))
+                (fetch == bestFetch && cost(victims, spec.resources) < cost(bestVictims, spec.resources))
             if (cheaper) {
                 best = machine
                 bestVictims = victims
@@ -93,12 +93,12 @@
     fun victims(machine: RemainingCapacity, spec: JobSpec, below: Priority): List<PreemptionCandidate>? {
         val chosen = ArrayList<PreemptionCandidate>()
         var available = machine.free + machine.releasing
-        for (victim in machine.preemptible.filter { it.priority < below }.sortedWith(cheapestFirst(spec.need))) {
-            if (spec.need.fitsIn(available)) break
+        for (victim in machine.preemptible.filter { it.priority < below }.sortedWith(cheapestFirst(spec.resources))) {
+            if (spec.resources.fitsIn(available)) break
             available += victim.request
             chosen.add(victim)
         }
-        return chosen.takeIf { spec.need.fitsIn(available) }
+        return chosen.takeIf { spec.resources.fitsIn(available) }
     }
 
     /**
--- a/src/main/kotlin/org/elderhitch/placement/ScarceCapacity.kt
+++ b/src/main/kotlin/org/elderhitch/placement/ScarceCapacity.kt
@@ -65,7 +65,7 @@
     public fun admits(spec: JobSpec, machine: MachineView, free: Resources, reserved: Resources): Boolean {
         if (!leavesAcceleratorsUsable(spec, machine.capacity, free)) return false
         val group = reservations[machine.id]?.group ?: return true
-        return !isFlexible(spec, group) || spec.priority > group.priority || spec.need.fitsIn(free - reserved)
+        return !isFlexible(spec, group) || spec.priority > group.priority || spec.resources.fitsIn(free - reserved)
     }
 
     private fun isFlexible(spec: JobSpec, group: ConfinedGroup) =
@@ -79,9 +79,9 @@
      * by another. Tasks too large for what is left of an empty machine are exempt, or they would never run.
      */
     private fun leavesAcceleratorsUsable(spec: JobSpec, capacity: Resources, free: Resources): Boolean {
-        if (spec.need.gpus > 0 || free.gpus <= 0 || input.hostResourcesPerGpu == Resources.NONE) return true
-        return spec.need.fitsIn(free - hostResources(free.gpus)) ||
-            !spec.need.fitsIn(capacity - hostResources(capacity.gpus))
+        if (spec.resources.gpus > 0 || free.gpus <= 0 || input.hostResourcesPerGpu == Resources.NONE) return true
+        return spec.resources.fitsIn(free - hostResources(free.gpus)) ||
+            !spec.resources.fitsIn(capacity - hostResources(capacity.gpus))
     }
 
     private fun hostResources(gpus: Double): Resources = Resources(
@@ -181,11 +181,11 @@
     /** What late flexible work asks for, and all flexible tasks hold; 0 if none is late. */
     private fun flexibleWeight(group: ConfinedGroup, machines: List<MachineView>): Double {
         val waiting = input.jobs.sumOf {
-            if (it.late && isFlexible(it.spec, group)) it.spec.need.weight * it.pending.size else 0.0
+            if (it.late && isFlexible(it.spec, group)) it.spec.resources.weight * it.pending.size else 0.0
         }
         if (waiting <= 0) return waiting
         return waiting + machines.sumOf { machine ->
-            machine.load.occupants.sumOf { if (isFlexible(it.spec, group)) it.spec.need.weight else 0.0 }
+            machine.load.occupants.sumOf { if (isFlexible(it.spec, group)) it.spec.resources.weight else 0.0 }
         }
     }
 
@@ -194,7 +194,7 @@
         var held = 0.0
         for (machine in machines) {
             for (occupant in machine.load.occupants) {
-                if (!isFlexible(occupant.spec, group)) held += occupant.spec.need.weight
+                if (!isFlexible(occupant.spec, group)) held += occupant.spec.resources.weight
             }
         }
         return held
@@ -208,7 +208,7 @@
             if (isFlexible(occupant.spec, group)) {
                 flexible.add(occupant)
             } else {
-                resources -= occupant.spec.need
+                resources -= occupant.spec.resources
             }
         }
         return ReservationChoice(machine, freeAt(machine, flexible, smallestRequest), resources)
@@ -224,7 +224,7 @@
         if (smallestRequest.fitsIn(free)) return freeAt
         flexible.sortBy { it.until }
         for (occupant in flexible) {
-            free += occupant.spec.need
+            free += occupant.spec.resources
             freeAt = maxOf(freeAt, occupant.until)
             if (smallestRequest.fitsIn(free)) break
         }
--- a/src/main/kotlin/org/elderhitch/placement/SchedulingCycle.kt
+++ b/src/main/kotlin/org/elderhitch/placement/SchedulingCycle.kt
@@ -44,7 +44,7 @@
 
     /** Withholds capacity from the jobs that are placed after this. */
     private fun reserve(reservation: CapacityReservation) {
-        val request = reservation.spec.need
+        val request = reservation.spec.resources
         val candidates = index.candidates(reservation.spec)
         var position = 0
         repeat(reservation.tasks) {
--- a/src/main/kotlin/org/elderhitch/placement/TaskPlacer.kt
+++ b/src/main/kotlin/org/elderhitch/placement/TaskPlacer.kt
@@ -38,10 +38,10 @@
         val spec = job.spec
         var missing = 0
         for (taskIndex in job.pending) {
-            if (!decisions.quotaAllows(spec, spec.need)) break
+            if (!decisions.quotaAllows(spec, spec.resources)) break
             val machine = nextMachine(progress)
             if (machine == null) {
-                if (!decisions.addDemand(spec, spec.need)) break
+                if (!decisions.addDemand(spec, spec.resources)) break
                 missing++
             } else if (!freeWarmMachine(progress, machine)) {
                 decisions.place(job, taskIndex, machine, progress.zones)
--- a/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
@@ -102,8 +102,8 @@
         val unheard = silent ?: return true
         return unheard.any { id ->
             known[id]?.let {
-                job.mayUse(it.type, it.zone, it.spot) &&
-                    catalog.resources(it.type)?.let(job.need::fitsIn) != false
+                job.permitsMachine(it.type, it.zone, it.spot) &&
+                    catalog.resources(it.type)?.let(job.resources::fitsIn) != false
             }
                 ?: true
         }
--- a/src/main/kotlin/org/elderhitch/scheduler/Consolidation.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/Consolidation.kt
@@ -81,18 +81,18 @@
                     )
                 }
                 zoneAllows &&
-                    job.spec.mayUse(other.type, other.zone, other.spot) &&
+                    job.spec.permitsMachine(other.type, other.zone, other.spot) &&
                     job.spec.image in other.cachedImages(type.cacheGb) &&
-                    job.spec.need.fitsIn(free.getOrPut(other.id) { freeOn(other, type.resources) })
+                    job.spec.resources.fitsIn(free.getOrPut(other.id) { freeOn(other, type.resources) })
             } ?: return false
             inZones.merge(target.zone, 1, Int::plus)
-            free[target.id] = (free[target.id] ?: return false) - job.spec.need
+            free[target.id] = (free[target.id] ?: return false) - job.spec.resources
         }
         return true
     }
 
     private fun freeOn(worker: WorkerState, has: Resources): Resources =
-        worker.placements.values.fold(has) { left, p -> left - (table.jobs[p.task.job]?.spec?.need ?: has) }
+        worker.placements.values.fold(has) { left, p -> left - (table.jobs[p.task.job]?.spec?.resources ?: has) }
 
     private companion object {
         /** A start counts once a task has run for half a minute; and what has run for long runs on for long, mostly. */
--- a/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
@@ -71,7 +71,7 @@
             if (job.placements.isNotEmpty()) {
                 quota.add(
                     job.spec.team,
-                    job.spec.need * job.copies,
+                    job.spec.resources * job.copies,
                     service = job.spec.kind == JobKind.SERVICE,
                 )
             }
@@ -79,7 +79,7 @@
         for (worker in table.workers.values) {
             for (job in worker.unknownTaskJobs) {
                 table.recentlyEnded(job)?.let {
-                    quota.add(it.team, it.need)
+                    quota.add(it.team, it.resources)
                 }
             }
         }
@@ -170,7 +170,7 @@
         var cpus = 0.0
         var memoryGb = 0.0
         for (job in table.jobs.values) {
-            val need = job.spec.need
+            val need = job.spec.resources
             if (need.gpus <= 0 || job.isTerminal) continue
             cpus = maxOf(cpus, need.cpus / need.gpus)
             memoryGb = maxOf(memoryGb, need.memoryGb / need.gpus)
@@ -191,7 +191,7 @@
         val cached = worker.cachedImages(type.cacheGb)
         for (p in worker.placements.values) {
             val job = table.jobs[p.task.job] ?: continue
-            free -= job.spec.need
+            free -= job.spec.resources
             tenants.add(Occupant(job.spec, (p.runningSince ?: now) + runs.expected(job.spec)))
             // What is in use is not what a cache drops; what is being fetched is given up when its task goes.
             val there = p.state == PlacementState.CONFIRMED && p.phase != TaskPhase.FETCHING
@@ -203,16 +203,16 @@
                 fetching.merge(job.spec.image, left(p, job.spec, type, now), ::minOf)
             }
             when {
-                p.stopGrace != null -> leaving += job.spec.need
+                p.stopGrace != null -> leaving += job.spec.resources
 
                 !job.isGang && p.state == PlacementState.CONFIRMED && job.spec.priority < Priority.PRODUCTION ->
                     victims.add(
                         PreemptionCandidate(
                             p.task,
                             job.spec.priority,
-                            job.spec.need,
+                            job.spec.resources,
                             p.runningSince.takeUnless {
-                                job.spec.saves
+                                job.spec.takesCheckpoints
                             },
                         ),
                     )
@@ -247,7 +247,7 @@
     }
 
     private fun serviceWeight(worker: WorkerState): Double = worker.placements.values.sumOf { p ->
-        table.jobs[p.task.job]?.takeIf { it.spec.kind == JobKind.SERVICE }?.spec?.need?.weight ?: 0.0
+        table.jobs[p.task.job]?.takeIf { it.spec.kind == JobKind.SERVICE }?.spec?.resources?.weight ?: 0.0
     }
 
     private fun jobView(
@@ -309,7 +309,7 @@
             if (job.placements.isNotEmpty()) {
                 held.merge(
                     job.spec.jobClass,
-                    job.placements.size * job.spec.need.weight,
+                    job.placements.size * job.spec.resources.weight,
                     Double::plus,
                 )
             }
@@ -347,7 +347,7 @@
             job.placements.isEmpty() &&
             job.completed.count == 0 &&
             now - job.openedAt > BEGIN_AFTER &&
-            !quota.allows(job.spec.team, job.spec.need * view.pending.size)
+            !quota.allows(job.spec.team, job.spec.resources * view.pending.size)
     }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/scheduler/DemandReporter.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/DemandReporter.kt
@@ -44,10 +44,10 @@
         val boot = catalog.types[worker.type]?.bootTime ?: Duration.ZERO
         for (p in worker.placements.values) {
             val job = table.jobs[p.task.job] ?: continue
-            busy += job.spec.need
-            if (job.spec.kind == JobKind.SERVICE) serving += job.spec.need
-            if (job.spec.priority < Priority.PRODUCTION && !job.isGang) yielding += job.spec.need
-            if (endsWithin(job, p, boot * ENDING_SHARE, now)) ending += job.spec.need
+            busy += job.spec.resources
+            if (job.spec.kind == JobKind.SERVICE) serving += job.spec.resources
+            if (job.spec.priority < Priority.PRODUCTION && !job.isGang) yielding += job.spec.resources
+            if (endsWithin(job, p, boot * ENDING_SHARE, now)) ending += job.spec.resources
         }
         return MachineUse(
             worker.id,
--- a/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
@@ -60,7 +60,7 @@
                     job.spec,
                 ) -> HoldResult.NotNow("a machine that may run it has not reported yet")
 
-            kind == HoldKind.SUSPENDED && !job.spec.saves -> HoldResult.Inconsistent(
+            kind == HoldKind.SUSPENDED && !job.spec.takesCheckpoints -> HoldResult.Inconsistent(
                 "its tasks can't save, so stopping them would lose their work",
             )
 
@@ -125,7 +125,7 @@
                 if (p.stopGrace ==
                     null
                 ) {
-                    table.stop(job, p, job.spec.saveTakes + SAVE_MARGIN)
+                    table.stop(job, p, job.spec.checkpointDuration + SAVE_MARGIN)
                 }
             }
         }
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -463,7 +463,8 @@
             events.info("task stopped for room", p.worker.id) {
                 "task stopped for room task=$task machine=${p.worker.id}"
             }
-            table.stop(job, p, if (job.spec.saves) job.spec.saveTakes + SAVE_MARGIN else Duration.ZERO)
+            val grace = if (job.spec.takesCheckpoints) job.spec.checkpointDuration + SAVE_MARGIN else Duration.ZERO
+            table.stop(job, p, grace)
         }
         // A scheduling cycle that took longer than its budget sends nothing, and neither does a leader whose window has
         // closed.
@@ -532,7 +533,9 @@
                 val job = table.jobs[p.task.job] ?: continue
                 if (p.stopGrace != null) continue
                 if (p.state == PlacementState.ASSIGNED) table.remove(job, p)
-                if (job.spec.saves && job.spec.saveTakes < notice) table.stop(job, p, job.spec.saveTakes + SAVE_MARGIN)
+                if (job.spec.takesCheckpoints && job.spec.checkpointDuration < notice) {
+                    table.stop(job, p, job.spec.checkpointDuration + SAVE_MARGIN)
+                }
             }
         }
     }
--- a/src/main/kotlin/org/elderhitch/scheduler/StartDeadlines.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/StartDeadlines.kt
@@ -44,7 +44,7 @@
     }
 
     fun waiting(spec: JobSpec, opened: MonotonicInstant, pending: Int): Waiting =
-        Waiting(spec.id, spans(spec).map { opened + it }, runs.expected(spec) * (spec.need.weight * pending))
+        Waiting(spec.id, spans(spec).map { opened + it }, runs.expected(spec) * (spec.resources.weight * pending))
 
     /** Spans from a job's submission by which its tasks should start, the tightest first. */
     private fun spans(spec: JobSpec): List<Duration> {
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepService.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepService.kt
@@ -211,10 +211,10 @@
         val good = (0 until description.points.count).filter { it !in checked.skipped }
         val team = context.settings.teams[checked.first.team]
         val perGpu = team?.mostGpus?.let { limit ->
-            checked.first.need.gpus.takeIf { it > 0 }?.let { (limit / it).toInt() }
+            checked.first.resources.gpus.takeIf { it > 0 }?.let { (limit / it).toInt() }
         }
         val perCpu = team?.mostCpus?.let { limit ->
-            checked.first.need.cpus.takeIf { it > 0 }?.let { (limit / it).toInt() }
+            checked.first.resources.cpus.takeIf { it > 0 }?.let { (limit / it).toInt() }
         }
         return linkedMapOf(
             "sweep" to id.text, "points" to description.points.count, "skipped" to checked.badCount,
--- a/src/main/kotlin/org/elderhitch/tasks/JobUsage.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/JobUsage.kt
@@ -41,7 +41,7 @@
         if (placement.accounted || placement.state != PlacementState.CONFIRMED) return
         placement.accounted = true
         val ran = ran(placement, now)
-        val saved = placement.stopGrace.let { it != null && job.spec.saves && it >= job.spec.saveTakes }
+        val saved = placement.stopGrace.let { it != null && job.spec.takesCheckpoints && it >= job.spec.checkpointDuration }
         if (saved || job.spec.kind == JobKind.SERVICE) useful += ran else wasted += ran
         if (placement.stopGrace != null) return
         lost++
--- a/src/test/kotlin/org/elderhitch/drmaa/ChecksTest.kt
+++ b/src/test/kotlin/org/elderhitch/drmaa/ChecksTest.kt
@@ -51,8 +51,8 @@
             listOf(
                 spec.jobClass,
                 spec.image.name,
-                spec.need.gpus,
-                spec.need.cpus,
+                spec.resources.gpus,
+                spec.resources.cpus,
                 spec.estimate,
                 spec.spread,
                 spec.types?.map {
--- a/src/test/kotlin/org/elderhitch/golden/GoldenStoreTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenStoreTest.kt
@@ -126,7 +126,7 @@
         assertEquals(listOf("g8", "g16"), full.types?.map { it.name })
         assertEquals(listOf("north", "req-000001"), listOf(full.zone?.name, full.repeatOf?.text))
         assertTrue(full.oneZone && full.spread && full.spotAllowed)
-        val spans = listOf(full.estimate, full.checkpointEvery, full.saveTakes)
+        val spans = listOf(full.estimate, full.checkpointInterval, full.checkpointDuration)
         assertEquals(listOf(90.5.seconds, 30.seconds, 2.5.seconds), spans)
         assertEquals(3600.seconds, full.deadline)
         same("job-least", JobCodec.encode(JobCodec.decode(stored("job-least"))))
--- a/src/test/kotlin/org/elderhitch/jobs/CompletedTasksTest.kt
+++ b/src/test/kotlin/org/elderhitch/jobs/CompletedTasksTest.kt
@@ -11,7 +11,7 @@
     fun `what is packed unpacks to the same tasks within the value's limit`() {
         val random = Random(3)
         repeat(200) { round ->
-            val tasks = if (round % 3 == 0) random.nextInt(1, 40) else random.nextInt(1, JobCodec.MOST_TASKS + 1)
+            val tasks = if (round % 3 == 0) random.nextInt(1, 40) else random.nextInt(1, JobCodec.MAX_TASKS + 1)
             val finished = CompletedTasks(tasks)
             val density = random.nextDouble()
             // Clusters as well as scattered tasks: ranges and bitmaps both come up.
--- a/src/test/kotlin/org/elderhitch/jobs/JobCodecTest.kt
+++ b/src/test/kotlin/org/elderhitch/jobs/JobCodecTest.kt
@@ -15,7 +15,7 @@
         "desk" to "desk-${random.nextInt(3)}",
         "lotKind" to listOf("array", "gang", "daemon").random(random),
         "urgency" to listOf("production", "urgent", "normal", "idle").random(random),
-        "crates" to random.nextInt(1, JobCodec.MOST_TASKS + 1),
+        "crates" to random.nextInt(1, JobCodec.MAX_TASKS + 1),
         "cores" to random.nextInt(100) / 4.0,
         "accelerators" to random.nextInt(9).toDouble(),
         "memGb" to random.nextInt(1000) / 8.0,
--- a/src/test/kotlin/org/elderhitch/placement/ScarceCapacityTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/ScarceCapacityTest.kt
@@ -41,7 +41,7 @@
 
     private fun machine(id: String, type: MachineType, vararg tenants: Occupant): MachineView {
         val whole = has.getValue(type)
-        val free = tenants.fold(whole) { left, tenant -> left - tenant.spec.need }
+        val free = tenants.fold(whole) { left, tenant -> left - tenant.spec.resources }
         return MachineView(
             MachineId(id),
             type,
@@ -205,8 +205,8 @@
                         ),
                     )
                 }
-                kilnSeconds += running.values.sumOf { its -> its.count { it.spec.need == kiln } }
-                sackSeconds += running.values.sumOf { its -> its.count { it.spec.need == sack } }
+                kilnSeconds += running.values.sumOf { its -> its.count { it.spec.resources == kiln } }
+                sackSeconds += running.values.sumOf { its -> its.count { it.spec.resources == sack } }
             }
             val all = larges * 64.0 * STEPS
             val asked = kilns * 32.0 + sacks * 4.0
--- a/src/test/kotlin/org/elderhitch/placement/SchedulingCycleTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/SchedulingCycleTest.kt
@@ -141,12 +141,12 @@
         assertEquals(output.placed.size, output.placed.map { it.task }.toSet().size, "$what: a task placed twice")
         assertTrue(
             output.placed.sumOf {
-                specs.getValue(it.task.job).need.gpus
+                specs.getValue(it.task.job).resources.gpus
             } <= limit + 1e-6,
             "$what: over the limit",
         )
         for ((id, placed) in output.placed.groupBy { it.machine }) {
-            val taken = placed.fold(Resources.NONE) { sum, p -> sum + specs.getValue(p.task.job).need }
+            val taken = placed.fold(Resources.NONE) { sum, p -> sum + specs.getValue(p.task.job).resources }
             assertTrue(taken.fitsIn(byMachine.getValue(id).load.free), "$what: $id overfull")
         }
         for ((id, placed) in output.placed.groupBy { it.task.job }) {
@@ -156,7 +156,7 @@
             assertTrue(where.all { spec.zone == null || it.zone == spec.zone }, "$what: zone")
             assertTrue(where.all { spec.types == null || it.type in spec.types }, "$what: type")
             if (spec.oneZone) assertEquals(1, where.map { it.zone }.toSet().size, "$what: one zone")
-            assertTrue(where.groupBy { it.zone }.values.all { it.size <= spec.mostInOneZone }, "$what: spread")
+            assertTrue(where.groupBy { it.zone }.values.all { it.size <= spec.maxTasksPerZone }, "$what: spread")
             if (spec.kind == JobKind.GANG) assertEquals(spec.tasks, placed.size, "$what: half a gang")
         }
     }
@@ -411,7 +411,7 @@
             SchedulingCycle(CycleInput(listOf(machine), jobs, quota(), hostResourcesPerGpu = beside)).decide().placed
         val first = cycle(listOf(job(small)), machine("m"))
         assertEquals(32, first.size, "8 of 48 processors are left beside eight accelerators")
-        val left = full - small.need * first.size
+        val left = full - small.resources * first.size
         assertEquals(8, cycle(listOf(job(photos)), machine("m", free = left)).size)
         val busy = machine("m", free = Resources(8.0, 0.0, 96.0))
         assertEquals(32, cycle(listOf(job(small)), busy).size, "with all accelerators taken the rest is free for all")
--- a/src/test/kotlin/org/elderhitch/recovery/TakeoverTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/TakeoverTest.kt
@@ -102,7 +102,7 @@
             "a machine of which nothing is known could run anything",
         )
         assertFalse(
-            takeover.mayRunUnreported(spec(true).copy(need = Resources(32.0, 0.0, 56.0)), known, catalog),
+            takeover.mayRunUnreported(spec(true).copy(resources = Resources(32.0, 0.0, 56.0)), known, catalog),
             "too large for either",
         )
         takeover.markAccounted(ordinary.id)
