--- a/src/main/kotlin/org/elderhitch/heartbeat/CommandPlanner.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/CommandPlanner.kt
@@ -31,8 +31,7 @@
             if (p.state == PlacementState.ASSIGNED && now > p.sendBy) {
                 table.jobs[p.task.job]?.let { table.remove(it, p) }
             } else if (list.size < MAX_COMMANDS) {
-                p.state = PlacementState.SENT
-                p.sentInResponse = true
+                p.markSentInResponse()
                 list.add(Command.Start(p.task, p.attempt))
             } else {
                 table.undelivered.add(worker)
@@ -86,7 +85,7 @@
     private fun stop(p: Placement, grace: Duration, list: MutableList<Command>) {
         // A start on its way can't be taken back; once the worker has it, a late copy does nothing.
         if (p.directStartPending && p.state == PlacementState.SENT) {
-            p.sentInResponse = true
+            p.markSentInResponse()
             list.add(Command.Start(p.task, p.attempt))
         }
         if (p.state == PlacementState.CONFIRMED &&
@@ -118,8 +117,7 @@
                 p.stopSent = true
                 list.add(Command.Stop(p.task, p.attempt, stop))
             } else if (p.state == PlacementState.ASSIGNED && now >= p.sendFrom && now <= p.sendBy) {
-                p.state = PlacementState.SENT
-                p.directStartPending = true
+                p.markSentDirectly()
                 worker.unacknowledgedStarts.add(p.task to p.attempt)
                 list.add(Command.Start(p.task, p.attempt))
             }
--- a/src/main/kotlin/org/elderhitch/recovery/ReconciliationStatistics.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/ReconciliationStatistics.kt
@@ -7,63 +7,67 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What a term's leader found when it reconciled reports with its table, row by row, and what it ordered: counted, told
- * in the log, and read by `/status`.
+ * Counts what the leader found when it reconciled heartbeats with its table, by rule, and what it did about it.
+ *
+ * The counts are logged when the takeover settles and once more [LATE_REPORT_DELAY] after the claim, and are shown in
+ * `/status`.
  */
 internal class ReconciliationStatistics(private val clock: SteadyClock) {
     private val log = LoggerFactory.getLogger("elderhitch.recovery")
-    private val rows = LongArray(TaskReconciliationRule.entries.size)
+    private val counts = LongArray(TaskReconciliationRule.entries.size)
+
+    /** The actions that the leader took in this term. */
     val actions = ActionLedger()
     private var leadership: LeadershipState.Leader? = null
-    private var toldLate = true
+    private var lateReportDone = true
     private var settledAfter: Duration? = null
 
+    /** Starts from zero. */
     fun newTerm(leadership: LeadershipState.Leader) {
         this.leadership = leadership
-        rows.fill(0)
+        counts.fill(0)
         actions.newTerm()
-        toldLate = leadership.previousLeader == null
+        lateReportDone = leadership.previousLeader == null
         settledAfter = null
     }
 
-    fun seen(row: TaskReconciliationRule) {
-        rows[row.ordinal]++
+    /** A reported task matched [rule]. */
+    fun count(rule: TaskReconciliationRule) {
+        counts[rule.ordinal]++
     }
 
-    /** By then what a takeover ordered in haste has shown itself to be right or not. */
+    /** To be called regularly. Logs the counts when it is known which of the takeover's actions were needless. */
     fun tick() {
-        val since = leadership?.claimedAt ?: return
-        if (toldLate || clock.now() - since < LATE) return
-        toldLate = true
-        tell("a minute on")
+        val claimedAt = leadership?.claimedAt ?: return
+        if (lateReportDone || clock.now() - claimedAt < LATE_REPORT_DELAY) return
+        lateReportDone = true
+        logCounts("a minute on")
     }
 
+    /** The takeover is settled. */
     fun settled() {
         settledAfter = leadership?.let { clock.now() - it.claimedAt }
-        tell("settled")
+        logCounts("settled")
     }
 
-    private fun tell(moment: String) {
-        log.info(
-            "reconciled moment=\"{}\" {}",
-            moment,
-            read().entries.joinToString(" ") { (name, value) ->
-                "$name=$value"
-            },
-        )
+    private fun logCounts(moment: String) {
+        val fields = snapshot().entries.joinToString(" ") { (name, value) -> "$name=$value" }
+        log.info("reconciled moment=\"{}\" {}", moment, fields)
     }
 
-    fun read(): Map<String, Any?> = linkedMapOf<String, Any?>(
-        "term" to leadership?.term?.number,
-        "settled_ms" to settledAfter?.inWholeMilliseconds,
-        "rows" to
-            TaskReconciliationRule.entries.associate {
-                it.statusWord to rows[it.ordinal]
-            }.filterValues { it > 0 },
-    ) +
-        actions.snapshot()
+    /** The counts for `/status` and the log. */
+    fun snapshot(): Map<String, Any?> {
+        val rows = TaskReconciliationRule.entries.associate { it.statusWord to counts[it.ordinal] }
+        val own = linkedMapOf<String, Any?>(
+            "term" to leadership?.term?.number,
+            "settled_ms" to settledAfter?.inWholeMilliseconds,
+            "rows" to rows.filterValues { it > 0 },
+        )
+        return own + actions.snapshot()
+    }
 
     private companion object {
-        val LATE = 60.seconds
+        /** By then the needless ones among the takeover's hasty actions have shown themselves. */
+        val LATE_REPORT_DELAY = 60.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
@@ -15,120 +15,134 @@
 import org.slf4j.LoggerFactory
 
 /**
- * What is still unclear of earlier terms: machines that may run something and have not said what. While any is left,
- * tasks that no report names may be there, and so may the quota that they use.
+ * Progress of a failover: which machines may still run something that an earlier term started.
+ *
+ * A new leader expects a heartbeat from each machine that may run tasks. Until a machine is accounted for, that is, has
+ * reported to this term or is gone, it may run tasks that no heartbeat names, and these use quota. The takeover is
+ * settled when all machines are accounted for, or when the leases that earlier terms granted or renewed have ended.
  */
 internal class Takeover(
-    private val times: LeadershipTimeouts,
+    private val leadershipTimeouts: LeadershipTimeouts,
     private val leases: LeaseTimeouts,
     private val clock: SteadyClock,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
     private var term = Term.NONE
-    private var silent: HashSet<MachineId>? = null
-    private var end = MonotonicInstant.FOREVER
+
+    /** Machines not accounted for; null: the inventory of machines is not loaded yet. */
+    private var pending: HashSet<MachineId>? = null
+
+    /** When all leases that earlier terms renewed have ended. */
+    private var earlierLeasesEnd = MonotonicInstant.FOREVER
 
     /**
-     * When this term last answered a report of a machine that did not know it yet. Such an answer renews what an
-     * earlier term started, so the leases that end
-     * by [end] are those of machines that were not answered: without this a task was started anew whose machine had
-     * come back just before.
+     * When this term last answered a heartbeat of a machine that did not know the term yet. Such an answer renews the
+     * lease of what an earlier term started, so [earlierLeasesEnd] does not hold for these machines. Without this, tasks
+     * were started anew whose machine had come back just before.
      */
-    private val renewed = HashMap<MachineId, MonotonicInstant>()
+    private val renewedAt = HashMap<MachineId, MonotonicInstant>()
 
+    /** Whether nothing of earlier terms is unclear any more. */
     var settled = false
         private set
 
-    /** The run that led before has ended: who reported to it comes by itself. */
+    /** Whether the previous leader's process has ended. Workers that reported to it look for the new leader then. */
     var previousLeaderEnded = false
 
-    /** Machines whose word is missing; empty too while it isn't known which there are. */
-    val unaccounted: Set<MachineId> get() = silent.orEmpty()
+    /** Machines that are not accounted for; empty too while the inventory is not loaded. */
+    val unaccounted: Set<MachineId> get() = pending.orEmpty()
 
+    /** Begins the takeover of a new term. It is settled at once if there was no previous leader. */
     fun begin(leadership: LeadershipState.Leader) {
         term = leadership.term
-        silent = null
-        renewed.clear()
+        pending = null
+        renewedAt.clear()
         settled = leadership.previousLeader == null
         previousLeaderEnded = leadership.previousLeader == null
-        end = leases.expiredAfterClaim(leadership.claimedAt, times)
+        earlierLeasesEnd = leases.expiredAfterClaim(leadership.claimedAt, leadershipTimeouts)
     }
 
+    /** The inventory is loaded: [machines] may run tasks and have not reported to this term. */
     fun expect(machines: Set<MachineId>) {
-        silent = HashSet(machines)
+        pending = HashSet(machines)
     }
 
-    /** It is settled: it has told this term what is on it, or is gone. */
+    /** The machine has reported to this term, or is gone. */
     fun markAccounted(machine: MachineId) {
-        silent?.remove(machine)
-        renewed.remove(machine)
+        pending?.remove(machine)
+        renewedAt.remove(machine)
     }
 
-    /** A report of a machine that didn't know this term is being answered, which came at [at]. */
+    /** A heartbeat that arrived at [at] from a machine that did not know this term is being answered. */
     fun heartbeatAnswered(machine: MachineId, at: MonotonicInstant) {
-        if (!settled) renewed[machine] = at
+        if (!settled) renewedAt[machine] = at
     }
 
     /**
-     * Machines that still don't know this term get no more answers, or a deaf one would keep the takeover from ever
-     * ending. They hear of the term by being asked.
+     * Whether heartbeats of machines that don't know this term are left unanswered. Otherwise a machine that sends
+     * heartbeats but never receives an answer would keep the takeover from settling. Such machines learn of the term
+     * from probes.
      */
-    fun refusesUnawareWorkers(now: MonotonicInstant): Boolean = !settled && now > end
+    fun refusesUnawareWorkers(now: MonotonicInstant): Boolean = !settled && now > earlierLeasesEnd
 
-    /** The former leader has surely stopped answering workers: each lease that it kept alive ends from now on. */
+    /** All previous leaders have stopped answering heartbeats: the leases that they renewed end one lease from now. */
     fun previousLeadersStopped() {
-        if (!settled) end = minOf(end, leases.expiredAfter(clock.now()))
+        if (!settled) earlierLeasesEnd = minOf(earlierLeasesEnd, leases.expiredAfter(clock.now()))
     }
 
-    /** True when the takeover has just ended. */
+    /** Settles the takeover if that is possible now. True if this call settled it. */
     fun trySettle(): Boolean {
         if (settled) return false
         val now = clock.now()
-        val overdue = now > end && renewed.values.all { now > leases.expiredAfter(it) }
-        if (!overdue && silent?.isEmpty() != true) return false
-        log.info("takeover settled term={} by={}", term, if (overdue) "leases over" else "reports")
+        val leasesOver = now > earlierLeasesEnd && renewedAt.values.all { now > leases.expiredAfter(it) }
+        if (!leasesOver && pending?.isEmpty() != true) return false
+        log.info("takeover settled term={} by={}", term, if (leasesOver) "leases over" else "reports")
         settled = true
         return true
     }
 
     /**
-     * Whether an unreported task of the job may be on a machine whose word is missing. No term ever places a task where
-     * its
-     * job doesn't allow it, or where it doesn't fit: services don't wait for the word of a spot machine, nor large
-     * tasks for that of a small one.
+     * Whether an unreported task of [job] may run on a machine that is not accounted for.
+     *
+     * No term places a task on a machine that the job's constraints exclude or whose type is too small. So a service
+     * doesn't wait for a spot machine, nor a large task for a small machine.
      */
     fun mayRunUnreported(job: JobSpec, known: Map<MachineId, Machine>, catalog: Catalog): Boolean {
         if (settled) return false
-        val unheard = silent ?: return true
-        return unheard.any { id ->
-            known[id]?.let {
-                job.permitsMachine(it.type, it.zone, it.spot) &&
-                    catalog.resources(it.type)?.let(job.resources::fitsIn) != false
-            }
-                ?: true
+        val machines = pending ?: return true
+        return machines.any { id ->
+            val machine = known[id]
+            machine == null || mayRun(job, machine, catalog)
         }
     }
 
-    /** How many machines of a zone may still run what nobody has reported; null: it isn't known which there are. */
+    private fun mayRun(job: JobSpec, machine: Machine, catalog: Catalog): Boolean =
+        job.permitsMachine(machine.type, machine.zone, machine.spot) &&
+            catalog.resources(machine.type)?.let(job.resources::fitsIn) != false
+
+    /**
+     * The number of machines of [zone] that are not accounted for; null: the inventory is not loaded. A machine about
+     * which nothing is known counts in every zone.
+     */
     fun unaccountedIn(zone: Zone, known: Map<MachineId, Machine>): Int? {
         if (settled) return 0
-        // Of a machine that nothing is known of, not even its zone is.
-        return silent?.count { id -> known[id].let { it == null || it.zone == zone } }
+        return pending?.count { id -> known[id].let { it == null || it.zone == zone } }
     }
 
-    /** It ends within one lease's time, whatever happens. */
-    fun endsSoon(now: MonotonicInstant): Boolean = leases.expireSoon(end, now)
+    /** Whether the takeover will settle within one lease, whatever happens. */
+    fun endsSoon(now: MonotonicInstant): Boolean = leases.expireSoon(earlierLeasesEnd, now)
 
-    /** What the silent machines could be running, whoever it belongs to. */
+    /** The resources that unreported tasks may use, to be reserved in the quota of every team. */
     fun reservedResources(known: Map<MachineId, Machine>, catalog: Catalog): Resources {
         if (settled) return Resources.NONE
         var sum = Resources.NONE
-        for (id in silent ?: return EVERYTHING) sum += known[id]?.let { catalog.resources(it.type) } ?: EVERYTHING
+        for (id in pending ?: return EVERYTHING) sum += known[id]?.let { catalog.resources(it.type) } ?: EVERYTHING
         return sum
     }
 
     private companion object {
-        const val LOTS = 1e12
-        val EVERYTHING = Resources(LOTS, LOTS, LOTS)
+        /** More of each resource than any fleet has. */
+        const val UNLIMITED = 1e12
+        val EVERYTHING = Resources(UNLIMITED, UNLIMITED, UNLIMITED)
     }
 }
--- a/src/main/kotlin/org/elderhitch/recovery/TaskReconciler.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/TaskReconciler.kt
@@ -19,140 +19,179 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Brings the table in line with what a worker reports, whose list is the truth once it has seen our term. */
+/**
+ * Updates the leader's table from heartbeats.
+ *
+ * The list of a worker that knows this term is authoritative for its own machine. What becomes of each listed task is
+ * decided by [TaskReconciliation] and carried out here.
+ */
 internal class TaskReconciler(
     private val table: TaskTable,
     private val faults: FailureAttribution,
     private val clock: SteadyClock,
     private val events: EventLog,
-    /** Told of each row that a named task stood in. */
-    private val reconciled: (TaskReconciliationRule) -> Unit = {},
+    /** Called with the rule that applied to each reported task. */
+    private val onReconciled: (TaskReconciliationRule) -> Unit = {},
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
 
     /**
-     * [inReply]: the worker says so in reply to a command to its own address, while an answer to its last report may
-     * still be on its way with starts in it. Only a report sent after that answer proves that they were not executed.
+     * Applies the list of tasks in [heartbeat] to the table.
+     *
+     * [inReply]: the list came in the answer to a command at the worker's own address, while the response to its latest
+     * heartbeat may still be under way with starts in it. Only a heartbeat sent after that response proves that a start
+     * that it doesn't list was not executed.
      */
-    fun apply(worker: WorkerState, report: Heartbeat, inReply: Boolean) {
-        if (worker.tasks != report.tasks) {
-            worker.tasks = report.tasks
+    fun apply(worker: WorkerState, heartbeat: Heartbeat, inReply: Boolean) {
+        if (worker.tasks != heartbeat.tasks) {
+            worker.tasks = heartbeat.tasks
             worker.changed()
         }
-        val seen = HashSet<TaskId>()
+        val listed = HashSet<TaskId>()
         worker.unknownTaskJobs = emptyList()
-        for (task in report.tasks) {
-            seen.add(task.task)
+        for (task in heartbeat.tasks) {
+            listed.add(task.task)
             val job = table.findOrOpen(task.task.job)
-            if (job == null) stranger(worker, task) else reconcile(worker, job, task)
-        }
-        for (p in worker.placements.values.toList()) {
-            if (p.task in seen || p.state == PlacementState.ASSIGNED || p.directStartPending) continue
-            if (inReply && p.state == PlacementState.SENT) continue
-            // Reports come one at a time: this one was sent after the answer with the start was taken or given up.
-            table.jobs[p.task.job]?.let { table.remove(it, p) } ?: forgotten(worker, p)
+            if (job == null) reconcileUnknown(worker, task) else reconcile(worker, job, task)
         }
+        removeUnlisted(worker, listed, inReply)
     }
 
-    private fun stranger(worker: WorkerState, task: TaskStatus) {
-        val row = TaskReconciliation.row(
-            ReportedTask(
-                JobLifecycle.UNKNOWN,
-                true,
-                task.phase != TaskPhase.EXITED,
-                false,
-                false,
-                LocalPlacement.NOTHING,
-                RemotePlacement.NOTHING,
-            ),
-        )
-        reconciled(row)
-        if (row.verdict == TaskVerdict.STOP) worker.unknownTaskJobs += task.task.job
+    /** Removes what the worker would have listed if it were there. */
+    private fun removeUnlisted(worker: WorkerState, listed: Set<TaskId>, inReply: Boolean) {
+        for (placement in worker.placements.values.toList()) {
+            if (placement.task in listed) continue
+            if (placement.state == PlacementState.ASSIGNED || placement.directStartPending) continue
+            // A worker sends one heartbeat at a time: this one left after the response that contained the start was
+            // received or given up.
+            if (inReply && placement.state == PlacementState.SENT) continue
+            val job = table.jobs[placement.task.job]
+            if (job != null) table.remove(job, placement) else removeOrphan(worker, placement)
+        }
     }
 
-    private fun forgotten(worker: WorkerState, placement: Placement) {
+    /** Removes a placement whose job has left the table. */
+    private fun removeOrphan(worker: WorkerState, placement: Placement) {
         worker.placements.remove(placement.task)
         worker.changed()
     }
 
-    /** Carries out what [TaskReconciliation] says of the task. */
-    private fun reconcile(worker: WorkerState, job: JobState, task: TaskStatus) {
-        val index = task.task.index
-        val own = worker.placements[task.task]
-        // Two attempts of a task can't be on one machine: what the table has there is not, and a copy elsewhere may
-        // count in its place.
-        if (own != null && own.attempt != task.attempt && task.phase != TaskPhase.EXITED) table.remove(job, own)
-        val elsewhere = job.placements[index]?.takeIf { it.worker !== worker }
-        val named = named(job, task, own, elsewhere)
-        val row = TaskReconciliation.row(named)
-        reconciled(row)
-        val placement = when (row.verdict) {
-            TaskVerdict.KEEP -> own ?: return
-
-            TaskVerdict.ADOPT, TaskVerdict.SWAP, TaskVerdict.SURPLUS -> take(worker, job, task, row, elsewhere)
-
-            TaskVerdict.FINISH -> return finished(worker, job, task, own)
-
-            TaskVerdict.LOSE -> return lose(worker, job, task, own ?: return)
-
-            TaskVerdict.LEAVE -> return events.error("no such task", worker.id) {
-                "no such task task=${task.task} machine=${worker.id} of=${job.spec.tasks}"
-            }
+    private fun reconcileUnknown(worker: WorkerState, task: TaskStatus) {
+        val reported = ReportedTask(
+            JobLifecycle.UNKNOWN,
+            exists = true,
+            live = task.phase != TaskPhase.EXITED,
+            saving = false,
+            completed = false,
+            here = LocalPlacement.NOTHING,
+            elsewhere = RemotePlacement.NOTHING,
+        )
+        val rule = TaskReconciliation.row(reported)
+        onReconciled(rule)
+        if (rule.verdict == TaskVerdict.STOP) worker.unknownTaskJobs += task.task.job
+    }
 
-            TaskVerdict.STOP, TaskVerdict.REAP -> return
-        }
-        if (log.isDebugEnabled && (placement.phase != task.phase || placement.state != PlacementState.CONFIRMED)) {
-            log.debug("task task={} phase={} machine={} class={}", task.task, task.phase, worker.id, job.spec.jobClass)
+    private fun reconcile(worker: WorkerState, job: JobState, task: TaskStatus) {
+        val local = worker.placements[task.task]
+        // Two attempts of a task can't be on one machine, so the one in the table is not there, and a copy elsewhere may
+        // take its place.
+        if (local != null && local.attempt != task.attempt && task.phase != TaskPhase.EXITED) table.remove(job, local)
+        val remote = job.placements[task.task.index]?.takeIf { it.worker !== worker }
+        val reported = compare(job, task, local, remote)
+        val rule = TaskReconciliation.row(reported)
+        onReconciled(rule)
+        val placement = carryOut(rule, worker, job, task, local, remote) ?: return
+        update(worker, job, placement, task)
+        if (TaskReconciliation.mustStop(reported) && placement.stopGrace == null) {
+            table.stop(job, placement, Duration.ZERO)
         }
-        if (placement.state != PlacementState.CONFIRMED || placement.phase != task.phase) worker.changed()
-        seen(job, placement)
-        if (placement.phase != task.phase) table.dirty = true
-        placement.phase = task.phase
-        if (task.phase == TaskPhase.FETCHING && placement.fetchingSince == null) placement.fetchingSince = clock.now()
-        if (task.phase == TaskPhase.RUNNING && placement.runningSince == null) placement.runningSince = clock.now()
-        if (job.isGang && job.placements[index] === placement) job.gang.observe(task.phase)
-        if (TaskReconciliation.mustStop(named) && placement.stopGrace == null) table.stop(job, placement, Duration.ZERO)
     }
 
-    private fun named(job: JobState, task: TaskStatus, own: Placement?, elsewhere: Placement?): ReportedTask =
+    private fun compare(job: JobState, task: TaskStatus, local: Placement?, remote: Placement?): ReportedTask =
         ReportedTask(
             if (job.isTerminal) JobLifecycle.ENDED else JobLifecycle.OPEN,
             exists = task.task.index < job.spec.tasks,
             live = task.phase != TaskPhase.EXITED,
             saving = task.phase == TaskPhase.SAVING,
             completed = task.cause == ExitCause.DONE,
-            when (own?.attempt) {
+            here = when (local?.attempt) {
                 null -> LocalPlacement.NOTHING
                 task.attempt -> LocalPlacement.THIS_ATTEMPT
                 else -> LocalPlacement.ANOTHER_ATTEMPT
             },
-            when {
-                elsewhere == null -> RemotePlacement.NOTHING
-                elsewhere.state == PlacementState.ASSIGNED -> RemotePlacement.UNSENT
-                elsewhere.stopGrace != null || elsewhere.state == PlacementState.SENT -> RemotePlacement.UNSURE
-                task.attempt.number < elsewhere.attempt.number -> RemotePlacement.LATER
+            elsewhere = when {
+                remote == null -> RemotePlacement.NOTHING
+                remote.state == PlacementState.ASSIGNED -> RemotePlacement.UNSENT
+                remote.stopGrace != null || remote.state == PlacementState.SENT -> RemotePlacement.UNSURE
+                task.attempt.number < remote.attempt.number -> RemotePlacement.LATER
                 else -> RemotePlacement.EARLIER
             },
         )
 
-    /** Puts what the worker reports into the table, beside what else it has of the task. */
+    /** Carries out the verdict of [rule]. Returns the placement of the reported copy if it is in the table afterwards. */
+    private fun carryOut(
+        rule: TaskReconciliationRule,
+        worker: WorkerState,
+        job: JobState,
+        task: TaskStatus,
+        local: Placement?,
+        remote: Placement?,
+    ): Placement? = when (rule.verdict) {
+        TaskVerdict.KEEP -> local
+
+        TaskVerdict.ADOPT, TaskVerdict.SWAP, TaskVerdict.SURPLUS -> take(rule, worker, job, task, remote)
+
+        TaskVerdict.FINISH -> {
+            finish(job, task, local)
+            null
+        }
+
+        TaskVerdict.LOSE -> {
+            local?.let { lose(worker, job, task, it) }
+            null
+        }
+
+        TaskVerdict.LEAVE -> {
+            events.error("no such task", worker.id) {
+                "no such task task=${task.task} machine=${worker.id} of=${job.spec.tasks}"
+            }
+            null
+        }
+
+        TaskVerdict.STOP, TaskVerdict.REAP -> null
+    }
+
+    /** Brings the placement of a live task up to date with the report. */
+    private fun update(worker: WorkerState, job: JobState, placement: Placement, task: TaskStatus) {
+        val phaseChanged = placement.phase != task.phase
+        if (phaseChanged || placement.state != PlacementState.CONFIRMED) {
+            log.debug("task task={} phase={} machine={} class={}", task.task, task.phase, worker.id, job.spec.jobClass)
+            worker.changed()
+        }
+        confirm(job, placement)
+        if (phaseChanged) table.dirty = true
+        placement.phase = task.phase
+        if (task.phase == TaskPhase.FETCHING && placement.fetchingSince == null) placement.fetchingSince = clock.now()
+        if (task.phase == TaskPhase.RUNNING && placement.runningSince == null) placement.runningSince = clock.now()
+        if (job.isGang && job.placements[task.task.index] === placement) job.gang.observe(task.phase)
+    }
+
+    /** Adds a reported copy that the table does not have. */
     private fun take(
+        rule: TaskReconciliationRule,
         worker: WorkerState,
         job: JobState,
         task: TaskStatus,
-        row: TaskReconciliationRule,
-        elsewhere: Placement?,
+        remote: Placement?,
     ): Placement {
-        if (elsewhere !=
-            null
-        ) {
+        if (remote != null) {
             events.error("task on two machines", worker.id) {
-                "task on two machines task=${task.task} here=${worker.id} there=${elsewhere.worker.id}"
+                "task on two machines task=${task.task} here=${worker.id} there=${remote.worker.id}"
             }
         }
-        if (row.verdict == TaskVerdict.SWAP && elsewhere != null) table.demote(job, elsewhere)
-        if (row == TaskReconciliationRule.TWICE_UNSENT && elsewhere != null) table.remove(job, elsewhere)
-        val placement = if (row.verdict == TaskVerdict.SURPLUS) {
+        if (rule.verdict == TaskVerdict.SWAP && remote != null) table.demote(job, remote)
+        if (rule == TaskReconciliationRule.TWICE_UNSENT && remote != null) table.remove(job, remote)
+        val placement = if (rule.verdict == TaskVerdict.SURPLUS) {
             table.placeSurplus(job, task.task, task.attempt, worker)
         } else {
             table.place(job, task.task, task.attempt, worker, PlacementState.CONFIRMED, MonotonicInstant.NEVER)
@@ -162,34 +201,33 @@
         return placement
     }
 
-    private fun seen(job: JobState, placement: Placement) {
+    private fun confirm(job: JobState, placement: Placement) {
         if (placement.state == PlacementState.CONFIRMED) return
-        placement.state = PlacementState.CONFIRMED
+        placement.confirm()
         if (!placement.accounted) job.usage.recordStart(clock.now())
     }
 
-    private fun finished(worker: WorkerState, job: JobState, task: TaskStatus, own: Placement?) {
-        val placement = own?.takeIf { it.attempt == task.attempt }
-        placement?.let { seen(job, it) }
+    private fun finish(job: JobState, task: TaskStatus, local: Placement?) {
+        val placement = local?.takeIf { it.attempt == task.attempt }
+        placement?.let { confirm(job, it) }
         complete(job, task.task.index)
         placement?.let { table.remove(job, it) }
     }
 
     private fun complete(job: JobState, index: Int) {
         if (index in job.completed) return
-        // Of a gang, all members have run, seen or not: they complete together.
-        val complete = if (job.isGang) job.placements.values else listOfNotNull(job.placements[index])
-        complete.forEach { job.usage.recordCompletion(it, clock.now(), job.placements[index]?.runningSince) }
-        complete.firstOrNull { it.sendBy != MonotonicInstant.NEVER }?.let { table.onTaskCompleted(job, it) }
+        // The members of a gang have all run, seen or not, and complete together.
+        val placements = if (job.isGang) job.placements.values else listOfNotNull(job.placements[index])
+        placements.forEach { job.usage.recordCompletion(it, clock.now(), job.placements[index]?.runningSince) }
+        placements.firstOrNull { it.sendBy != MonotonicInstant.NEVER }?.let { table.onTaskCompleted(job, it) }
         log.debug("task done task={}/{}", job.id, index)
-        // A gang completes as a whole: one member's word is all members'.
         if (job.isGang) repeat(job.spec.tasks) { job.completed.add(it) } else job.completed.add(index)
         table.dirty = true
     }
 
     private fun lose(worker: WorkerState, job: JobState, task: TaskStatus, placement: Placement) {
         val now = clock.now()
-        if (task.cause !in NEVER_BEGAN) seen(job, placement)
+        if (task.cause !in REFUSALS) confirm(job, placement)
         when (task.cause) {
             ExitCause.ERROR -> {
                 placement.failed = true
@@ -200,7 +238,7 @@
                 events.info("start refused ${task.cause}", worker.id) {
                     "start refused task=${task.task} machine=${worker.id} cause=${task.cause}"
                 }
-                worker.avoid(job.id, now + REFUSED_PAUSE)
+                worker.avoid(job.id, now + REFUSAL_BACKOFF)
             }
 
             ExitCause.INCOMPLETE, ExitCause.PEERS -> job.gang.abandon()
@@ -211,9 +249,10 @@
     }
 
     private companion object {
-        val REFUSED_PAUSE = 5.seconds
+        /** For how long a job avoids a worker that refused a start of it. */
+        val REFUSAL_BACKOFF = 5.seconds
 
-        /** The worker refused the start: there was no attempt. */
-        val NEVER_BEGAN = setOf(ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN)
+        /** Causes by which the worker refused the start, so that there was no attempt. */
+        val REFUSALS = setOf(ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN)
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
@@ -95,7 +95,7 @@
         val machines = ArrayList<MachineView>()
         for (worker in table.workers.values) {
             if (!usable(worker)) continue
-            worker.forgive(now)
+            worker.expireAvoidance(now)
             if (worker.view?.images?.fetching?.isNotEmpty() == true &&
                 now - worker.viewedAt > FETCH_SEEN_AFTER
             ) {
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -91,7 +91,7 @@
     private val leases = LeaseTimeouts(workerTimes.lease)
     private val takeover = Takeover(times, leases, clock)
     private val faults = FailureAttribution(table)
-    private val taskReconciler = TaskReconciler(table, faults, clock, events, reconciliations::seen)
+    private val taskReconciler = TaskReconciler(table, faults, clock, events, reconciliations::count)
     private val commands = CommandPlanner(table)
     private val pauseDetector = PauseDetector(TICK)
     private val workerProber = WorkerProber(table, takeover, workerTimes, pauseDetector, ports, reconciliations.actions)
@@ -411,7 +411,7 @@
         if (now - lastCounts > COUNTS_EVERY) {
             lastCounts = now
             faults.reassess(now)
-            ports.ordered(reconciliations.read())
+            ports.ordered(reconciliations.snapshot())
             ports.running(table.jobs.values.filter { it.placements.isNotEmpty() }.associate { it.id to it.running })
         }
         if (!tableComplete || !leadership.maySendCommands(now)) return
--- a/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
@@ -10,56 +10,64 @@
 import org.elderhitch.time.WallClock
 import kotlin.time.Duration.Companion.seconds
 
-/** Tasks that have completed and are not recorded yet, on their way to the state service: one batch at a time. */
+/** Sends completed tasks that are not recorded yet to the state service, one group of batches at a time. */
 internal class CompletionReporter(
     private val table: TaskTable,
     private val clock: SteadyClock,
     private val wallClock: WallClock,
     private val ports: SchedulerPorts,
 ) {
-    private var recording = false
-    private var lastParts = MonotonicInstant.NEVER
+    private var writeInProgress = false
+    private var lastPartialWrite = MonotonicInstant.NEVER
 
     fun newTerm() {
-        recording = false
+        writeInProgress = false
     }
 
-    /** Of a job of an earlier term it is a lower bound: what that saw is not known here. */
+    /** The account of [job]; a lower bound if an earlier term may have run some of it. */
     fun account(leadership: LeadershipState.Leader, job: JobState): JobAccount =
         job.usage.account(job, clock.now(), wallClock.now(), lowerBound = job.version <= leadership.termRevision)
 
+    /** Starts the next write, unless one is in progress or there is nothing to record. */
     fun record(leadership: LeadershipState.Leader) {
-        if (recording) return
+        if (writeInProgress) return
         val now = clock.now()
-        // Parts of jobs wait for each other: each rewrites whole blocks, and the end of a job waits for none of that.
-        val parts = now - lastParts > PARTS_EVERY
-        val news = table.jobs.values.filter { !it.isTerminal && it.completed.count > it.recorded.count && (parts || it.completed.all) }
-        // Kept jobs are recorded many at a time and whole: their keeper packs them, once a scheduling cycle.
-        val batches = (
-            news.filter { !it.providerOwned }.take(MAX_BATCHES) +
-                if (parts) news.filter { it.providerOwned && it.completed.all } else emptyList()
-            )
-            .map {
-                CompletionBatch(
-                    it.id,
-                    it.version,
-                    it.completed,
-                    it.completed.beyond(it.recorded),
-                    if (it.completed.all) account(leadership, it) else null,
-                    it.storedHold != null,
-                    it.blockVersions,
-                    it.providerOwned,
-                )
-            }
+        // Completed tasks of jobs that go on are recorded at intervals, because each write replaces whole blocks. The
+        // last task of a job is recorded at once.
+        val includePartial = now - lastPartialWrite > PARTIAL_WRITE_INTERVAL
+        val batches = dueJobs(includePartial).map { batch(leadership, it) }
         if (batches.isEmpty()) return
-        recording = true
-        if (parts) lastParts = now
+        writeInProgress = true
+        if (includePartial) lastPartialWrite = now
         ports.record(leadership, batches)
     }
 
-    fun onRecorded(finished: Map<JobId, List<Int>>) {
-        recording = false
-        for ((id, tasks) in finished) {
+    private fun dueJobs(includePartial: Boolean): List<JobState> {
+        val unrecorded = table.jobs.values.filter {
+            !it.isTerminal && it.completed.count > it.recorded.count && (includePartial || it.completed.all)
+        }
+        // The provider of a job packs many completions into one write, so its jobs are not limited in number, but are
+        // recorded only when complete.
+        val providerOwned =
+            if (includePartial) unrecorded.filter { it.providerOwned && it.completed.all } else emptyList()
+        return unrecorded.filter { !it.providerOwned }.take(MAX_BATCHES) + providerOwned
+    }
+
+    private fun batch(leadership: LeadershipState.Leader, job: JobState) = CompletionBatch(
+        job.id,
+        job.version,
+        job.completed,
+        job.completed.beyond(job.recorded),
+        if (job.completed.all) account(leadership, job) else null,
+        job.storedHold != null,
+        job.blockVersions,
+        job.providerOwned,
+    )
+
+    /** The write ended; [recorded] are the tasks that it recorded, by job. */
+    fun onRecorded(recorded: Map<JobId, List<Int>>) {
+        writeInProgress = false
+        for ((id, tasks) in recorded) {
             val job = table.jobs[id] ?: continue
             tasks.forEach { job.recorded.add(it) }
         }
@@ -67,6 +75,6 @@
 
     private companion object {
         const val MAX_BATCHES = 64
-        val PARTS_EVERY = 1.seconds
+        val PARTIAL_WRITE_INTERVAL = 1.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/tasks/JobUsage.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/JobUsage.kt
@@ -8,71 +8,98 @@
 import kotlin.time.DurationUnit
 
 /**
- * What this term has seen of a job's work. A run counts from when it was first seen running to when it was last: useful
- * if it completed, served or was saved, lost otherwise. An earlier term's part is not guessed: [JobAccount.lowerBound]
- * says so.
+ * Run time and attempts of a job, as seen in this term.
+ *
+ * An attempt counts from when it was first to when it was last seen running. Its time is useful if the task completed,
+ * belongs to a service, or was saved; otherwise it is wasted. What earlier terms saw is unknown and not estimated:
+ * [JobAccount.lowerBound] is set then.
  */
 internal class JobUsage {
+    /** Attempts that workers confirmed. */
     var attempts = 0L
         private set
+
+    /** Attempts that ended without completing and without being stopped. */
     var lost = 0L
         private set
     private var useful = Duration.ZERO
     private var wasted = Duration.ZERO
     private var firstStart = MonotonicInstant.FOREVER
 
-    /** Starts of each task that came to nothing by themselves; kept only where a rule asks for it. */
+    /** Failed attempts by task index; null: none were counted. Filled only for jobs with a rule about them. */
     private var failures: HashMap<Int, Int>? = null
 
+    /** A worker confirmed an attempt. */
     fun recordStart(now: MonotonicInstant) {
         attempts++
         if (now < firstStart) firstStart = now
     }
 
-    /** [alike]: when a task that it ran together with was first seen running, for one that was not seen at all. */
-    fun recordCompletion(placement: Placement, now: MonotonicInstant, alike: MonotonicInstant?) {
+    /**
+     * The task of [placement] completed. If it was never seen running, [peerRunningSince] tells when a task that ran
+     * together with it was; null: none was.
+     */
+    fun recordCompletion(placement: Placement, now: MonotonicInstant, peerRunningSince: MonotonicInstant?) {
         if (placement.state != PlacementState.CONFIRMED) recordStart(now)
         placement.accounted = true
-        useful += (placement.runningSince ?: alike)?.let { now - it } ?: Duration.ZERO
+        useful += (placement.runningSince ?: peerRunningSince)?.let { now - it } ?: Duration.ZERO
     }
 
-    /** The task is no longer on its machine, and [completed] was not called for it. */
-    fun recordLoss(job: JobState, placement: Placement, now: MonotonicInstant, counting: Boolean) {
+    /**
+     * The task of [placement] is gone from its worker. No effect on placements that are accounted for already.
+     * [countsFailures]: whether a failed attempt counts towards [failuresOf].
+     */
+    fun recordLoss(job: JobState, placement: Placement, now: MonotonicInstant, countsFailures: Boolean) {
         if (placement.accounted || placement.state != PlacementState.CONFIRMED) return
         placement.accounted = true
-        val ran = ran(placement, now)
-        val saved = placement.stopGrace.let { it != null && job.spec.takesCheckpoints && it >= job.spec.checkpointDuration }
+        val ran = runTime(placement, now)
+        val saved = placement.stopGrace.let {
+            it != null && job.spec.takesCheckpoints && it >= job.spec.checkpointDuration
+        }
         if (saved || job.spec.kind == JobKind.SERVICE) useful += ran else wasted += ran
         if (placement.stopGrace != null) return
         lost++
-        // A member of a gang that waited in vain for the others, or a fetch that was cut short, says nothing of the
-        // task.
-        if (counting &&
-            (placement.failed || placement.runningSince != null)
-        ) {
-            (failures ?: HashMap<Int, Int>().also { failures = it }).merge(placement.task.index, 1, Int::plus)
-        }
+        if (countsFailures && blamesTask(placement)) addFailure(placement.task.index)
+    }
+
+    /** A gang member that waited in vain for the others, or a fetch that was cut short, is no failure of the task. */
+    private fun blamesTask(placement: Placement): Boolean = placement.failed || placement.runningSince != null
+
+    private fun addFailure(index: Int) {
+        val counts = failures ?: HashMap<Int, Int>().also { failures = it }
+        counts.merge(index, 1, Int::plus)
     }
 
+    /** The number of failed attempts of the task with this index since the last [forgetFailures]. */
     fun failuresOf(index: Int): Int = failures?.get(index) ?: 0
 
     fun forgetFailures() {
         failures = null
     }
 
-    private fun ran(placement: Placement, now: MonotonicInstant): Duration =
+    private fun runTime(placement: Placement, now: MonotonicInstant): Duration =
         placement.runningSince?.let { now - it } ?: Duration.ZERO
 
-    fun account(job: JobState, now: MonotonicInstant, wallClock: WallTime, lowerBound: Boolean): JobAccount {
-        var serving = useful
-        var open = wasted
-        for (p in job.placements.values) {
-            if (p.accounted) continue
-            if (job.spec.kind == JobKind.SERVICE) serving += ran(p, now) else open += ran(p, now)
+    /** The account of [job] up to [now], which is [wallTime] by the calendar. Run times are in seconds. */
+    fun account(job: JobState, now: MonotonicInstant, wallTime: WallTime, lowerBound: Boolean): JobAccount {
+        var usefulSoFar = useful
+        var wastedSoFar = wasted
+        for (placement in job.placements.values) {
+            if (placement.accounted) continue
+            val ran = runTime(placement, now)
+            if (job.spec.kind == JobKind.SERVICE) usefulSoFar += ran else wastedSoFar += ran
         }
+        val start = if (firstStart == MonotonicInstant.FOREVER) null else wallTime - (now - firstStart)
         return JobAccount(
-            job.spec.team, job.spec.jobClass, attempts, lost, seconds(serving), seconds(open),
-            if (firstStart == MonotonicInstant.FOREVER) null else wallClock - (now - firstStart), wallClock, lowerBound,
+            job.spec.team,
+            job.spec.jobClass,
+            attempts,
+            lost,
+            seconds(usefulSoFar),
+            seconds(wastedSoFar),
+            start,
+            wallTime,
+            lowerBound,
         )
     }
 
--- a/src/main/kotlin/org/elderhitch/tasks/MachineRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/MachineRegistry.kt
@@ -6,67 +6,82 @@
 import org.elderhitch.jobs.MachineType
 import org.elderhitch.time.MonotonicInstant
 
-/** The machines of this term: those that are ours, those that may be given tasks, and those that are surely gone. */
+/**
+ * The fleet's machines as the leader knows them in its term.
+ *
+ * A machine is booting from its provisioning until it is cleared, and known until it is gone. A machine is cleared, that
+ * is, it may be given tasks, once the state service records that it is up. A machine is gone when the cloud confirms its
+ * end; it never returns under the same id.
+ */
 internal class MachineRegistry {
     private val machines = HashMap<MachineId, Machine>()
-    private val rentedAt = HashMap<MachineId, MonotonicInstant>()
-    private val mayRun = HashSet<MachineId>()
-    private val lost = HashSet<MachineId>()
+    private val provisionedAt = HashMap<MachineId, MonotonicInstant>()
+    private val clearedMachines = HashSet<MachineId>()
+    private val goneMachines = HashSet<MachineId>()
 
+    /** Machines that are provisioned and not gone. */
     val known: Map<MachineId, Machine> get() = machines
 
-    /** It is recorded that they are up. */
-    val cleared: Set<MachineId> get() = mayRun
-    val gone: Set<MachineId> get() = lost
+    /** Machines that may be given tasks. */
+    val cleared: Set<MachineId> get() = clearedMachines
 
+    /** Machines that were confirmed gone in this term. */
+    val gone: Set<MachineId> get() = goneMachines
+
+    /** Forgets all machines. */
     fun newTerm() {
         machines.clear()
-        rentedAt.clear()
-        mayRun.clear()
-        lost.clear()
+        provisionedAt.clear()
+        clearedMachines.clear()
+        goneMachines.clear()
     }
 
-    fun load(mayRun: Collection<Machine>, fresh: Collection<Machine>, now: MonotonicInstant) {
-        mayRun.forEach {
+    /** Takes over the machines that earlier terms recorded: [cleared] ones and those still [booting]. */
+    fun load(cleared: Collection<Machine>, booting: Collection<Machine>, now: MonotonicInstant) {
+        cleared.forEach {
             machines[it.id] = it
-            this.mayRun.add(it.id)
+            clearedMachines.add(it.id)
         }
-        fresh.forEach { provisioned(it, now) }
+        booting.forEach { provisioned(it, now) }
     }
 
+    /** The cloud has provisioned [machine]. */
     fun provisioned(machine: Machine, now: MonotonicInstant) {
         machines[machine.id] = machine
-        rentedAt[machine.id] = now
+        provisionedAt[machine.id] = now
     }
 
+    /** It is recorded that [machine] is up. */
     fun markCleared(machine: MachineId) {
-        mayRun.add(machine)
+        clearedMachines.add(machine)
     }
 
+    /** The cloud confirmed that [machine] has ended. */
     fun markGone(machine: MachineId) {
         machines.remove(machine)
-        rentedAt.remove(machine)
-        mayRun.remove(machine)
-        lost.add(machine)
+        provisionedAt.remove(machine)
+        clearedMachines.remove(machine)
+        goneMachines.add(machine)
     }
 
-    /** More machines are on their way up than are there. Those that are late may never come: nothing waits for them. */
+    /** Whether more machines are booting than are cleared. */
     fun mostlyBooting(catalog: Catalog, now: MonotonicInstant): Boolean =
-        mayRun.size < machines.values.count { boots(it, catalog, now) }
+        clearedMachines.size < machines.values.count { isBooting(it, catalog, now) }
 
-    /** Machines on their way up, by type. */
+    /** The number of booting machines by type. */
     fun booting(catalog: Catalog, now: MonotonicInstant): Map<MachineType, Int> =
-        machines.values.filter { boots(it, catalog, now) }.groupingBy { it.type }.eachCount()
+        machines.values.filter { isBooting(it, catalog, now) }.groupingBy { it.type }.eachCount()
 
-    private fun boots(machine: Machine, catalog: Catalog, now: MonotonicInstant): Boolean {
-        val since = rentedAt[machine.id]
-        return machine.id !in mayRun &&
+    /** A machine that is overdue doesn't count as booting: it may never come up, so nothing should wait for it. */
+    private fun isBooting(machine: Machine, catalog: Catalog, now: MonotonicInstant): Boolean {
+        val since = provisionedAt[machine.id]
+        return machine.id !in clearedMachines &&
             since != null &&
-            catalog.types[machine.type].let { it != null && now - since < it.bootTime * LATE_BOOT }
+            catalog.types[machine.type].let { it != null && now - since < it.bootTime * MAX_BOOT_FACTOR }
     }
 
     private companion object {
-        /** "Usually 0.6 to 1.5 times" (PROTOCOL, "Controller nodes -> cloud"). */
-        const val LATE_BOOT = 1.5
+        /** The longest usual boot, as a multiple of the type's boot time (wire protocol, "Controller nodes -> cloud"). */
+        const val MAX_BOOT_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/org/elderhitch/tasks/Placement.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/Placement.kt
@@ -7,53 +7,92 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
-/** How sure it is that a task is on its machine. */
+/** How certain the leader is that a placed task is on its worker. */
 internal enum class PlacementState {
-    /** Decided, not sent: can be taken back. */
+    /** Decided by a scheduling cycle, not sent: it can be cancelled. */
     ASSIGNED,
 
-    /** Sent: it may be there until a newer report settles it. */
+    /** Sent to the worker: the task may be there until a newer heartbeat tells. */
     SENT,
 
-    /** Reported by the worker. */
+    /** Listed by the worker. */
     CONFIRMED,
 }
 
+/**
+ * A task on a worker, as the leader's table has it.
+ *
+ * The life of a placement:
+ * ```
+ *   scheduling cycle ──> ASSIGNED ──sent──> SENT ──listed by the worker──> CONFIRMED ──> removed
+ *                           │                 │
+ *                           │                 └── missing from a later heartbeat ──> removed
+ *                           └── cancelled, or not sent by [sendBy] ──> removed
+ *   listed by the worker, not in the table ──> CONFIRMED
+ * ```
+ * A stop does not change the state: [stopGrace] is set, and the placement occupies capacity and quota until the worker
+ * no longer lists the task, or is known to have lost it. Only [TaskTable] adds and removes placements.
+ */
 internal class Placement(
     val task: TaskId,
     val attempt: Attempt,
     val worker: WorkerState,
-    var state: PlacementState,
-    /** A start that was not sent by then is not sent at all. */
+    state: PlacementState,
+    /** The latest time at which the start may be sent for the first time. */
     val sendBy: MonotonicInstant,
-    /** Members of a gang that have their image start later, so that they don't wait in vain for those that fetch it. */
+    /**
+     * The earliest time at which the start may be sent. Gang members whose worker has the image are sent later, so that
+     * they don't exhaust their waiting time while the others fetch it.
+     */
     val sendFrom: MonotonicInstant,
 ) {
+    var state: PlacementState = state
+        private set
+
+    /** The phase that the worker last reported. */
     var phase: TaskPhase = TaskPhase.FETCHING
 
-    /** Told to stop, with this grace; a withdrawal may still cut a saving short. */
+    /** The grace of the stop that was decided; null: the task is not being stopped. It may only become shorter. */
     var stopGrace: Duration? = null
 
-    /** The start was sent to the worker's own address and is not answered yet: it may be executed at any time. */
+    /** Whether a start sent to the worker's own address is unanswered: the worker may execute it at any time. */
     var directStartPending: Boolean = false
 
-    /** The start was sent in an answer to a report too. */
+    /** Whether the start was sent in a heartbeat response. */
     var sentInResponse: Boolean = false
+        private set
 
-    /** The stop has been sent at least once. */
+    /** Whether the stop has been sent at least once. */
     var stopSent: Boolean = false
 
-    /** When it was first seen fetching its image; null: it has not been. */
+    /** When the task was first seen fetching its image; null: it never was. */
     var fetchingSince: MonotonicInstant? = null
 
-    /** The task exited with an error. */
+    /** Whether the task exited with an error. */
     var failed: Boolean = false
 
-    /** Its run stands in the job's account. */
+    /** Whether the attempt is part of the job's [JobUsage] already. */
     var accounted: Boolean = false
 
-    /** When it was first seen running; null: it has not been. */
+    /** When the task was first seen running; null: it never was. */
     var runningSince: MonotonicInstant? = null
 
     val zone: Zone get() = worker.zone
+
+    /** The start goes out in a heartbeat response, for the first time or again. */
+    fun markSentInResponse() {
+        state = PlacementState.SENT
+        sentInResponse = true
+    }
+
+    /** The start goes out to the worker's own address. */
+    fun markSentDirectly() {
+        state = PlacementState.SENT
+        directStartPending = true
+    }
+
+    /** The worker lists the task. */
+    fun confirm() {
+        state = PlacementState.CONFIRMED
+    }
 }
--- a/src/main/kotlin/org/elderhitch/tasks/TaskTable.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/TaskTable.kt
@@ -10,42 +10,49 @@
 import org.elderhitch.time.SteadyClock
 import kotlin.time.Duration
 
-/** The leader's table: the open jobs, the workers that report, and which task is where. */
+/**
+ * The leader's table of jobs, workers and placements.
+ *
+ * It holds the open jobs, the jobs whose tasks are not all gone yet, and the workers that sent a heartbeat in this
+ * term. In a follower it holds the jobs alone.
+ */
 internal class TaskTable(
     private val clock: SteadyClock,
-    /**
-     * For how long what a job's tasks took is remembered after its end. One of them that is found later counts as a
-     * whole machine.
-     */
-    private val departedKept: Duration,
-    private val keeps: (JobId) -> JobEvent.Opened? = { null },
+    /** For how long [recentlyEnded] knows a job after its end: as long as any of its tasks may still be found. */
+    private val endedJobRetention: Duration,
+    /** Looks up an open job of a [org.elderhitch.jobs.JobProvider] that is not in the table yet. */
+    private val findProviderJob: (JobId) -> JobEvent.Opened? = { null },
 ) {
-    /** Told when a task that was seen on a machine is gone from it without having completed. */
+    /** Called when a task is gone from its worker without having been accounted for as completed. */
     var onTaskLost: (JobState, Placement) -> Unit = { _, _ -> }
 
-    /** Told when a task that this term started has completed. */
+    /** Called when a task that this term started has completed. */
     var onTaskCompleted: (JobState, Placement) -> Unit = { _, _ -> }
 
-    /** Nothing that had happened to any job then is missing here. */
+    /** Every change to jobs that was recorded before this time is contained in the table. */
     var freshAsOf = MonotonicInstant.NEVER
 
+    /** Open jobs, and jobs with a terminal state that still have placements, in the order of their opening. */
     val jobs = LinkedHashMap<JobId, JobState>()
+
+    /** Workers that sent a heartbeat in this term. */
     val workers = HashMap<MachineId, WorkerState>()
 
     /**
-     * What the tasks of jobs took that ended lately, and when: in every role, since a new leader may find some that
-     * nobody has told to
-     * stop. Without it they counted for nothing, and their team used more than its limit.
+     * Jobs that left the table lately, oldest first. Followers keep this too: a new leader may find tasks of such jobs
+     * that were never stopped, and has to count them towards their team's quota.
      */
-    private val departed = LinkedHashMap<JobId, Pair<JobSpec, MonotonicInstant>>()
+    private val endedJobs = LinkedHashMap<JobId, EndedJob>()
+
+    private class EndedJob(val spec: JobSpec, val endedAt: MonotonicInstant)
 
     /** Workers with a start or a stop that they have not been sent. */
     val undelivered = LinkedHashSet<WorkerState>()
 
-    /** Something changed that a scheduling cycle could make use of. */
+    /** Whether something changed that the next scheduling cycle could make use of. */
     var dirty = true
 
-    /** A new term starts from nothing but the jobs: what runs where is for the workers to say. */
+    /** Forgets workers and placements: heartbeats tell a new leader what runs where. Jobs stay. */
     fun newTerm() {
         workers.clear()
         undelivered.clear()
@@ -56,15 +63,16 @@
             job.completed.addAll(job.recorded)
             job.gang.reset()
         }
-        jobs.values.filter { it.isTerminal }.forEach(::depart)
+        jobs.values.filter { it.isTerminal }.forEach(::retire)
         dirty = true
     }
 
+    /** Adds an open job, or returns it if it is in the table already. */
     fun open(event: JobEvent.Opened): JobState = jobs.getOrPut(event.spec.id) {
         JobState(event.spec, event.version, clock.now(), event.kept)
     }
 
-    /** Tasks of a job that are recorded as finished. */
+    /** Completed tasks of a job were recorded. */
     fun recordCompletions(event: JobEvent.TasksCompleted) {
         val job = jobs[event.id] ?: return
         job.blockVersions += event.block to event.version
@@ -72,9 +80,10 @@
         job.completed.addAll(event.tasks)
     }
 
-    /** An open job that a worker names, perhaps one that was not opened here yet; null: it has ended. */
-    fun findOrOpen(id: JobId): JobState? = jobs[id] ?: keeps(id)?.let(::open)
+    /** The job that a worker's task belongs to, opened here first if a provider owns it; null: it is not open. */
+    fun findOrOpen(id: JobId): JobState? = jobs[id] ?: findProviderJob(id)?.let(::open)
 
+    /** Makes a new placement the one that counts for [task]. */
     fun place(
         job: JobState,
         task: TaskId,
@@ -86,26 +95,27 @@
     ): Placement {
         val placement = Placement(task, attempt, worker, state, sendBy, sendFrom)
         job.placements[task.index] = placement
-        put(job, placement)
+        addToWorker(job, placement)
         if (state == PlacementState.ASSIGNED) undelivered.add(worker)
         return placement
     }
 
-    private fun put(job: JobState, placement: Placement) {
+    private fun addToWorker(job: JobState, placement: Placement) {
         placement.worker.placements[placement.task] = placement
         placement.worker.changed()
         if (placement.state == PlacementState.CONFIRMED) job.usage.recordStart(clock.now())
     }
 
-    /** A copy that a worker reports beside the one that counts: it is stopped, and uses room until it is gone. */
+    /** Adds a copy that a worker reports although another one counts, and stops it. */
     fun placeSurplus(job: JobState, task: TaskId, attempt: Attempt, worker: WorkerState): Placement {
-        val placement =
-            Placement(task, attempt, worker, PlacementState.CONFIRMED, MonotonicInstant.NEVER, MonotonicInstant.NEVER)
-        put(job, placement)
+        val state = PlacementState.CONFIRMED
+        val placement = Placement(task, attempt, worker, state, MonotonicInstant.NEVER, MonotonicInstant.NEVER)
+        addToWorker(job, placement)
         demote(job, placement)
         return placement
     }
 
+    /** Stops a placement, or removes it at once if it was not sent. A longer [grace] than the current one is ignored. */
     fun stop(job: JobState, placement: Placement, grace: Duration) {
         if (placement.state == PlacementState.ASSIGNED) {
             remove(job, placement)
@@ -116,28 +126,28 @@
         }
     }
 
+    /** The task is no longer on the worker. If other copies are left, one of them counts for the task from now on. */
     fun remove(job: JobState, placement: Placement) {
         val counts = job.placements[placement.task.index] === placement
-        if (counts) promote(job, placement.task.index) else forgetSurplus(job, placement)
+        if (counts) promote(job, placement.task.index) else removeSurplus(job, placement)
         if (!placement.accounted) onTaskLost(job, placement)
         placement.worker.placements.remove(placement.task)
         placement.worker.changed()
         if (placement.worker.placements.isEmpty()) placement.worker.idleSince = clock.now()
         if (job.isGang && counts) job.gang.memberLost(membersLeft = job.placements.isNotEmpty())
-        if (job.isTerminal && job.placements.isEmpty()) depart(job)
+        if (job.isTerminal && job.placements.isEmpty()) retire(job)
         dirty = true
     }
 
-    /** One of two copies of a task goes on as the other's surplus, and is stopped. */
+    /** Makes a placement a surplus copy and stops it, unless it is being stopped already and may be saving. */
     fun demote(job: JobState, placement: Placement) {
         job.placements.remove(placement.task.index, placement)
         val surplus = job.surplus ?: HashMap<Int, MutableList<Placement>>().also { job.surplus = it }
         surplus.getOrPut(placement.task.index) { ArrayList() }.add(placement)
-        // One that is saving already is let finish that.
         if (placement.stopGrace == null) stop(job, placement, Duration.ZERO)
     }
 
-    /** The copy that counted is gone: until the others are too, the first of them stands for the task. */
+    /** The placement of a task is gone: the first surplus copy, if any, takes its place until it is gone too. */
     private fun promote(job: JobState, index: Int) {
         job.placements.remove(index)
         val copies = job.surplus?.get(index) ?: return
@@ -145,7 +155,7 @@
         if (copies.isEmpty()) dropSurplus(job, index)
     }
 
-    private fun forgetSurplus(job: JobState, placement: Placement) {
+    private fun removeSurplus(job: JobState, placement: Placement) {
         val copies = job.surplus?.get(placement.task.index) ?: return
         copies.remove(placement)
         if (copies.isEmpty()) dropSurplus(job, placement.task.index)
@@ -157,52 +167,56 @@
         if (surplus.isEmpty()) job.surplus = null
     }
 
-    private fun depart(job: JobState) {
+    /** Moves a terminal job without placements from the table to [endedJobs]. */
+    private fun retire(job: JobState) {
         jobs.remove(job.id)
         val now = clock.now()
-        departed[job.id] = job.spec to now
-        val ended = departed.values.iterator()
-        while (ended.hasNext() && now - ended.next().second > departedKept) ended.remove()
+        endedJobs[job.id] = EndedJob(job.spec, now)
+        val oldestFirst = endedJobs.values.iterator()
+        while (oldestFirst.hasNext() && now - oldestFirst.next().endedAt > endedJobRetention) oldestFirst.remove()
     }
 
-    /** Where each task is by this table, surplus copies not counted. */
-    fun locations(): Map<TaskId, MachineId> =
-        jobs.values.flatMap { it.placements.values }.filter { it.state != PlacementState.ASSIGNED }.associate {
-            it.task to
-                it.worker.id
-        }
+    /** The machine of each task that was sent, surplus copies left out. */
+    fun locations(): Map<TaskId, MachineId> = jobs.values
+        .flatMap { it.placements.values }
+        .filter { it.state != PlacementState.ASSIGNED }
+        .associate { it.task to it.worker.id }
 
-    /** What a task takes of a job that ended lately; null: it is not known. */
-    fun recentlyEnded(id: JobId): JobSpec? = departed[id]?.first
+    /** The specification of a job that left the table lately; null: there is no such job. */
+    fun recentlyEnded(id: JobId): JobSpec? = endedJobs[id]?.spec
 
     /**
-     * Whether the ending of a job that a worker names has been read here; null: it is not open here, and may have been
-     * recorded after what is known.
+     * Whether a job that a worker reports has a terminal state. Null: unknown, since the job is not in the table, and
+     * the table is not [complete] and may lack a job that was recorded lately.
      */
     fun isTerminal(id: JobId, complete: Boolean): Boolean? =
-        findOrOpen(id)?.isTerminal ?: if (complete || id in departed) true else null
+        findOrOpen(id)?.isTerminal ?: if (complete || id in endedJobs) true else null
 
+    /** The job's terminal state is recorded: all its tasks are stopped. */
     fun markTerminal(job: JobState) {
         if (!job.isTerminal) job.knownOpenAt = freshAsOf
         job.isTerminal = true
-        for (p in job.allPlacements().toList()) stop(job, p, Duration.ZERO)
-        if (job.placements.isEmpty()) depart(job)
+        for (placement in job.allPlacements().toList()) stop(job, placement, Duration.ZERO)
+        if (job.placements.isEmpty()) retire(job)
     }
 
+    /** Removes all placements of a worker that is gone. */
     fun removeAllOf(worker: WorkerState) {
-        for (p in worker.placements.values.toList()) lose(worker, p)
+        for (placement in worker.placements.values.toList()) removeFrom(worker, placement)
         worker.changed()
         worker.tasks = emptyList()
     }
 
-    /** Its session is over, and with it all that it was sent; what was only decided may go to the next one. */
+    /** Removes what was sent to a worker whose agent epoch is over. Unsent starts may go to its next epoch. */
     fun removeSentTo(worker: WorkerState) {
-        for (p in worker.placements.values.toList()) if (p.state != PlacementState.ASSIGNED) lose(worker, p)
+        for (placement in worker.placements.values.toList()) {
+            if (placement.state != PlacementState.ASSIGNED) removeFrom(worker, placement)
+        }
         worker.changed()
         worker.tasks = emptyList()
     }
 
-    private fun lose(worker: WorkerState, placement: Placement) {
+    private fun removeFrom(worker: WorkerState, placement: Placement) {
         worker.placements.remove(placement.task)
         jobs[placement.task.job]?.let { remove(it, placement) }
     }
--- a/src/test/kotlin/org/elderhitch/heartbeat/CommandPlannerTest.kt
+++ b/src/test/kotlin/org/elderhitch/heartbeat/CommandPlannerTest.kt
@@ -88,7 +88,7 @@
                     p.state == PlacementState.SENT,
                     "${p.task} counts as sent and is not in the answer",
                 )
-                if (p.state == PlacementState.SENT) p.state = PlacementState.CONFIRMED
+                if (p.state == PlacementState.SENT) p.confirm()
                 if (p.stopGrace != null) table.remove(ended, p)
             }
         }
--- a/src/test/kotlin/org/elderhitch/tasks/MachineRegistryTest.kt
+++ b/src/test/kotlin/org/elderhitch/tasks/MachineRegistryTest.kt
@@ -39,7 +39,7 @@
 
     @Test
     fun `what came up in an earlier term doesn't boot, and what is gone stays gone until the next`() {
-        machineRegistry.load(mayRun = List(2) { machine(it) }, fresh = List(3) { machine(10 + it) }, start)
+        machineRegistry.load(cleared = List(2) { machine(it) }, booting = List(3) { machine(10 + it) }, start)
         assertEquals(5, machineRegistry.known.size)
         assertEquals(setOf(MachineId("m0"), MachineId("m1")), machineRegistry.cleared)
         assertTrue(machineRegistry.mostlyBooting(catalog, start + 1.seconds))
