--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
@@ -118,7 +118,7 @@
 
     fun isPartitioned(zone: Zone): Boolean = zone in partitionedZones
 
-    fun heard(worker: WorkerState) {
+    fun recordMessage(worker: WorkerState) {
         quietTicks[worker.zone] = 0
         lastWord[worker.zone] = worker.lastSeenAt
     }
@@ -314,7 +314,7 @@
     }
 
     /** It was silent, its release did not go through, and it is back. */
-    fun back(worker: WorkerState, now: MonotonicInstant) {
+    fun resetUnansweredTermination(worker: WorkerState, now: MonotonicInstant) {
         if (now - worker.releaseRequestedAt > RELEASE_AGAIN * 2) worker.releaseRequestedAt = MonotonicInstant.NEVER
     }
 
--- a/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
@@ -61,14 +61,14 @@
     /** It was asked at its own address since its last word, and said nothing. */
     fun wasAskedInVain(machine: MachineId): Boolean = machine in askedInVain
 
-    fun heard(machine: MachineId) {
+    fun recordMessage(machine: MachineId) {
         unreachable.remove(machine)
         askedInVain.remove(machine)
     }
 
-    fun took(machine: MachineId, connection: Boolean, now: MonotonicInstant) {
+    fun recordOutcome(machine: MachineId, connected: Boolean, now: MonotonicInstant) {
         askedInVain.add(machine)
-        if (connection) unreachable.remove(machine) else unreachable.putIfAbsent(machine, now)
+        if (connected) unreachable.remove(machine) else unreachable.putIfAbsent(machine, now)
     }
 
     /** In a zone that seems to be cut off only a few are asked: one answer tells that it isn't. */
--- a/src/main/kotlin/org/elderhitch/heartbeat/CommandPlanner.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/CommandPlanner.kt
@@ -1,5 +1,7 @@
 package org.elderhitch.heartbeat
 
+import org.elderhitch.recovery.ActionKind
+import org.elderhitch.recovery.ActionLedger
 import org.elderhitch.tasks.Placement
 import org.elderhitch.tasks.PlacementState
 import org.elderhitch.tasks.TaskTable
@@ -7,126 +9,161 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
-/** What a worker is to do, from what it reports and what was decided since. */
-internal class CommandPlanner(private val table: TaskTable) {
+/** Plans the commands for a worker, from what it reports and what was decided since, and records them as issued. */
+internal class CommandPlanner(private val table: TaskTable, private val ledger: ActionLedger) {
     /**
-     * For the answer to a report: stops, then starts, then what may be forgotten. What an answer can't hold stays as it
-     * is
-     * for the next one: a start that counted as sent and was cut off at the end would be waited for in vain. [endings]:
-     * stops that come before all else, by [endings].
+     * The commands for the answer to a heartbeat: stops, then starts, then reaps. What an answer can't hold waits for
+     * the next one: a start that counted as sent but was cut off would be waited for in vain.
+     *
+     * @param terminalStops come before all others, as [stopsOfTerminalJobs] lists them.
      */
-    fun of(worker: WorkerState, now: MonotonicInstant, endings: List<Command>): List<Command> {
+    fun planResponse(worker: WorkerState, now: MonotonicInstant, terminalStops: List<Command>): List<Command> {
         table.undelivered.remove(worker)
-        val list = ArrayList(endings)
+        val commands = ArrayList(terminalStops)
         val placements = worker.placements.values.toList()
-        placements.forEach { p -> p.stopGrace?.let { stop(p, it, list) } }
-        for (p in placements) {
-            if (p.stopGrace != null ||
-                p.state == PlacementState.CONFIRMED ||
-                p.state == PlacementState.ASSIGNED &&
-                now < p.sendFrom
-            ) {
-                continue
-            }
-            if (p.state == PlacementState.ASSIGNED && now > p.sendBy) {
-                table.jobs[p.task.job]?.let { table.remove(it, p) }
-            } else if (list.size < MAX_COMMANDS) {
-                p.markSentInResponse()
-                list.add(Command.Start(p.task, p.attempt))
-            } else {
-                table.undelivered.add(worker)
-            }
-        }
-        for (task in worker.tasks) {
-            if (list.size >= MAX_COMMANDS) break
-            if (task.phase == TaskPhase.EXITED &&
-                mayForget(worker, task)
-            ) {
-                list.add(Command.Reap(task.task, task.attempt))
-            }
-        }
-        return if (list.size > MAX_COMMANDS) list.subList(0, MAX_COMMANDS) else list
+        for (placement in placements) placement.stopGrace?.let { grace -> addStop(placement, grace, commands) }
+        for (placement in placements) if (isStartDue(placement, now)) addStart(placement, now, commands)
+        addReaps(worker, commands)
+        val issued = if (commands.size > MAX_COMMANDS) commands.subList(0, MAX_COMMANDS) else commands
+        recordIssued(worker, issued, now)
+        return issued
     }
 
     /**
-     * The stops of all tasks on the worker, those that it [named] and those of the table, whose job's ending has been
-     * read: they go with every answer, since an ending is
-     * permanent and a worker that is answered without them keeps such tasks. Null: they can't all be told, so nothing
-     * may renew its lease. That is so if it names a
-     * job which may have ended before what is known here, and if a start of an ended job is on its way to it, which
-     * only a leader inside its window may cut short. More than an
-     * answer holds are told in several, one at each report; outside the window there may be no next one, so all or
-     * none.
+     * The stops of all tasks on the worker whose job is known to be terminal: of those that it [reported], and of those
+     * that the table places there. They go with every answer: a terminal state is permanent, and a worker that is
+     * answered without them keeps such tasks.
+     *
+     * @param tableComplete whether all open jobs are known here.
+     * @param mayStart whether this leader may start tasks. If so, more stops than an answer holds are sent in several
+     *   answers; otherwise there may be no next answer, so they are sent all or not at all.
      */
-    fun endings(worker: WorkerState, named: List<TaskStatus>, complete: Boolean, mayStart: Boolean): List<Command>? {
+    fun stopsOfTerminalJobs(
+        worker: WorkerState,
+        reported: List<TaskStatus>,
+        tableComplete: Boolean,
+        mayStart: Boolean,
+    ): TerminalStops {
         val stops = LinkedHashSet<Command>()
-        for (task in named) {
-            if (task.phase != TaskPhase.EXITED &&
-                table.isTerminal(task.task.job, complete) ?: return null
-            ) {
-                stops.add(Command.Stop(task.task, task.attempt, Duration.ZERO))
+        for (task in reported) {
+            if (task.phase == TaskPhase.EXITED) continue
+            // The job may have become terminal later than what is known here.
+            val terminal = table.isTerminal(task.task.job, tableComplete) ?: return TerminalStops.Undeliverable
+            if (terminal) stops.add(Command.Stop(task.task, task.attempt, Duration.ZERO))
+        }
+        for (placement in worker.placements.values) {
+            if (!isOfTerminalJob(placement) || placement.state == PlacementState.ASSIGNED) continue
+            if (placement.state == PlacementState.CONFIRMED) {
+                stops.add(Command.Stop(placement.task, placement.attempt, Duration.ZERO))
+            } else if (placement.directStartPending && !mayStart) {
+                // The start may still be executed, and only a leader that may start tasks can cut it short.
+                return TerminalStops.Undeliverable
             }
         }
-        for (p in worker.placements.values) {
-            if (table.jobs[p.task.job]?.isTerminal == false || p.state == PlacementState.ASSIGNED) continue
-            if (p.state ==
-                PlacementState.CONFIRMED
-            ) {
-                stops.add(Command.Stop(p.task, p.attempt, Duration.ZERO))
-            } else if (p.directStartPending &&
-                !mayStart
-            ) {
-                return null
+        val deliverable = mayStart || stops.size <= MAX_COMMANDS
+        return if (deliverable) TerminalStops.Deliverable(stops.toList()) else TerminalStops.Undeliverable
+    }
+
+    /** The commands for the worker's own address: what was decided since its last heartbeat and was never sent. */
+    fun planDirectCommands(worker: WorkerState, now: MonotonicInstant): List<Command> {
+        val commands = ArrayList<Command>()
+        for (placement in worker.placements.values) {
+            if (commands.size == MAX_COMMANDS) break
+            val grace = placement.stopGrace
+            if (grace != null) {
+                addDirectStop(placement, grace, commands)
+            } else {
+                addDirectStart(placement, now, commands)
             }
         }
-        return stops.toList().takeIf { mayStart || it.size <= MAX_COMMANDS }
+        recordIssued(worker, commands, now)
+        return commands
+    }
+
+    private fun isOfTerminalJob(placement: Placement): Boolean =
+        table.jobs[placement.task.job]?.isTerminal != false
+
+    private fun addStop(placement: Placement, grace: Duration, commands: MutableList<Command>) {
+        // A direct start can't be taken back; once the worker has the task, a late copy of the start does nothing.
+        if (placement.directStartPending && placement.state == PlacementState.SENT) {
+            placement.markSentInResponse()
+            commands.add(Command.Start(placement.task, placement.attempt))
+        }
+        val savingWithGrace = placement.phase == TaskPhase.SAVING && grace != Duration.ZERO
+        val confirmedAndStoppable = placement.state == PlacementState.CONFIRMED && !savingWithGrace
+        if (confirmedAndStoppable || placement.directStartPending) {
+            placement.stopSent = true
+            val stop = Command.Stop(placement.task, placement.attempt, grace)
+            if (stop !in commands) commands.add(stop)
+        }
     }
 
-    private fun stop(p: Placement, grace: Duration, list: MutableList<Command>) {
-        // A start on its way can't be taken back; once the worker has it, a late copy does nothing.
-        if (p.directStartPending && p.state == PlacementState.SENT) {
-            p.markSentInResponse()
-            list.add(Command.Start(p.task, p.attempt))
+    private fun isStartDue(placement: Placement, now: MonotonicInstant): Boolean = placement.stopGrace == null &&
+        when (placement.state) {
+            PlacementState.ASSIGNED -> now >= placement.sendFrom
+            PlacementState.SENT -> true
+            PlacementState.CONFIRMED -> false
         }
-        if (p.state == PlacementState.CONFIRMED &&
-            (p.phase != TaskPhase.SAVING || grace == Duration.ZERO) ||
-            p.directStartPending
-        ) {
-            p.stopSent = true
-            val stop = Command.Stop(p.task, p.attempt, grace)
-            if (stop !in list) list.add(stop)
+
+    private fun addStart(placement: Placement, now: MonotonicInstant, commands: MutableList<Command>) {
+        if (placement.state == PlacementState.ASSIGNED && now > placement.sendBy) {
+            table.jobs[placement.task.job]?.let { job -> table.remove(job, placement) }
+        } else if (commands.size < MAX_COMMANDS) {
+            placement.markSentInResponse()
+            commands.add(Command.Start(placement.task, placement.attempt))
+        } else {
+            table.undelivered.add(placement.worker)
         }
     }
 
-    private fun mayForget(worker: WorkerState, task: TaskStatus): Boolean {
+    private fun addReaps(worker: WorkerState, commands: MutableList<Command>) {
+        for (task in worker.tasks) {
+            if (commands.size >= MAX_COMMANDS) break
+            if (isReapable(worker, task)) commands.add(Command.Reap(task.task, task.attempt))
+        }
+    }
+
+    private fun isReapable(worker: WorkerState, task: TaskStatus): Boolean {
+        if (task.phase != TaskPhase.EXITED) return false
         val job = table.jobs[task.task.job]
-        // The result is kept by the worker until it is recorded.
-        val unrecorded = job != null && !job.isTerminal && task.cause == ExitCause.DONE && task.task.index !in job.recorded
-        // A start that may yet be executed would begin anew what is forgotten.
+        // The worker keeps the result until it is recorded.
+        val unrecorded = job != null &&
+            !job.isTerminal &&
+            task.cause == ExitCause.DONE &&
+            task.task.index !in job.recorded
+        // A start that may yet be executed would run a reaped task again.
         return !unrecorded && (task.task to task.attempt) !in worker.unacknowledgedStarts
     }
 
-    /** For the worker's own address: what was decided since its last report, and nothing that has been sent before. */
-    fun urgent(worker: WorkerState, now: MonotonicInstant): List<Command> {
-        val list = ArrayList<Command>()
-        for (p in worker.placements.values) {
-            if (list.size == MAX_COMMANDS) break
-            val stop = p.stopGrace
-            if (stop != null) {
-                if (p.state != PlacementState.CONFIRMED || p.stopSent) continue
-                p.stopSent = true
-                list.add(Command.Stop(p.task, p.attempt, stop))
-            } else if (p.state == PlacementState.ASSIGNED && now >= p.sendFrom && now <= p.sendBy) {
-                p.markSentDirectly()
-                worker.unacknowledgedStarts.add(p.task to p.attempt)
-                list.add(Command.Start(p.task, p.attempt))
+    private fun addDirectStop(placement: Placement, grace: Duration, commands: MutableList<Command>) {
+        if (placement.state != PlacementState.CONFIRMED || placement.stopSent) return
+        placement.stopSent = true
+        commands.add(Command.Stop(placement.task, placement.attempt, grace))
+    }
+
+    private fun addDirectStart(placement: Placement, now: MonotonicInstant, commands: MutableList<Command>) {
+        if (placement.state != PlacementState.ASSIGNED || now < placement.sendFrom || now > placement.sendBy) return
+        placement.markSentDirectly()
+        placement.worker.unacknowledgedStarts.add(placement.task to placement.attempt)
+        commands.add(Command.Start(placement.task, placement.attempt))
+    }
+
+    private fun recordIssued(worker: WorkerState, commands: List<Command>, now: MonotonicInstant) {
+        for (command in commands) {
+            when (command) {
+                is Command.Start -> ledger.recordStart(command.task, now)
+                is Command.Stop -> ledger.recordStop(command.task, isStopRequested(worker, command), now)
+                is Command.Reap -> ledger.record(ActionKind.REAP, 1, now)
             }
         }
-        return list
     }
 
+    /** Whether the machine is being reclaimed or the job is terminal, so that the stop was not this leader's choice. */
+    private fun isStopRequested(worker: WorkerState, stop: Command.Stop): Boolean =
+        worker.preemptionNotice != null || table.jobs[stop.task.job]?.isTerminal != false
+
     private companion object {
-        /** An answer's line and a request's body may be 64 KiB long; a command takes some 100 bytes. */
+        /** The line of an answer and the body of a request may be 64 KiB long; a command takes some 100 bytes. */
         const val MAX_COMMANDS = 400
     }
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatCodec.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatCodec.kt
@@ -13,15 +13,47 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
+/**
+ * Reads heartbeats and writes commands in the words of the wire (PROTOCOL, "Workers ->
+ * controller nodes" and "Controller nodes -> workers").
+ */
 public object HeartbeatCodec {
-    private val phases = mapOf(
+    /** The fields of the wire; some stand in heartbeats and in commands alike. */
+    private object Field {
+        const val MACHINE = "stall"
+        const val ADDRESS = "addr"
+        const val MACHINE_TYPE = "rig"
+        const val ZONE = "hall"
+        const val SPOT = "borrowedRigs"
+        const val AGENT_EPOCH = "shift"
+        const val SEQUENCE_NUMBER = "tallyNo"
+        const val TERM = "gavel"
+        const val PREEMPTION_NOTICE_SECONDS = "recallS"
+        const val TASKS = "crates"
+        const val TASK = "crate"
+        const val ATTEMPT = "cast"
+        const val PHASE = "standing"
+        const val EXIT_CAUSE = "cause"
+        const val COMMANDS = "calls"
+        const val COMMAND = "call"
+        const val GRACE_SECONDS = "windDownS"
+    }
+
+    private object CommandWord {
+        const val START = "start"
+        const val STOP = "kill"
+        const val REAP = "reap"
+    }
+
+    private val phaseOfWord = mapOf(
         "fetching" to TaskPhase.FETCHING,
         "waiting" to TaskPhase.WAITING,
         "running" to TaskPhase.RUNNING,
         "saving" to TaskPhase.SAVING,
         "ended" to TaskPhase.EXITED,
     )
-    private val causes = mapOf(
+
+    private val causeOfWord = mapOf(
         "done" to ExitCause.DONE,
         "stopped" to ExitCause.STOPPED,
         "peers" to ExitCause.PEERS,
@@ -32,53 +64,74 @@
         "unknown" to ExitCause.UNKNOWN,
     )
 
+    /**
+     * Reads the body of a heartbeat, or of a worker's answer to commands or a probe.
+     *
+     * @throws MalformedJson naming the first field that is missing or wrong.
+     */
     public fun decode(bytes: ByteArray): Heartbeat {
         val body = Json.parseObject(bytes)
         return Heartbeat(
-            machine = MachineId(body.string("stall").also { if (it.isEmpty()) throw MalformedJson("stall: empty") }),
-            address = Address.parse(body.string("addr")) ?: throw MalformedJson("addr: no address"),
-            type = MachineType(body.string("rig")),
-            zone = Zone(body.string("hall")),
-            spot = body.boolean("borrowedRigs"),
-            sequence = HeartbeatSequence(body.count("shift"), body.count("tallyNo")),
-            term = Term(body.count("gavel")),
-            notice = body.amountOrNull("recallS")?.seconds,
-            tasks = body.objects("crates").map(::task),
+            machine = decodeMachine(body),
+            address = Address.parse(body.string(Field.ADDRESS)) ?: malformed(Field.ADDRESS, "no address"),
+            type = MachineType(body.string(Field.MACHINE_TYPE)),
+            zone = Zone(body.string(Field.ZONE)),
+            spot = body.boolean(Field.SPOT),
+            sequence = HeartbeatSequence(body.count(Field.AGENT_EPOCH), body.count(Field.SEQUENCE_NUMBER)),
+            term = Term(body.count(Field.TERM)),
+            notice = body.amountOrNull(Field.PREEMPTION_NOTICE_SECONDS)?.seconds,
+            tasks = body.objects(Field.TASKS).map(::decodeTask),
         )
     }
 
-    private fun task(from: JsonObject): TaskStatus {
-        val phase = phases[from.string("standing")] ?: throw MalformedJson("standing: unknown")
-        // A cause that this version doesn't know is still an exit.
-        val cause = if (phase == TaskPhase.EXITED) causes[from.stringOrNull("cause")] ?: ExitCause.ERROR else null
-        return TaskStatus(
-            TaskId.parse(from.string("crate")) ?: throw MalformedJson("crate: no task"),
-            Attempt(from.count("cast")),
-            phase,
-            cause,
-        )
+    private fun decodeMachine(body: JsonObject): MachineId {
+        val machine = body.string(Field.MACHINE)
+        if (machine.isEmpty()) malformed(Field.MACHINE, "empty")
+        return MachineId(machine)
     }
 
-    public fun encode(term: Term, commands: List<Command>): ByteArray =
-        Json.bytes(linkedMapOf("gavel" to term.number, "calls" to commands.map(::command)))
+    private fun decodeTask(body: JsonObject): TaskStatus {
+        val phase = phaseOfWord[body.string(Field.PHASE)] ?: malformed(Field.PHASE, "unknown")
+        val cause = if (phase == TaskPhase.EXITED) decodeCause(body) else null
+        val task = TaskId.parse(body.string(Field.TASK)) ?: malformed(Field.TASK, "no task")
+        return TaskStatus(task, Attempt(body.count(Field.ATTEMPT)), phase, cause)
+    }
 
-    public fun encodeDirect(term: Term, session: Long, commands: List<Command>): ByteArray =
-        Json.bytes(linkedMapOf("gavel" to term.number, "shift" to session, "calls" to commands.map(::command)))
+    /** A cause that this version doesn't know is still an exit. */
+    private fun decodeCause(body: JsonObject): ExitCause =
+        causeOfWord[body.stringOrNull(Field.EXIT_CAUSE)] ?: ExitCause.ERROR
 
-    private fun command(command: Command): Map<String, Any?> {
-        val task = command.task.toString()
-        val attempt = command.attempt.number
-        return when (command) {
-            is Command.Start -> linkedMapOf("call" to "start", "crate" to task, "cast" to attempt)
+    private fun malformed(field: String, reason: String): Nothing = throw MalformedJson("$field: $reason")
 
-            is Command.Stop -> linkedMapOf(
-                "call" to "kill",
-                "crate" to task,
-                "cast" to attempt,
-                "windDownS" to command.grace.toDouble(DurationUnit.SECONDS),
-            )
+    /** The answer to a heartbeat. */
+    public fun encode(term: Term, commands: List<Command>): ByteArray = Json.bytes(
+        linkedMapOf(
+            Field.TERM to term.number,
+            Field.COMMANDS to commands.map(::encodeCommand),
+        ),
+    )
 
-            is Command.Reap -> linkedMapOf("call" to "reap", "crate" to task, "cast" to attempt)
+    /** The request to a worker's own address; the worker refuses it unless [agentEpoch] is its current one. */
+    public fun encodeDirect(term: Term, agentEpoch: Long, commands: List<Command>): ByteArray = Json.bytes(
+        linkedMapOf(
+            Field.TERM to term.number,
+            Field.AGENT_EPOCH to agentEpoch,
+            Field.COMMANDS to commands.map(::encodeCommand),
+        ),
+    )
+
+    private fun encodeCommand(command: Command): Map<String, Any?> {
+        val word = when (command) {
+            is Command.Start -> CommandWord.START
+            is Command.Stop -> CommandWord.STOP
+            is Command.Reap -> CommandWord.REAP
         }
+        val fields = linkedMapOf<String, Any?>(
+            Field.COMMAND to word,
+            Field.TASK to command.task.toString(),
+            Field.ATTEMPT to command.attempt.number,
+        )
+        if (command is Command.Stop) fields[Field.GRACE_SECONDS] = command.grace.toDouble(DurationUnit.SECONDS)
+        return fields
     }
 }
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/heartbeat/MessageRecorder.kt
@@ -0,0 +1,99 @@
+package org.elderhitch.heartbeat
+
+import org.elderhitch.failuredetection.FailureDetector
+import org.elderhitch.failuredetection.WorkerProber
+import org.elderhitch.fleet.FleetMessage
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.recovery.ActionLedger
+import org.elderhitch.scheduler.EventLog
+import org.elderhitch.scheduler.SchedulerPorts
+import org.elderhitch.tasks.MachineRegistry
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.WorkerState
+import org.elderhitch.time.MonotonicInstant
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * Records what a worker's message shows of the worker itself: its lease, address and liveness. The tasks in the message
+ * are the [WorkerReconciler]'s. Heartbeats and the answers to commands and probes are recorded alike.
+ */
+internal class MessageRecorder(
+    private val table: TaskTable,
+    private val machineRegistry: MachineRegistry,
+    private val failureDetector: FailureDetector,
+    private val workerProber: WorkerProber,
+    private val events: EventLog,
+    private val ports: SchedulerPorts,
+    private val ledger: ActionLedger,
+) {
+    /** Records a message of a machine that is surely gone, as delayed on its way; returns whether the machine is gone. */
+    fun recordIfGone(machine: MachineId, now: MonotonicInstant): Boolean {
+        val gone = machine in machineRegistry.gone
+        if (gone) ledger.machineSeen(machine, now)
+        return gone
+    }
+
+    /** Whether the message belongs to an agent epoch that has expired, and so tells nothing about the present. */
+    fun isStale(worker: WorkerState, message: Heartbeat): Boolean =
+        worker.lease?.freshnessOf(message.sequence.agentEpoch) == MessageFreshness.STALE
+
+    /** Whether the message comes after all others that were received of the worker. */
+    fun isNewest(worker: WorkerState, message: Heartbeat): Boolean {
+        val latest = worker.heartbeatSequence
+        return latest == null || message.sequence > latest
+    }
+
+    /** Records a message that is the newest of its worker and not stale. */
+    fun record(leadership: LeadershipState.Leader, worker: WorkerState, message: Heartbeat, now: MonotonicInstant) {
+        ledger.machineSeen(worker.id, now)
+        recordLease(leadership, worker, message, now)
+        worker.heartbeatSequence = message.sequence
+        worker.unreachable = false
+        worker.lastSeenAt = now
+        worker.address = message.address
+        recordPreemptionNotice(worker, message)
+        if (worker.releaseRequestedAt != MonotonicInstant.NEVER || !worker.reconciled) {
+            ports.fleet(FleetMessage.HeartbeatReceived(worker.id))
+        }
+        failureDetector.recordMessage(worker)
+        workerProber.recordMessage(worker.id)
+        failureDetector.resetUnansweredTermination(worker, now)
+        if (message.machine !in machineRegistry.known) ports.fleet(FleetMessage.OrphanDetected(message))
+        requestClearance(worker, now)
+    }
+
+    private fun recordLease(
+        leadership: LeadershipState.Leader,
+        worker: WorkerState,
+        message: Heartbeat,
+        now: MonotonicInstant,
+    ) {
+        val acknowledgesTerm = message.term == leadership.term
+        val freshness = worker.recordMessage(message.sequence.agentEpoch, now, acknowledgesTerm)
+        if (freshness != MessageFreshness.NEW_EPOCH) return
+        // Direct commands name the agent epoch: those of an earlier one are never executed now, and its tasks are gone.
+        worker.unacknowledgedStarts.clear()
+        table.removeSentTo(worker)
+    }
+
+    private fun recordPreemptionNotice(worker: WorkerState, message: Heartbeat) {
+        if (message.notice != null && worker.preemptionNotice == null) {
+            events.info("spot notice", worker.id) { "spot notice machine=${message.machine} notice_s=${message.notice}" }
+            table.dirty = true
+        }
+        worker.preemptionNotice = message.notice
+    }
+
+    /** Asks for the record that the machine is up, without which it is given no tasks. */
+    private fun requestClearance(worker: WorkerState, now: MonotonicInstant) {
+        if (worker.id !in machineRegistry.known || worker.id in machineRegistry.cleared) return
+        if (now - worker.clearanceRequestedAt <= CLEARANCE_RETRY) return
+        worker.clearanceRequestedAt = now
+        ports.fleet(FleetMessage.MachineUp(worker.id))
+    }
+
+    private companion object {
+        val CLEARANCE_RETRY = 2.seconds
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/heartbeat/ProbeResultHandler.kt
@@ -0,0 +1,59 @@
+package org.elderhitch.heartbeat
+
+import org.elderhitch.failuredetection.WorkerProber
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.leadership.LeadershipMessage
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.recovery.ActionLedger
+import org.elderhitch.recovery.NeedlessActionKind
+import org.elderhitch.scheduler.SchedulerPorts
+import org.elderhitch.tasks.MachineRegistry
+import org.elderhitch.time.MonotonicInstant
+
+/** Takes in the outcomes of the probes that a [WorkerProber] sent to workers' own addresses. */
+internal class ProbeResultHandler(
+    private val workers: WorkerDirectory,
+    private val machineRegistry: MachineRegistry,
+    private val workerProber: WorkerProber,
+    private val messageRecorder: MessageRecorder,
+    private val workerReconciler: WorkerReconciler,
+    private val ledger: ActionLedger,
+    private val ports: SchedulerPorts,
+) {
+    /** @param tableComplete whether all open jobs are known here, so that the worker's tasks can be reconciled. */
+    fun handle(
+        leadership: LeadershipState.Leader,
+        machine: MachineId,
+        outcome: CommandOutcome,
+        now: MonotonicInstant,
+        tableComplete: Boolean,
+    ) {
+        if (machine in machineRegistry.gone) return
+        workerProber.recordOutcome(machine, connected = outcome != CommandOutcome.Unreachable, now)
+        if (outcome !is CommandOutcome.Executed) {
+            ledger.recordNeedless(NeedlessActionKind.PROBE_FAILED)
+            return
+        }
+        val reply = outcome.heartbeat
+        // The address may belong to another machine by now.
+        if (reply.machine != machine) return
+        if (reply.term > leadership.term) {
+            ports.leadership(LeadershipMessage.TermObserved(reply.term))
+        } else {
+            recordReply(leadership, reply, now, tableComplete)
+        }
+    }
+
+    private fun recordReply(
+        leadership: LeadershipState.Leader,
+        reply: Heartbeat,
+        now: MonotonicInstant,
+        tableComplete: Boolean,
+    ) {
+        val worker = workers.getOrCreate(reply, now)
+        if (messageRecorder.isStale(worker, reply) || !messageRecorder.isNewest(worker, reply)) return
+        worker.lastCommandAt = now
+        messageRecorder.record(leadership, worker, reply, now)
+        if (reply.term == leadership.term && tableComplete) workerReconciler.reconcile(worker, reply, inReply = true)
+    }
+}
--- a/src/main/kotlin/org/elderhitch/heartbeat/WorkerClient.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/WorkerClient.kt
@@ -4,6 +4,7 @@
 import kotlinx.coroutines.sync.withPermit
 import org.elderhitch.http.Address
 import org.elderhitch.http.Delivery
+import org.elderhitch.http.Response
 import org.elderhitch.http.Transport
 import org.elderhitch.json.MalformedJson
 import org.elderhitch.leadership.Term
@@ -11,71 +12,91 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Sends commands to workers' own addresses, a few at a time: sockets are for those who call. */
+/**
+ * Sends commands and probes to workers' own addresses, a limited number at a time, so that sockets remain for the
+ * connections that workers open.
+ */
 public class WorkerClient(private val transport: Transport) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
-    private val turns = Semaphore(AT_ONCE)
-    private val questions = Semaphore(QUESTIONS_AT_ONCE)
+    private val commandPermits = Semaphore(MAX_CONCURRENT_COMMANDS)
+    private val probePermits = Semaphore(MAX_CONCURRENT_PROBES)
 
-    /** [entitled] is asked last, when its turn has come: commands don't wait in line beyond the leader's window. */
+    /**
+     * Sends commands to the worker at [to], which executes them only in [agentEpoch].
+     *
+     * @param entitled whether the leader may still send commands; asked once the request's turn has come, so that no
+     *   command outlasts the leader's window while it waits.
+     */
     public suspend fun send(
         to: Address,
         term: Term,
         agentEpoch: Long,
         commands: List<Command>,
         entitled: () -> Boolean,
-    ): CommandOutcome = turns.withPermit {
+    ): CommandOutcome = commandPermits.withPermit {
         if (!entitled()) return CommandOutcome.NotExecuted
-        when (
-            val delivery = transport.deliver(
-                to,
-                "POST",
-                "/do",
-                HeartbeatCodec.encodeDirect(term, agentEpoch, commands),
-                CONNECT,
-                TIMEOUT,
-            )
-        ) {
-            is Delivery.Answered -> when (delivery.response.status) {
-                OK -> executed(delivery.response.body)
-                CONFLICT, BAD -> CommandOutcome.NotExecuted
-                else -> CommandOutcome.Unknown
-            }
-
+        when (val delivery = deliverCommands(to, term, agentEpoch, commands)) {
+            is Delivery.Answered -> commandOutcome(delivery.response)
             Delivery.NotSent -> CommandOutcome.Unreachable
-
             Delivery.Unknown -> CommandOutcome.Unknown
         }
     }
 
+    private fun commandOutcome(response: Response): CommandOutcome = when (response.status) {
+        OK -> decodeReply(response.body)
+        CONFLICT, BAD_REQUEST -> CommandOutcome.NotExecuted
+        else -> CommandOutcome.Unknown
+    }
+
     /**
-     * What a worker says, once it knows our term. Two connections must fail before it counts as unreachable: a single
-     * lost packet keeps one from coming about for a second.
+     * Asks the worker at [at] for its state, and tells it the [term] if it doesn't know it yet: then the outcome is its
+     * state once it does. Two connections must fail before the worker counts as unreachable, since a single lost packet
+     * delays a connection by a second.
      */
-    public suspend fun probe(at: Address, term: Term, entitled: () -> Boolean): CommandOutcome = questions.withPermit {
-        var first = transport.deliver(at, "GET", "/inspect", null, ASK_CONNECT, TIMEOUT)
-        if (first == Delivery.NotSent) first = transport.deliver(at, "GET", "/inspect", null, ASK_CONNECT, TIMEOUT)
-        val said = when (first) {
-            is Delivery.Answered -> executed(first.response.body) as? CommandOutcome.Executed
-                ?: return CommandOutcome.Unknown
-
-            Delivery.NotSent -> return CommandOutcome.Unreachable
+    public suspend fun probe(at: Address, term: Term, entitled: () -> Boolean): CommandOutcome =
+        probePermits.withPermit {
+            when (val outcome = inspect(at)) {
+                is CommandOutcome.Executed -> announceTerm(at, term, outcome, entitled)
+                else -> outcome
+            }
+        }
 
-            Delivery.Unknown -> return CommandOutcome.Unknown
+    private suspend fun inspect(at: Address): CommandOutcome {
+        var delivery = deliverInspection(at)
+        if (delivery == Delivery.NotSent) delivery = deliverInspection(at)
+        return when (delivery) {
+            is Delivery.Answered -> decodeReply(delivery.response.body)
+            Delivery.NotSent -> CommandOutcome.Unreachable
+            Delivery.Unknown -> CommandOutcome.Unknown
         }
-        if (said.heartbeat.term >= term || !entitled()) return said
-        val told = transport.deliver(
-            at,
-            "POST",
-            "/do",
-            HeartbeatCodec.encodeDirect(term, said.heartbeat.sequence.agentEpoch, emptyList()),
-            CONNECT,
-            TIMEOUT,
-        )
-        if (told is Delivery.Answered && told.response.status == OK) executed(told.response.body) else said
     }
 
-    private fun executed(body: ByteArray): CommandOutcome = try {
+    private suspend fun announceTerm(
+        at: Address,
+        term: Term,
+        inspected: CommandOutcome.Executed,
+        entitled: () -> Boolean,
+    ): CommandOutcome {
+        if (inspected.heartbeat.term >= term || !entitled()) return inspected
+        val delivery = deliverCommands(at, term, inspected.heartbeat.sequence.agentEpoch, emptyList())
+        val accepted = delivery is Delivery.Answered && delivery.response.status == OK
+        return if (accepted) decodeReply(delivery.response.body) else inspected
+    }
+
+    private suspend fun deliverInspection(at: Address): Delivery =
+        transport.deliver(at, "GET", INSPECT_PATH, null, PROBE_CONNECT_TIMEOUT, REQUEST_TIMEOUT)
+
+    private suspend fun deliverCommands(
+        to: Address,
+        term: Term,
+        agentEpoch: Long,
+        commands: List<Command>,
+    ): Delivery {
+        val body = HeartbeatCodec.encodeDirect(term, agentEpoch, commands)
+        return transport.deliver(to, "POST", COMMANDS_PATH, body, CONNECT_TIMEOUT, REQUEST_TIMEOUT)
+    }
+
+    private fun decodeReply(body: ByteArray): CommandOutcome = try {
         CommandOutcome.Executed(HeartbeatCodec.decode(body))
     } catch (e: MalformedJson) {
         log.info("malformed answer from=worker reason=\"{}\"", e.message)
@@ -83,13 +104,15 @@
     }
 
     private companion object {
-        const val AT_ONCE = 16
-        const val QUESTIONS_AT_ONCE = 32
-        val ASK_CONNECT = 600.milliseconds
+        const val COMMANDS_PATH = "/do"
+        const val INSPECT_PATH = "/inspect"
+        const val MAX_CONCURRENT_COMMANDS = 16
+        const val MAX_CONCURRENT_PROBES = 32
         const val OK = 200
-        const val BAD = 400
+        const val BAD_REQUEST = 400
         const val CONFLICT = 409
-        val CONNECT = 1.seconds
-        val TIMEOUT = 3.seconds
+        val CONNECT_TIMEOUT = 1.seconds
+        val PROBE_CONNECT_TIMEOUT = 600.milliseconds
+        val REQUEST_TIMEOUT = 3.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -15,11 +15,17 @@
 import org.elderhitch.fleet.FleetPolicy
 import org.elderhitch.fleet.MachineId
 import org.elderhitch.fleet.Market
+import org.elderhitch.heartbeat.CommandDispatcher
 import org.elderhitch.heartbeat.CommandPlanner
 import org.elderhitch.heartbeat.Heartbeat
 import org.elderhitch.heartbeat.HeartbeatHandler
 import org.elderhitch.heartbeat.HeartbeatResponse
 import org.elderhitch.heartbeat.LeaseTimeouts
+import org.elderhitch.heartbeat.MessageRecorder
+import org.elderhitch.heartbeat.ProbeResultHandler
+import org.elderhitch.heartbeat.ReceivedHeartbeat
+import org.elderhitch.heartbeat.WorkerDirectory
+import org.elderhitch.heartbeat.WorkerReconciler
 import org.elderhitch.jobs.Attempt
 import org.elderhitch.jobs.ClassRules
 import org.elderhitch.jobs.CompletedTasks
@@ -92,7 +98,7 @@
     private val takeover = Takeover(times, leases, clock)
     private val faults = FailureAttribution(table)
     private val taskReconciler = TaskReconciler(table, faults, clock, events, reconciliations::count)
-    private val commands = CommandPlanner(table)
+    private val commands = CommandPlanner(table, reconciliations.actions)
     private val pauseDetector = PauseDetector(TICK)
     private val workerProber = WorkerProber(table, takeover, workerTimes, pauseDetector, ports, reconciliations.actions)
     private val machineRegistry = MachineRegistry()
@@ -118,10 +124,40 @@
     private val holds = JobHolds(table, rules, ports)
     private val news = CompletionReporter(table, clock, wallClock, ports)
     private val explanation = JobExplainer(table, faults, takeover, failureDetector, machineRegistry, teams)
-    private val conversation =
-        HeartbeatHandler(table, takeover, taskReconciler, commands, failureDetector, workerProber, machineRegistry, workerTimes, events, ports, reconciliations.actions, {
-            hinted[it]
-        }, ::checkTakeover)
+    private val workerDirectory = WorkerDirectory(table) { hinted[it] }
+    private val messageRecorder =
+        MessageRecorder(
+            table,
+            machineRegistry,
+            failureDetector,
+            workerProber,
+            events,
+            ports,
+            reconciliations.actions,
+        )
+    private val workerReconciler = WorkerReconciler(table, takeover, taskReconciler, events, ::checkTakeover)
+    private val heartbeatHandler =
+        HeartbeatHandler(workerDirectory, messageRecorder, workerReconciler, commands, takeover, ports)
+    private val commandDispatcher =
+        CommandDispatcher(
+            table,
+            commands,
+            workerTimes.report,
+            messageRecorder,
+            workerReconciler,
+            events,
+            ports,
+        )
+    private val probeResultHandler =
+        ProbeResultHandler(
+            workerDirectory,
+            machineRegistry,
+            workerProber,
+            messageRecorder,
+            workerReconciler,
+            reconciliations.actions,
+            ports,
+        )
     private var hinted: Map<MachineId, Map<Image, Double>> = emptyMap()
     private var lastHint = MonotonicInstant.NEVER
     private var keptFree: List<CapacityReservation> = emptyList()
@@ -204,13 +240,13 @@
 
             is SchedulerMessage.CommandsDelivered -> currentLeadership()?.takeIf {
                 it.term == message.term
-            }?.let { conversation.commanded(it, message, clock.now()) }
+            }?.let { commandDispatcher.handleOutcome(it, message, clock.now()) }
 
             is SchedulerMessage.MachinesListed -> workerProber.updateListing(message.where)
 
             is SchedulerMessage.ProbeCompleted -> currentLeadership()?.takeIf {
                 it.term == message.term
-            }?.let { conversation.asked(it, message.machine, message.outcome, clock.now(), tableComplete) }
+            }?.let { probeResultHandler.handle(it, message.machine, message.outcome, clock.now(), tableComplete) }
 
             is SchedulerMessage.DrainMachine -> drain(message.machine)
 
@@ -375,7 +411,7 @@
             currentLeadership()
                 ?: return delegates.respond(report, now)
                     ?: HeartbeatResponse.Redirect((leadershipState as? LeadershipState.Follower)?.leader)
-        return conversation.handle(leadership, report, now, tableComplete) { worker ->
+        return heartbeatHandler.handle(ReceivedHeartbeat(report, leadership, tableComplete, now)) { worker ->
             if (table.dirty &&
                 leadership.maySendCommands(now) &&
                 now > cycleAgain
@@ -472,7 +508,7 @@
         if (leadership.maySendCommands(decided) &&
             decided - now < times.cycleBudget
         ) {
-            conversation.sendUrgent(leadership, decided, answering)
+            commandDispatcher.sendUndelivered(leadership, decided, answering)
         }
         if (now - lastDemand > DEMAND_EVERY) {
             lastDemand = now
--- a/src/test/kotlin/org/elderhitch/heartbeat/CommandPlannerTest.kt
+++ b/src/test/kotlin/org/elderhitch/heartbeat/CommandPlannerTest.kt
@@ -10,6 +10,7 @@
 import org.elderhitch.jobs.Priority
 import org.elderhitch.jobs.Resources
 import org.elderhitch.jobs.TaskId
+import org.elderhitch.recovery.ActionLedger
 import org.elderhitch.settings.TeamName
 import org.elderhitch.settings.Zone
 import org.elderhitch.store.Revision
@@ -21,8 +22,7 @@
 import org.elderhitch.time.SteadyClock
 import kotlin.test.Test
 import kotlin.test.assertEquals
-import kotlin.test.assertNotNull
-import kotlin.test.assertNull
+import kotlin.test.assertIs
 import kotlin.test.assertTrue
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -75,10 +75,10 @@
             )
         }
         table.markTerminal(ended)
-        val commands = CommandPlanner(table)
+        val commands = CommandPlanner(table, ActionLedger())
         val seen = ArrayList<Command>()
         repeat(4) {
-            val answer = commands.of(worker, now, endings = emptyList())
+            val answer = commands.planResponse(worker, now, terminalStops = emptyList())
             assertTrue(answer.size <= 400, "${answer.size} commands")
             seen.addAll(answer)
             val started = answer.filterIsInstance<Command.Start>().map { it.task }.toSet()
@@ -116,20 +116,19 @@
             )
         }
         table.markTerminal(ended)
-        val commands = CommandPlanner(table)
-        fun named() = worker.placements.values.map { TaskStatus(it.task, it.attempt, TaskPhase.RUNNING, null) }
-        assertNull(commands.endings(worker, named(), complete = true, mayStart = false))
-        val direct = commands.urgent(worker, now)
+        val commands = CommandPlanner(table, ActionLedger())
+        fun reported() = worker.placements.values.map { TaskStatus(it.task, it.attempt, TaskPhase.RUNNING, null) }
+        fun stops(mayStart: Boolean) =
+            commands.stopsOfTerminalJobs(worker, reported(), tableComplete = true, mayStart)
+        assertEquals(TerminalStops.Undeliverable, stops(mayStart = false))
+        val direct = commands.planDirectCommands(worker, now)
         assertTrue(direct.size in 1..400, "${direct.size} in one request")
         var answers = 0
         while (worker.placements.isNotEmpty()) {
-            val stops = commands.of(
-                worker,
-                now,
-                assertNotNull(commands.endings(worker, named(), complete = true, mayStart = true)),
-            ).filterIsInstance<Command.Stop>()
-            assertTrue(stops.size in 1..400, "${stops.size} in one answer")
-            stops.forEach { stop -> worker.placements[stop.task]?.let { table.remove(ended, it) } }
+            val terminal = assertIs<TerminalStops.Deliverable>(stops(mayStart = true))
+            val sent = commands.planResponse(worker, now, terminal.commands).filterIsInstance<Command.Stop>()
+            assertTrue(sent.size in 1..400, "${sent.size} in one answer")
+            sent.forEach { stop -> worker.placements[stop.task]?.let { table.remove(ended, it) } }
             answers++
         }
         assertEquals(3, answers)
