--- a/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
+++ b/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
@@ -60,7 +60,7 @@
     var ordered: Map<String, Any?> = emptyMap()
         private set
 
-    override fun ordered(counts: Map<String, Any?>) {
+    override fun publishStatistics(counts: Map<String, Any?>) {
         ordered = counts
     }
 
@@ -68,37 +68,37 @@
 
     override fun leadership(message: LeadershipMessage) = leadership.tell(message)
 
-    override fun record(leadershipState: LeadershipState.Leader, finished: List<CompletionBatch>) {
+    override fun recordCompletions(leader: LeadershipState.Leader, batches: List<CompletionBatch>) {
         scope.launch {
-            val recorded = completionWriter.record(leadershipState, finished.filter { !it.kept })
+            val recorded = completionWriter.record(leader, batches.filter { !it.kept })
             var kept: Map<JobId, List<Int>>? = emptyMap()
-            for ((jobProvider, jobs) in finished.filter { it.kept }.groupBy { features().jobProvider(it.job) }) {
-                kept = kept?.let { before -> jobProvider?.record(leadershipState, jobs)?.let { before + it } }
+            for ((jobProvider, jobs) in batches.filter { it.kept }.groupBy { features().jobProvider(it.job) }) {
+                kept = kept?.let { before -> jobProvider?.record(leader, jobs)?.let { before + it } }
             }
             if (recorded == null ||
                 kept == null
             ) {
-                leadership.tell(LeadershipMessage.TermObserved(Term(leadershipState.term.number + 1)))
+                leadership.tell(LeadershipMessage.TermObserved(Term(leader.term.number + 1)))
             }
-            tell(SchedulerMessage.CompletionsRecorded(leadershipState.term, recorded.orEmpty() + kept.orEmpty()))
+            tell(SchedulerMessage.CompletionsRecorded(leader.term, recorded.orEmpty() + kept.orEmpty()))
         }
     }
 
-    override fun forget(leadershipState: LeadershipState.Leader, job: JobId, blocks: Set<Int>) {
-        if (!features().keepsFinished(job)) scope.launch { completionWriter.forget(leadershipState, job, blocks) }
+    override fun deleteCompletions(leader: LeadershipState.Leader, job: JobId, blocks: Set<Int>) {
+        if (!features().keepsFinished(job)) scope.launch { completionWriter.forget(leader, job, blocks) }
     }
 
-    override fun hold(
-        leadershipState: LeadershipState.Leader,
+    override fun writeHold(
+        leader: LeadershipState.Leader,
         job: JobId,
         version: Revision,
-        before: Revision,
+        replaces: Revision,
         hold: JobHold,
     ) {
         scope.launch {
             var unclear = false
             while (true) {
-                val outcome = when (val written = completionWriter.hold(leadershipState, job, version, before, hold)) {
+                val outcome = when (val written = completionWriter.hold(leader, job, version, replaces, hold)) {
                     is CommitOutcome.Committed -> HoldWriteResult.WRITTEN
 
                     is CommitOutcome.Conflict -> if (Keys.job(job) in written.failed &&
@@ -114,7 +114,7 @@
                     // Says nothing of an earlier try that nobody answered: that one may yet be carried out.
                     CommitOutcome.Refused, CommitOutcome.NoSuchLease -> if (unclear) HoldWriteResult.UNKNOWN else HoldWriteResult.NOT_WRITTEN
                 }
-                tell(SchedulerMessage.HoldWritten(leadershipState.term, job, outcome))
+                tell(SchedulerMessage.HoldWritten(leader.term, job, outcome))
                 if (outcome != HoldWriteResult.UNKNOWN) return@launch
                 unclear = true
                 // Nothing of the job is started until this is clear: it must become so.
@@ -123,54 +123,54 @@
         }
     }
 
-    override fun forgetHold(leadershipState: LeadershipState.Leader, job: JobId) {
-        scope.launch { completionWriter.forgetHold(leadershipState, job) }
+    override fun deleteHold(leader: LeadershipState.Leader, job: JobId) {
+        scope.launch { completionWriter.forgetHold(leader, job) }
     }
 
-    override fun hint(leadershipState: LeadershipState.Leader, images: Map<MachineId, Map<Image, Double>>) {
+    override fun saveImageHints(leader: LeadershipState.Leader, images: Map<MachineId, Map<Image, Double>>) {
         val value = ImageHints.encode(images, valueBytes)
         if (value == lastHint) return
         lastHint = value
         scope.launch {
             client.commit(
-                listOf(Condition(Keys.TERM, leadershipState.termRevision)),
+                listOf(Condition(Keys.TERM, leader.termRevision)),
                 listOf(Write.Put(Keys.IMAGES, value)),
                 RequestPriority.OTHER,
             )
         }
     }
 
-    override fun ask(leadershipState: LeadershipState.Leader, at: Address, machine: MachineId) {
+    override fun probe(leader: LeadershipState.Leader, address: Address, machine: MachineId) {
         scope.launch {
             tell(
                 SchedulerMessage.ProbeCompleted(
-                    leadershipState.term,
+                    leader.term,
                     machine,
-                    line.probe(at, leadershipState.term) {
-                        entitled(leadershipState)
+                    line.probe(address, leader.term) {
+                        entitled(leader)
                     },
                 ),
             )
         }
     }
 
-    override fun command(
-        leadershipState: LeadershipState.Leader,
-        to: Address,
+    override fun sendCommands(
+        leader: LeadershipState.Leader,
+        address: Address,
         machine: MachineId,
         agentEpoch: Long,
         commands: List<Command>,
     ) {
         scope.launch {
-            val outcome = line.send(to, leadershipState.term, agentEpoch, commands) { entitled(leadershipState) }
+            val outcome = line.send(address, leader.term, agentEpoch, commands) { entitled(leader) }
             val starts = commands.filterIsInstance<Command.Start>().map { it.task to it.attempt }.toSet()
-            tell(SchedulerMessage.CommandsDelivered(leadershipState.term, machine, agentEpoch, starts, outcome))
+            tell(SchedulerMessage.CommandsDelivered(leader.term, machine, agentEpoch, starts, outcome))
         }
     }
 
     override fun isCutOffFrom(leader: NodeName): Boolean = isCutOffFrom.invoke(leader)
 
-    override fun running(counts: Map<JobId, Int>) {
+    override fun publishRunningCounts(counts: Map<JobId, Int>) {
         running = counts
         jobRegistry.tell(JobMessage.RunningCounts(counts))
     }
--- a/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
@@ -103,7 +103,7 @@
         if (at == null || asked[machine].let { it != null && now - it < AGAIN }) return false
         asked[machine] = now
         orders.record(ActionKind.PROBE, 1, now)
-        ports.ask(leadership, at, machine)
+        ports.probe(leadership, at, machine)
         return true
     }
 
--- a/src/main/kotlin/org/elderhitch/heartbeat/CommandDispatcher.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/CommandDispatcher.kt
@@ -43,7 +43,7 @@
             if (worker.placements.values.none { it.state == PlacementState.ASSIGNED }) workers.remove()
             if (commands.isEmpty()) continue
             worker.commandInFlight = true
-            ports.command(leadership, address, worker.id, agentEpoch, commands)
+            ports.sendCommands(leadership, address, worker.id, agentEpoch, commands)
         }
     }
 
--- a/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
@@ -82,7 +82,7 @@
 
     private fun begin(leadership: LeadershipState.Leader, job: JobState, hold: JobHold) {
         job.holdPending = true
-        ports.hold(leadership, job.id, job.version, job.storedHold?.version ?: Revision.ABSENT, hold)
+        ports.writeHold(leadership, job.id, job.version, job.storedHold?.version ?: Revision.ABSENT, hold)
     }
 
     fun written(id: JobId, outcome: HoldWriteResult) {
@@ -108,7 +108,7 @@
         if (hold?.kind == HoldKind.SUSPENDED) suspended.add(id) else suspended.remove(id)
         val job = table.jobs[id]
         if (job == null) {
-            if (key != null && leadership != null) ports.forgetHold(leadership, id)
+            if (key != null && leadership != null) ports.deleteHold(leadership, id)
             return
         }
         if (hold == null) job.usage.forgetFailures()
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -195,7 +195,7 @@
 
     override fun receive(message: SchedulerMessage) {
         when (message) {
-            is SchedulerMessage.HeartbeatReceived -> message.reply.complete(report(message.report))
+            is SchedulerMessage.HeartbeatReceived -> message.reply.complete(report(message.heartbeat))
 
             is SchedulerMessage.JobChanged -> jobEvent(message.event)
 
@@ -232,17 +232,17 @@
             is SchedulerMessage.PreviousLeadersStopped -> if (message.term == term()) takeover.previousLeadersStopped()
 
             is SchedulerMessage.CapacityReserved -> {
-                keptFree = message.kept
-                refused = message.refused
+                keptFree = message.reservations
+                refused = message.unavailableMarkets
             }
 
-            is SchedulerMessage.CompletionsRecorded -> if (message.term == term()) news.onRecorded(message.finished)
+            is SchedulerMessage.CompletionsRecorded -> if (message.term == term()) news.onRecorded(message.completedTasks)
 
             is SchedulerMessage.CommandsDelivered -> currentLeadership()?.takeIf {
                 it.term == message.term
             }?.let { commandDispatcher.handleOutcome(it, message, clock.now()) }
 
-            is SchedulerMessage.MachinesListed -> workerProber.updateListing(message.where)
+            is SchedulerMessage.MachinesListed -> workerProber.updateListing(message.addresses)
 
             is SchedulerMessage.ProbeCompleted -> currentLeadership()?.takeIf {
                 it.term == message.term
@@ -329,9 +329,9 @@
 
     private fun inventory(message: SchedulerMessage.InventoryLoaded) {
         if (message.term != term()) return
-        machineRegistry.load(message.mayRun, message.fresh, clock.now())
+        machineRegistry.load(message.possiblyBusy, message.neverUsed, clock.now())
         takeover.expect(
-            message.mayRun.map { it.id }.filter {
+            message.possiblyBusy.map { it.id }.filter {
                 table.workers[it]?.reconciled != true &&
                     it !in machineRegistry.gone
             }.toSet(),
@@ -369,10 +369,10 @@
                     val blocks = (0 until job.spec.tasks).filter {
                         it in job.recorded
                     }.map(CompletedTasks::blockOf).toSet()
-                    ports.forget(leadership, job.id, blocks)
+                    ports.deleteCompletions(leadership, job.id, blocks)
                 }
                 holds.ended(job.id)
-                if (leadership != null && job.storedHold != null) ports.forgetHold(leadership, job.id)
+                if (leadership != null && job.storedHold != null) ports.deleteHold(leadership, job.id)
                 table.markTerminal(job)
             }
 
@@ -447,8 +447,8 @@
         if (now - lastCounts > COUNTS_EVERY) {
             lastCounts = now
             faults.reassess(now)
-            ports.ordered(reconciliations.snapshot())
-            ports.running(table.jobs.values.filter { it.placements.isNotEmpty() }.associate { it.id to it.running })
+            ports.publishStatistics(reconciliations.snapshot())
+            ports.publishRunningCounts(table.jobs.values.filter { it.placements.isNotEmpty() }.associate { it.id to it.running })
         }
         if (!tableComplete || !leadership.maySendCommands(now)) return
         workerProber.probeWorkers(leadership, now, failureDetector::isPartitioned)
@@ -456,7 +456,7 @@
         news.record(leadership)
         if (now - lastHint > HINT_EVERY) {
             lastHint = now
-            ports.hint(leadership, table.workers.values.associate { it.id to it.usedImages() })
+            ports.saveImageHints(leadership, table.workers.values.associate { it.id to it.usedImages() })
         }
         if (now > cycleAgain && (table.dirty || now - lastCycle > CYCLE_EVERY)) cycle(leadership, now)
     }
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerMessage.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerMessage.kt
@@ -26,108 +26,160 @@
 import org.elderhitch.placement.CapacityReservation
 import org.elderhitch.settings.NodeName
 
+/** A message to the [SchedulerActor]; one sealed sub-interface for each part that handles messages. */
 public sealed interface SchedulerMessage {
     /**
-     * What is known of jobs and of the term. It comes before all that waits: behind a row of reports each of these
-     * would be judged by older knowledge than there is.
+     * What is known of jobs and of the term. Received before all messages that wait: heartbeats ahead of it in the
+     * queue would otherwise be judged by older knowledge than this node has.
      */
     public sealed interface Knowledge : SchedulerMessage
 
-    public data class HeartbeatReceived(val report: Heartbeat, val reply: CompletableDeferred<HeartbeatResponse>) :
-        SchedulerMessage
-    public data class JobChanged(val event: JobEvent) : Knowledge
-    public data class LeadershipChanged(val leadershipState: LeadershipState) : Knowledge
+    /** Who leads, and the progress of a new term's takeover. */
+    public sealed interface LeadershipUpdate : SchedulerMessage
 
-    /** The table of jobs holds all that was recorded before the claim. */
-    public data class JobsLoaded(val term: Term) : Knowledge
+    /** Heartbeats, and the outcomes of requests to workers. */
+    public sealed interface WorkerUpdate : SchedulerMessage
 
-    /** All machines that may run something of an earlier term, and those that never were given anything. */
-    public data class InventoryLoaded(val term: Term, val mayRun: Collection<Machine>, val fresh: Collection<Machine>) :
-        SchedulerMessage
+    /** What becomes of machines, and what the cloud offers. */
+    public sealed interface MachineUpdate : SchedulerMessage
 
-    /** A machine that is ours to use, its intent being recorded. */
-    public data class MachineProvisioned(val machine: Machine) : SchedulerMessage
+    /** Changes of jobs and their holds, and outcomes of writes about them. */
+    public sealed interface JobUpdate : SchedulerMessage
 
-    /** It is recorded that the machine may be given tasks, so a later term waits for its word. */
-    public data class MachineUsable(val machine: MachineId) : SchedulerMessage
+    /** Questions about the leader's state; each is answered through its `reply` and changes nothing. */
+    public sealed interface Query : SchedulerMessage
 
-    /** Surely gone, with all on it. */
-    public data class MachineTerminated(val machine: MachineId, val proof: String) : SchedulerMessage
-    public data class CatalogChanged(val catalog: Catalog) : SchedulerMessage
+    /** The regular tick: timeouts, probes, periodic figures and scheduling cycles. */
+    public data object Tick : SchedulerMessage
+
+    // ---- leadership
 
-    /** What an earlier leader left behind about images on machines. */
-    public data class ImageHintsLoaded(val images: Map<MachineId, Map<Image, Double>>) : SchedulerMessage
+    public data class LeadershipChanged(val leadershipState: LeadershipState) :
+        LeadershipUpdate,
+        Knowledge
 
-    /** The run that led before has ended: its workers come by themselves. */
-    public data class PreviousLeaderEnded(val term: Term) : SchedulerMessage
+    /** The task table holds all jobs that were recorded before [term] was claimed. */
+    public data class JobsLoaded(val term: Term) :
+        LeadershipUpdate,
+        Knowledge
 
-    /** The former leader has surely stopped answering workers by now. */
-    public data class PreviousLeadersStopped(val term: Term) : SchedulerMessage
+    /** The process that led before has ended, so its workers come to the new leader by themselves. */
+    public data class PreviousLeaderEnded(val term: Term) : LeadershipUpdate
 
-    /** Room that less important work leaves alone; [refused]: where nothing was to be rented lately. */
-    public data class CapacityReserved(val kept: List<CapacityReservation>, val refused: Set<Market> = emptySet()) :
-        SchedulerMessage
-    public data class CompletionsRecorded(val term: Term, val finished: Map<JobId, List<Int>>) : SchedulerMessage
+    /** The previous leader has certainly stopped answering heartbeats by now. */
+    public data class PreviousLeadersStopped(val term: Term) : LeadershipUpdate
 
     /**
-     * Machines that are to be returned as idle: those that are still empty get nothing more. Answered by
-     * [FleetMessage.MachinesCordoned].
+     * Another controller, just heard from, asks to be the lease delegate of its zone. Answered with null if it can't
+     * be now, or if this node doesn't lead.
      */
-    public data class CordonMachines(val machines: List<MachineId>) : SchedulerMessage
+    public data class RequestDelegation(val node: NodeName, val reply: CompletableDeferred<DelegationOffer?>) :
+        LeadershipUpdate
 
-    /** A machine spoke before its return went out: it goes on. */
-    public data class TerminationCancelled(val machine: MachineId) : SchedulerMessage
+    /** The leader has made this node a lease delegate. */
+    public data class DelegationGranted(val grant: DelegationGrant) : LeadershipUpdate
 
-    /** A machine that could be emptied, by what the fleet needs. */
-    public data class DrainMachine(val machine: MachineId) : SchedulerMessage
+    // ---- workers
 
-    /** Where the cloud says that machines are. */
-    public data class MachinesListed(val where: Map<MachineId, Address?>) : SchedulerMessage
+    public data class HeartbeatReceived(
+        val heartbeat: Heartbeat,
+        val reply: CompletableDeferred<HeartbeatResponse>,
+    ) : WorkerUpdate
 
-    /** What a worker said that was asked at its own address. */
-    public data class ProbeCompleted(val term: Term, val machine: MachineId, val outcome: CommandOutcome) :
-        SchedulerMessage
-
-    /** What became of commands sent to a worker's own address. */
+    /** The outcome of commands that were sent to a worker's own address; [starts]: the starts among them. */
     public data class CommandsDelivered(
         val term: Term,
         val machine: MachineId,
         val agentEpoch: Long,
         val starts: Set<Pair<TaskId, Attempt>>,
         val outcome: CommandOutcome,
-    ) : SchedulerMessage
+    ) : WorkerUpdate
+
+    /** The outcome of asking a worker at its own address. */
+    public data class ProbeCompleted(val term: Term, val machine: MachineId, val outcome: CommandOutcome) :
+        WorkerUpdate
+
+    /** The cloud's list of machines, with their addresses where it knows them. */
+    public data class MachinesListed(val addresses: Map<MachineId, Address?>) : WorkerUpdate
 
-    /** The wish to hold a job: only the leader knows whether something of it was started. */
+    // ---- machines
+
+    /** At the start of [term]: machines that may run tasks of an earlier term, and machines that were never used. */
+    public data class InventoryLoaded(
+        val term: Term,
+        val possiblyBusy: Collection<Machine>,
+        val neverUsed: Collection<Machine>,
+    ) : MachineUpdate
+
+    /** A machine was provisioned, and its provisioning intent is recorded. */
+    public data class MachineProvisioned(val machine: Machine) : MachineUpdate
+
+    /** It is recorded that the machine may be given tasks, so that a later term waits to hear from it. */
+    public data class MachineUsable(val machine: MachineId) : MachineUpdate
+
+    /** The machine is certainly gone, with all tasks on it; [proof] says how that is known. */
+    public data class MachineTerminated(val machine: MachineId, val proof: String) : MachineUpdate
+
+    public data class CatalogChanged(val catalog: Catalog) : MachineUpdate
+
+    /** Which images an earlier leader knew to be on which machines (in GB). */
+    public data class ImageHintsLoaded(val images: Map<MachineId, Map<Image, Double>>) : MachineUpdate
+
+    /**
+     * Capacity that less important work leaves free. [unavailableMarkets]: where the cloud had no machine to offer
+     * lately.
+     */
+    public data class CapacityReserved(
+        val reservations: List<CapacityReservation>,
+        val unavailableMarkets: Set<Market> = emptySet(),
+    ) : MachineUpdate
+
+    /**
+     * Machines that are to be terminated as idle: those that are still empty are given no more tasks. Answered by
+     * [FleetMessage.MachinesCordoned].
+     */
+    public data class CordonMachines(val machines: List<MachineId>) : MachineUpdate
+
+    /** A machine was heard from before its termination went out, and stays in use. */
+    public data class TerminationCancelled(val machine: MachineId) : MachineUpdate
+
+    /** A machine that the fleet could do without, to be emptied if its tasks fit elsewhere. */
+    public data class DrainMachine(val machine: MachineId) : MachineUpdate
+
+    // ---- jobs
+
+    public data class JobChanged(val event: JobEvent) :
+        JobUpdate,
+        Knowledge
+
+    /** A write of completed tasks is over; [completedTasks]: what was recorded, by job. */
+    public data class CompletionsRecorded(val term: Term, val completedTasks: Map<JobId, List<Int>>) : JobUpdate
+
+    /** A request to hold a job: only the leader knows whether any of its tasks was started. */
     public data class HoldJob(
         val id: JobId,
         val kind: HoldKind,
         val reason: String,
         val reply: CompletableDeferred<HoldResult>,
-    ) : SchedulerMessage
-    public data class HoldWritten(val term: Term, val id: JobId, val outcome: HoldWriteResult) : SchedulerMessage
+    ) : JobUpdate
 
-    /** What this term has seen of a job's work; null: this node doesn't lead, or doesn't know the job. */
-    public data class GetAccount(val id: JobId, val reply: CompletableDeferred<JobAccount?>) : SchedulerMessage
+    /** The outcome of writing a hold. */
+    public data class HoldWritten(val term: Term, val id: JobId, val outcome: HoldWriteResult) : JobUpdate
 
-    /** Why a job stands as it does; null as for [AccountOf]. */
-    public data class ExplainJob(val id: JobId, val reply: CompletableDeferred<List<String>?>) : SchedulerMessage
+    // ---- queries
 
-    /**
-     * Which machine each task is on or was sent to, by the leader's table; null: this node doesn't lead, or its table
-     * isn't complete.
-     */
-    public data class GetPlacements(val reply: CompletableDeferred<Map<TaskId, MachineId>?>) : SchedulerMessage
+    /** What this term has seen of a job's work. Null: this node doesn't lead, or doesn't know the job. */
+    public data class GetAccount(val id: JobId, val reply: CompletableDeferred<JobAccount?>) : Query
 
-    /** Open jobs that failed wherever they were tried; null: as for [Survey]. */
-    public data class GetFaultyJobs(val reply: CompletableDeferred<Set<JobId>?>) : SchedulerMessage
+    /** Why a job is in its present state. Null: this node doesn't lead, or doesn't know the job. */
+    public data class ExplainJob(val id: JobId, val reply: CompletableDeferred<List<String>?>) : Query
 
     /**
-     * Another controller, just heard, wants to be lease delegate of its zone; null: not now, or this node doesn't lead.
+     * Which machine each task is on or was sent to, by the leader's table. Null: this node doesn't lead, or its table
+     * isn't complete.
      */
-    public data class RequestDelegation(val node: NodeName, val reply: CompletableDeferred<DelegationOffer?>) :
-        SchedulerMessage
+    public data class GetPlacements(val reply: CompletableDeferred<Map<TaskId, MachineId>?>) : Query
 
-    /** The leader has named this node. */
-    public data class DelegationGranted(val grant: DelegationGrant) : SchedulerMessage
-    public data object Tick : SchedulerMessage
+    /** Open jobs that failed on every machine where they were tried. Null: as for [GetPlacements]. */
+    public data class GetFaultyJobs(val reply: CompletableDeferred<Set<JobId>?>) : Query
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerPorts.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerPorts.kt
@@ -13,57 +13,80 @@
 import org.elderhitch.settings.NodeName
 import org.elderhitch.store.Revision
 
-/** What the foreman asks of others, all of it by message. */
-public interface SchedulerPorts {
+/**
+ * Everything outside the scheduler that it depends on, grouped by concern. No call waits: what takes time runs in the
+ * background, and its result comes back as a [SchedulerMessage].
+ */
+public interface SchedulerPorts :
+    PeerActorPort,
+    WorkerPort,
+    JobRecordPort,
+    StatusPort,
+    ConnectivityPort
+
+/** Messages to the other actors of this node. */
+public interface PeerActorPort {
     public fun fleet(message: FleetMessage)
 
     public fun leadership(message: LeadershipMessage)
+}
 
-    public fun record(leadershipState: LeadershipState.Leader, finished: List<CompletionBatch>)
-
-    /** The finished blocks of an ended job are of no more use. */
-    public fun forget(leadershipState: LeadershipState.Leader, job: JobId, blocks: Set<Int>)
-
-    /** Leaves word of the images on machines for a later term. */
-    public fun hint(leadershipState: LeadershipState.Leader, images: Map<MachineId, Map<Image, Double>>)
-
-    /**
-     * Sends commands to a worker's own address; what becomes of them comes back as
-     * [SchedulerMessage.CommandsDelivered].
-     */
-    public fun command(
-        leadershipState: LeadershipState.Leader,
-        to: Address,
+/** Requests to workers at their own addresses. */
+public interface WorkerPort {
+    /** Sends commands to a worker. The outcome comes back as [SchedulerMessage.CommandsDelivered]. */
+    public fun sendCommands(
+        leader: LeadershipState.Leader,
+        address: Address,
         machine: MachineId,
         agentEpoch: Long,
         commands: List<Command>,
     )
 
     /**
-     * Asks a worker at its own address, and tells it the term; its word comes back as
+     * Asks a worker for its state and tells it the current term. The outcome comes back as
      * [SchedulerMessage.ProbeCompleted].
      */
-    public fun ask(leadershipState: LeadershipState.Leader, at: Address, machine: MachineId)
+    public fun probe(leader: LeadershipState.Leader, address: Address, machine: MachineId)
+}
 
-    public fun running(counts: Map<JobId, Int>)
+/** What the scheduler writes to the state service about jobs, each write on condition of the leader's term. */
+public interface JobRecordPort {
+    /** Records completed tasks. The outcome comes back as [SchedulerMessage.CompletionsRecorded]. */
+    public fun recordCompletions(leader: LeadershipState.Leader, batches: List<CompletionBatch>)
 
-    /** What this term ordered, and how reports stood to its table: for `/status`. */
-    public fun ordered(counts: Map<String, Any?>)
+    /** Deletes the completion [blocks] of a job that has reached its terminal state. */
+    public fun deleteCompletions(leader: LeadershipState.Leader, job: JobId, blocks: Set<Int>)
 
     /**
-     * Records a hold over what stands under its key at version [before]; what becomes of it comes back as
-     * [SchedulerMessage.HoldWritten].
+     * Records [hold] for a job of version [version], replacing what its key holds at revision [replaces]. The outcome
+     * comes back as [SchedulerMessage.HoldWritten].
      */
-    public fun hold(
-        leadershipState: LeadershipState.Leader,
+    public fun writeHold(
+        leader: LeadershipState.Leader,
         job: JobId,
         version: Revision,
-        before: Revision,
+        replaces: Revision,
         hold: JobHold,
     )
 
-    public fun forgetHold(leadershipState: LeadershipState.Leader, job: JobId)
+    /** Deletes the hold of a job that has reached its terminal state. */
+    public fun deleteHold(leader: LeadershipState.Leader, job: JobId)
+
+    /** Stores which images are on which machines (in GB), as hints for a later term. */
+    public fun saveImageHints(leader: LeadershipState.Leader, images: Map<MachineId, Map<Image, Double>>)
+}
+
+/** Figures for `/status` and for clients that watch jobs. */
+public interface StatusPort {
+    /** Publishes how many tasks of each job run. */
+    public fun publishRunningCounts(counts: Map<JobId, Int>)
+
+    /** Publishes this term's reconciliation statistics and action counts. */
+    public fun publishStatistics(counts: Map<String, Any?>)
+}
 
-    /** Whether this node reaches neither the leader nor the state service. */
+/** What this node knows about its own connections. */
+public interface ConnectivityPort {
+    /** Whether this node reaches neither [leader] nor the state service. */
     public fun isCutOffFrom(leader: NodeName): Boolean
 }
--- a/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
@@ -39,7 +39,7 @@
         if (batches.isEmpty()) return
         writeInProgress = true
         if (includePartial) lastPartialWrite = now
-        ports.record(leadership, batches)
+        ports.recordCompletions(leadership, batches)
     }
 
     private fun dueJobs(includePartial: Boolean): List<JobState> {
