--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -326,7 +326,7 @@
 
         override val longestDelegation: Duration = times.commandWindow + times.answerGracePeriod
 
-        override fun receiveTerminalStates(endings: Map<JobId, TerminalRecord>) = endings.forEach { (id, record) ->
+        override fun receiveTerminalStates(records: Map<JobId, TerminalRecord>) = records.forEach { (id, record) ->
             jobRegistry.tell(JobMessage.TerminalStateReceived(id, record))
         }
 
--- a/src/main/kotlin/org/elderhitch/cluster/ClusterPorts.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/ClusterPorts.kt
@@ -12,40 +12,47 @@
 import org.elderhitch.settings.NodeName
 import kotlin.time.Duration
 
-/** What this node says of itself, and what it does with what others say. */
+/** What [Cluster] needs of the rest of its node: what it tells the peers, and who takes what they tell. */
 public interface ClusterPorts {
+    /** This node's present role. */
     public fun leadershipState(): LeadershipState
 
+    /** Whether the state service answers this node. */
     public fun reachesStateService(): Boolean
 
+    /** As the leader: how many tasks of each job run. */
     public fun runningTasks(): Map<JobId, Int>
 
+    /** What this node's memory can hold of open jobs. */
     public fun openJobsLimit(): Footprint
 
+    /** A peer knows this term. */
     public fun observeTerm(term: Term)
 
+    /** No controller answers workers in the name of a term before [term] any more. Told more than once. */
     public fun previousLeadersStopped(term: Term)
 
-    /** The run that led before this term has ended. */
+    /** The incarnation that led before [term] has ended. Told more than once. */
     public fun previousLeaderEnded(term: Term)
 
-    /** As the leader: for how long from now the node may answer as lease delegate; null: not named now. */
+    /** As the leader: how long from now the node may answer as lease delegate; null: not now. */
     public suspend fun grantDelegation(node: NodeName): DelegationOffer?
 
-    /** This node has been named. */
+    /** The leader has made this node lease delegate. */
     public fun delegationGranted(grant: DelegationGrant)
 
-    /** No leader names anybody for longer. */
+    /** No leader grants a longer delegation. */
     public val longestDelegation: Duration
 
-    /** Endings that another controller has recorded. */
-    public fun receiveTerminalStates(endings: Map<JobId, TerminalRecord>)
+    /** Terminal states that a peer has recorded. */
+    public fun receiveTerminalStates(records: Map<JobId, TerminalRecord>)
 
+    /** How many tasks of each job run, as the leader tells. */
     public fun receiveRunningCounts(counts: Map<JobId, Int>)
 
-    /** Answers a user's request here, whatever it takes, without handing it on. */
+    /** Answers a user's request on this node, without forwarding it to another one. */
     public suspend fun serveUserRequest(request: Request): Response
 
-    /** Answers what another node asks of the leader. */
+    /** Answers a peer's request to the leader. */
     public suspend fun serveLeaderRequest(request: Request): Response
 }
--- a/src/main/kotlin/org/elderhitch/cluster/PeerMessages.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/PeerMessages.kt
@@ -4,39 +4,44 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.protobuf.ProtoNumber
 
-/** What controllers tell each other about once a second. */
+/**
+ * What controllers tell each other about once a second, as request and as response. Two versions run side by side
+ * during an update, so field numbers never change, and fields that were added later have a default.
+ */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 public data class PeerHeartbeat(
     @ProtoNumber(1) val node: String,
+    /** The incarnation of the node. */
     @ProtoNumber(2) val run: String,
     /** The highest term that the node knows of. */
     @ProtoNumber(3) val term: Long,
     @ProtoNumber(4) val leading: Boolean,
-    /** Whether the state service answers this node. */
+    /** Whether the state service answers the node. */
     @ProtoNumber(5) val reachesState: Boolean,
     /** From the leader: how many tasks of each job run. */
     @ProtoNumber(6) val running: Map<String, Int> = emptyMap(),
     /** What the node's memory can hold of open jobs, in bytes; 0 from an earlier version. */
     @ProtoNumber(7) val bound: Long = 0,
     /**
-     * In the leader's answer: for how many milliseconds from the question on the node may answer as lease delegate of
-     * its zone; 0: not named now.
+     * In the leader's response: for how many milliseconds from the request on the node may answer as lease delegate of
+     * its zone; 0: it may not.
      */
     @ProtoNumber(8) val delegateMs: Long = 0,
 )
 
-/** A user's request that a node which the state service refuses hands to one that it doesn't. */
+/** A request that a node hands to a peer, which answers it with a [ForwardedResponse]. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 public class ForwardedRequest(
     @ProtoNumber(1) public val method: String,
     @ProtoNumber(2) public val path: String,
     @ProtoNumber(3) public val body: ByteArray,
-    /** The IP number that the request came from; empty: not said. */
+    /** The IP address that the request came from; empty: not known. */
     @ProtoNumber(4) public val from: String = "",
 )
 
+/** The response to a [ForwardedRequest]. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 public class ForwardedResponse(
@@ -44,3 +49,16 @@
     @ProtoNumber(2) public val body: ByteArray,
     @ProtoNumber(3) public val headers: Map<String, String> = emptyMap(),
 )
+
+/** Terminal states that a controller has just recorded, for the others. */
+@OptIn(ExperimentalSerializationApi::class)
+@Serializable
+public class TerminalStateBroadcast(
+    @ProtoNumber(1) public val node: String,
+    @ProtoNumber(2) public val endings: List<TerminalStateNotice> = emptyList(),
+)
+
+/** One job's terminal state; [record] has the form that is stored in the state service. */
+@OptIn(ExperimentalSerializationApi::class)
+@Serializable
+public class TerminalStateNotice(@ProtoNumber(1) public val job: String, @ProtoNumber(2) public val record: ByteArray)
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/cluster/TerminalStateBroadcaster.kt
@@ -0,0 +1,94 @@
+package org.elderhitch.cluster
+
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import org.elderhitch.http.HttpServer
+import org.elderhitch.http.Request
+import org.elderhitch.http.Response
+import org.elderhitch.http.Transport
+import org.elderhitch.jobs.JobId
+import org.elderhitch.jobs.TerminalRecord
+import org.elderhitch.json.Json
+import org.elderhitch.json.MalformedJson
+import org.elderhitch.settings.NodeName
+import org.elderhitch.settings.Peer
+import org.slf4j.LoggerFactory
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * Tells the other controllers at once which cancellations were recorded here; once, and without waiting for a response.
+ * A leader that the state service refuses learns of them this way, and stops their tasks seconds or a lease sooner.
+ * Nothing relies on it: a node that misses a broadcast learns of the cancellation from the state service.
+ */
+internal class TerminalStateBroadcaster(
+    private val scope: CoroutineScope,
+    private val self: NodeName,
+    private val peers: List<Peer>,
+    private val transport: Transport,
+) {
+    private val log = LoggerFactory.getLogger("elderhitch.cluster")
+    private var pending = ArrayList<TerminalStateNotice>()
+
+    /** Sends the terminal state together with those that follow within [BATCH_DELAY]. */
+    fun broadcast(id: JobId, record: TerminalRecord) {
+        pending.add(TerminalStateNotice(id.text, Json.bytes(record.encode())))
+        if (pending.size > 1 || peers.isEmpty()) return
+        scope.launch {
+            delay(BATCH_DELAY)
+            val batch = pending
+            pending = ArrayList()
+            batch.chunked(MAX_NOTICES).forEach(::send)
+        }
+    }
+
+    private fun send(notices: List<TerminalStateNotice>) {
+        val message = TerminalStateBroadcast(self.text, notices)
+        val body = PeerCodec.encode(TerminalStateBroadcast.serializer(), message)
+        peers.forEach { peer -> scope.launch { transport.call(peer.address, "POST", PATH, body, TIMEOUT) } }
+    }
+
+    /** Passes the terminal states of a peer's broadcast to [receiver]. */
+    fun receive(request: Request, receiver: (Map<JobId, TerminalRecord>) -> Unit): Response {
+        val message = PeerCodec.decode(TerminalStateBroadcast.serializer(), request.body)
+            ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "no news")
+        if (peers.none { it.name == NodeName(message.node) }) {
+            log.info("terminal state ignored node={} reason=\"no such controller\"", message.node)
+            return HttpServer.refusal(HttpStatus.BAD_REQUEST, "no such controller")
+        }
+        receiver(readableRecords(message))
+        return PeerCodec.respond(ByteArray(0))
+    }
+
+    /** The records that can be read; the others are logged. */
+    private fun readableRecords(message: TerminalStateBroadcast): Map<JobId, TerminalRecord> {
+        val records = LinkedHashMap<JobId, TerminalRecord>()
+        for (notice in message.endings) {
+            val id = JobId.parse(notice.job)
+            val record = decodeRecord(notice)
+            if (id == null || record == null) {
+                val job = id?.text ?: "none"
+                log.info("terminal state ignored node={} job={} reason=malformed", message.node, job)
+            } else {
+                records[id] = record
+            }
+        }
+        return records
+    }
+
+    private fun decodeRecord(notice: TerminalStateNotice): TerminalRecord? = try {
+        TerminalRecord.decode(Json.parseObject(notice.record))
+    } catch (_: MalformedJson) {
+        null
+    }
+
+    companion object {
+        const val PATH = "/cluster/ended"
+
+        /** A notice takes some hundred bytes, a body 64 KiB at most. */
+        private const val MAX_NOTICES = 50
+        private val BATCH_DELAY = 20.milliseconds
+        private val TIMEOUT = 1.seconds
+    }
+}
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipClaim.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipClaim.kt
@@ -78,12 +78,11 @@
         }
     }
 
-    private suspend fun readCounter(): Counter? =
-        when (val read = client.read(Keys.TERM, RequestPriority.LEADERSHIP)) {
-            is ReadOutcome.Found -> counterOf(read.entry)
-            ReadOutcome.Absent -> Counter(Revision.ABSENT, Term.NONE, null)
-            ReadOutcome.Unavailable -> null
-        }
+    private suspend fun readCounter(): Counter? = when (val read = client.read(Keys.TERM, RequestPriority.LEADERSHIP)) {
+        is ReadOutcome.Found -> counterOf(read.entry)
+        ReadOutcome.Absent -> Counter(Revision.ABSENT, Term.NONE, null)
+        ReadOutcome.Unavailable -> null
+    }
 
     private fun counterOf(entry: Entry) = Counter(
         entry.version,
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipRecords.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipRecords.kt
@@ -10,12 +10,7 @@
  *
  * @property claimId drawn anew for each claim. A claim whose outcome is unknown finds out by it whether it was applied.
  */
-internal class TermRecord(
-    val term: Term,
-    val node: NodeName,
-    val incarnation: Incarnation,
-    val claimId: String,
-)
+internal class TermRecord(val term: Term, val node: NodeName, val incarnation: Incarnation, val claimId: String)
 
 /** Who leads, stored under `Keys.LEADER` and attached to the leader's lease. */
 internal data class LeaderRecord(val node: NodeName, val incarnation: Incarnation, val term: Term)
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipStateMachine.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipStateMachine.kt
@@ -3,7 +3,6 @@
 import kotlinx.coroutines.flow.MutableStateFlow
 import kotlinx.coroutines.flow.StateFlow
 import org.elderhitch.settings.NodeName
-import org.elderhitch.store.LeaseId
 import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.slf4j.LoggerFactory
--- a/src/test/kotlin/org/elderhitch/delegates/LeaseDelegatesTest.kt
+++ b/src/test/kotlin/org/elderhitch/delegates/LeaseDelegatesTest.kt
@@ -171,9 +171,9 @@
         previousLeaders.observe(peer, Incarnation("x"), Term(2), now)
         assertTrue(previousLeaders.haveAllStopped(leadership), "a delayed message takes nothing back")
         assertTrue(PreviousLeaders(emptySet()).haveAllStopped(leadership))
-        val same = PreviousLeaders(setOf(NodeName("n2")))
-        same.observe(NodeName("n2"), Incarnation("old"), Term(2), now)
-        assertFalse(same.haveAllStopped(leadership))
+        val restarted = PreviousLeaders(setOf(NodeName("n2")))
+        restarted.observe(NodeName("n2"), Incarnation("old"), Term(2), now)
+        assertFalse(restarted.haveAllStopped(leadership))
     }
 
     /**
@@ -185,12 +185,15 @@
         val previousLeader = PreviousLeader(NodeName("n2"), Incarnation("led"))
         val leadership = leader(now, term = 3, previousLeader)
         val previousLeaders = PreviousLeaders(setOf(NodeName("n2")))
+        fun endedOrStopped() =
+            previousLeaders.hasPreviousLeaderEnded(leadership) || previousLeaders.haveAllStopped(leadership)
         previousLeaders.observe(NodeName("n2"), Incarnation("before"), Term(1), now - 30.seconds)
-        assertFalse(previousLeaders.hasPreviousLeaderEnded(leadership) || previousLeaders.haveAllStopped(leadership), "observed before the claim")
+        assertFalse(endedOrStopped(), "observed before the claim")
         previousLeaders.observe(NodeName("n2"), Incarnation("before"), Term(1), askedAt = null)
-        assertFalse(previousLeaders.hasPreviousLeaderEnded(leadership) || previousLeaders.haveAllStopped(leadership), "delayed")
+        assertFalse(endedOrStopped(), "delayed")
         previousLeaders.observe(NodeName("n2"), Incarnation("after"), Term(1), now + 1.seconds)
-        assertTrue(previousLeaders.hasPreviousLeaderEnded(leadership) && previousLeaders.haveAllStopped(leadership))
+        assertTrue(previousLeaders.hasPreviousLeaderEnded(leadership))
+        assertTrue(previousLeaders.haveAllStopped(leadership))
         previousLeaders.observe(NodeName("n2"), Incarnation("led"), Term(2), now - 1.seconds)
         assertTrue(previousLeaders.haveAllStopped(leadership), "an older answer takes nothing back")
     }
--- a/src/test/kotlin/org/elderhitch/leadership/LeadershipTest.kt
+++ b/src/test/kotlin/org/elderhitch/leadership/LeadershipTest.kt
@@ -56,8 +56,8 @@
                 RequestRateLimiter(clock, 1000.0),
                 RequestRateLimiter(clock, 1000.0),
             )
-        val leadership =
-            Leadership(scope, NodeName(name), Incarnation(random.nextLong().toString()), client, timeouts, clock, random)
+        private val incarnation = Incarnation(random.nextLong().toString())
+        val leadership = Leadership(scope, NodeName(name), incarnation, client, timeouts, clock, random)
         private val stateWatch = StateWatch(
             scope,
             client,
