--- a/src/main/kotlin/org/elderhitch/drmaa/Drmaa.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Drmaa.kt
@@ -43,14 +43,12 @@
         JobControl(sessionRegistry, context.jobService, submissions, context.sync, context.hold, context.clock)
     private val housekeeping =
         Housekeeping(
-            context.scope,
+            context,
             sessionRegistry,
-            context.client,
             sessions,
             submissions,
             loader,
             reaper,
-            context.wallClock,
             settings,
             limits.txnOps,
         )
@@ -90,7 +88,7 @@
         val held = sessionRegistry.look(name.session) { it.held(name) } ?: return null
         val until = held.startAt?.let { "; it starts at $it" }.orEmpty()
         return listOf(
-            if (held.byUser) "held by its user since ${held.since}, not submitted yet$until" else "not submitted yet$until",
+            (if (held.byUser) "held by its user since ${held.since}, " else "") + "not submitted yet$until",
         )
     }
 
@@ -115,14 +113,10 @@
     private fun refusal(status: Int, fault: Fault, reason: String): Response {
         refused++
         if (log.isDebugEnabled) log.debug("drmaa refused status={} fault={} reason=\"{}\"", status, fault, reason)
-        val headers = if (status ==
-            BUSY
-        ) {
+        val headers = if (status == BUSY) {
             mapOf(
                 "Retry-After" to (
-                    if (fault ==
-                        Fault.TryLaterException
-                    ) {
+                    if (fault == Fault.TryLaterException) {
                         LATER
                     } else {
                         SOON
@@ -137,9 +131,7 @@
 
     private suspend fun answer(path: String, body: JsonObject): Response {
         val claim = settings.tokens.verify(body.string("token"), context.wallClock.now())
-        if (claim.team !in
-            context.settings.teams
-        ) {
+        if (claim.team !in context.settings.teams) {
             throw Refused(Fault.AuthorizationException, "the token's team is unknown here")
         }
         if (path == "open") return open(claim, body)
@@ -190,9 +182,7 @@
 
             is Claim.Grant -> {
                 val nonce = body.string("nonce")
-                if (nonce.length !in
-                    SHORTEST_NONCE..LONGEST_NONCE
-                ) {
+                if (nonce.length !in SHORTEST_NONCE..LONGEST_NONCE) {
                     throw MalformedJson("nonce: not $SHORTEST_NONCE to $LONGEST_NONCE characters")
                 }
                 if (!context.sync()) throw Refused(Fault.DrmCommunicationException, "the state service doesn't answer")
@@ -238,9 +228,7 @@
             )
         }
         val result = result(claim, text, bulkToo = true)
-        if (result.member !=
-            null
-        ) {
+        if (result.member != null) {
             throw Refused(
                 Fault.DeniedByDrmException,
                 "$text: the members of a bulk job go together; name ${result.job}",
@@ -258,9 +246,7 @@
             throw Refused(Fault.DrmCommunicationException, "the state service doesn't answer")
         }
         val text = body.string("job")
-        val answer = if (text ==
-            ANY
-        ) {
+        val answer = if (text == ANY) {
             waits.any(claim.session, request(body), hold(body))
         } else {
             waits.one(result(claim, text), request(body), hold(body))
@@ -311,9 +297,7 @@
     private fun result(claim: Claim.InSession, text: String, bulkToo: Boolean = false): ResultName {
         val whole = JobId.parse(text)?.let(JobName::parse)?.takeIf { bulkToo && it.members != null }
         val result = whole?.let { ResultName(it, null) } ?: ResultName.parse(text)
-        if (result == null ||
-            result.job.session != claim.session
-        ) {
+        if (result == null || result.job.session != claim.session) {
             throw Refused(Fault.InvalidJobException, "\"${text.take(SHOWN)}\" is no job of this session")
         }
         return result
@@ -323,9 +307,7 @@
         RequestId.parse(body.string("request")) ?: throw MalformedJson("request: not a client's tag and a number")
 
     private fun hold(body: JsonObject) = (body.longOrNull("holdMs") ?: 0).also {
-        if (it <
-            0
-        ) {
+        if (it < 0) {
             throw MalformedJson("holdMs: below 0")
         }
     }
--- a/src/main/kotlin/org/elderhitch/drmaa/DrmaaCommands.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/DrmaaCommand.kt
@@ -16,6 +16,9 @@
 import java.security.SecureRandom
 import kotlin.time.Duration.Companion.days
 
+/** Exit code of a command that was wrongly used. */
+private const val USAGE = 2
+
 /** For operators: keys, and the contact strings that they give to users. */
 internal class DrmaaCommand : CoreCliktCommand(name = "drmaa") {
     init {
@@ -39,14 +42,13 @@
         try {
             Tokens.parse("--name", listOf(line))
         } catch (e: BadKeys) {
-            throw CliktError(e.message, statusCode = USAGE)
+            throw CliktError(e.message, e, statusCode = USAGE)
         }
         echo(line)
     }
 
     private companion object {
         const val SECRET_BYTES = 32
-        const val USAGE = 2
     }
 }
 
@@ -64,12 +66,12 @@
     override fun run() {
         val addresses = nodes.split(',').map {
             Address.parse(it)?.text
-                ?: throw CliktError("--nodes: \"$it\" is no address of the form 127.0.0.1:8080", statusCode = 2)
+                ?: throw CliktError("--nodes: \"$it\" is no address of the form 127.0.0.1:8080", statusCode = USAGE)
         }
         val tokens = try {
             Tokens.load(File(keys))
         } catch (e: BadKeys) {
-            throw CliktError(e.message, statusCode = 2)
+            throw CliktError(e.message, e, statusCode = USAGE)
         }
         val until = days?.let { SystemWallClock.now() + it.days }
         echo("elderhitch://${addresses.joinToString(",")}?token=${tokens.issue(Claim.Grant(TeamName(team), until))}")
--- a/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
@@ -1,9 +1,9 @@
 package org.elderhitch.drmaa
 
-import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Job
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
+import org.elderhitch.features.FeatureContext
 import org.elderhitch.jobs.CompletedTasks
 import org.elderhitch.jobs.TerminalRecord
 import org.elderhitch.jobs.TerminalState
@@ -16,10 +16,8 @@
 import org.elderhitch.store.ReadOutcome
 import org.elderhitch.store.RequestPriority
 import org.elderhitch.store.Revision
-import org.elderhitch.store.StateClient
 import org.elderhitch.store.StoredKey
 import org.elderhitch.store.Write
-import org.elderhitch.time.WallClock
 import org.elderhitch.time.WallTime
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.days
@@ -31,18 +29,19 @@
  * uses are closed, and what closed sessions leave is dropped. One session a minute, in the last rank of the write rate.
  */
 public class Housekeeping(
-    private val scope: CoroutineScope,
+    context: FeatureContext,
     private val sessionRegistry: SessionRegistry,
-    private val client: StateClient,
     private val sessions: Sessions,
     private val submissions: Submissions,
     private val loader: SessionLoader,
     private val reaper: Reaper,
-    private val wallClock: WallClock,
     private val settings: DrmaaSettings,
     private val txnOps: Int,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
+    private val scope = context.scope
+    private val client = context.client
+    private val wallClock = context.wallClock
     private var running: Job? = null
     private var leadership: LeadershipState.Leader? = null
 
@@ -148,9 +147,7 @@
         blocks.entries.mapNotNull {
             (Keys.subject(it.key) as? StoredKey.CompletedTasks)?.id
         }.distinct().mapNotNull(JobName::parse).forEach { dropBlocks(leadership, it) }
-        if (taken.entries.isEmpty() &&
-            wallClock.now() - at > KEEP_CLOSED
-        ) {
+        if (taken.entries.isEmpty() && wallClock.now() - at > KEEP_CLOSED) {
             drop(leadership, listOf(Condition(entry.key, entry.version)))
         }
     }
--- a/src/main/kotlin/org/elderhitch/drmaa/JobControl.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/JobControl.kt
@@ -53,9 +53,7 @@
     private suspend fun heldNot(name: JobName): HeldJob? {
         sessionRegistry.look(name.session) { }
             ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
-        if (jobService.show(name.id) ==
-            JobResponse.Unknown
-        ) {
+        if (jobService.show(name.id) == JobResponse.Unknown) {
             throw Refused(Fault.InvalidJobException, "$name is no job of this session")
         }
         return null
@@ -97,9 +95,7 @@
         if (rule != null) throw Refused(Fault.DeniedByDrmException, rule.reason)
         throw Refused(
             action.inconsistent,
-            if (open ==
-                null
-            ) {
+            if (open == null) {
                 "$name has ended"
             } else {
                 "$name is not ${if (kind == HoldKind.USER) "on hold" else "suspended"}"
@@ -152,12 +148,8 @@
                 if (held != null) onHeld(name, held, action) else onSubmitted(name, action)
                 done++
             } catch (e: Refused) {
-                if (e.fault ==
-                    Fault.DrmCommunicationException
-                ) {
-                    return if (n >
-                        0
-                    ) {
+                if (e.fault == Fault.DrmCommunicationException) {
+                    return if (n > 0) {
                         Progress(done, jobs.size - n, refused)
                     } else {
                         throw e
@@ -182,9 +174,7 @@
         if (held != null) {
             return if (!held.byUser) {
                 ProgramStatus.SYSTEM_ON_HOLD
-            } else if (held.startAt !=
-                null
-            ) {
+            } else if (held.startAt != null) {
                 ProgramStatus.USER_SYSTEM_ON_HOLD
             } else {
                 ProgramStatus.USER_ON_HOLD
--- a/src/main/kotlin/org/elderhitch/drmaa/Names.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Names.kt
@@ -66,7 +66,8 @@
         private const val DIGITS = 8
         private val FORM =
             Regex(
-                "$PREFIX([a-z0-9]{${SessionName.LENGTH}})-([a-z0-9]{${ClientTag.LENGTH}})-([0-9]{$DIGITS})(?:x([1-9][0-9]{0,5}))?",
+                "$PREFIX([a-z0-9]{${SessionName.LENGTH}})-([a-z0-9]{${ClientTag.LENGTH}})-" +
+                    "([0-9]{$DIGITS})(?:x([1-9][0-9]{0,5}))?",
             )
 
         /** Null for a job that no session submitted. */
@@ -122,13 +123,12 @@
         public fun prefix(session: SessionName): String = "$PREFIX$session/"
 
         public fun parse(key: String): ReapKey? {
-            if (!key.startsWith(PREFIX)) return null
-            val parts = key.substring(PREFIX.length).split('/')
-            if (parts.size != PARTS) return null
+            val parts = key.removePrefix(PREFIX).split('/')
+            if (!key.startsWith(PREFIX) || parts.size != PARTS) return null
             val session = SessionName.parse(parts[0]) ?: return null
             val tag = ClientTag.parse(parts[1].substringBefore('.')) ?: return null
             val bulk = if ('.' in parts[1]) parts[1].substringAfter('.').toIntOrNull() ?: return null else null
-            return ReapKey(session, tag, bulk, parts[2].toIntOrNull()?.takeIf { it >= 0 } ?: return null)
+            return parts[2].toIntOrNull()?.takeIf { it >= 0 }?.let { ReapKey(session, tag, bulk, it) }
         }
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Networks.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Networks.kt
@@ -10,9 +10,7 @@
     public fun allow(from: String?): Boolean {
         val address = from?.let { IPAddressString(it.substringBefore('%')).address } ?: return false
         // A socket that serves both families tells IPv4 clients as mapped into IPv6.
-        val plain = if (address.isIPv6 &&
-            address.toIPv6().isIPv4Mapped
-        ) {
+        val plain = if (address.isIPv6 && address.toIPv6().isIPv4Mapped) {
             address.toIPv6().embeddedIPv4Address
         } else {
             address
@@ -27,27 +25,18 @@
          * Throws [IllegalArgumentException] naming what is no network. A network with host bits set is a mistake, not a
          * wider one.
          */
-        public fun of(texts: List<String>): Networks = Networks(
-            texts.map { text ->
-                val address = try {
-                    IPAddressString(text).toAddress()
-                } catch (e: AddressStringException) {
-                    throw IllegalArgumentException("\"$text\" is no IP network: ${e.message}")
-                }
-                if (address == null ||
-                    text.isBlank() ||
-                    address.isAnyLocal &&
-                    !address.isPrefixed
-                ) {
-                    throw IllegalArgumentException("\"$text\" is no IP network")
-                }
-                if (address.isPrefixed &&
-                    !address.isPrefixBlock
-                ) {
-                    throw IllegalArgumentException("\"$text\" has bits set beyond its prefix")
-                }
-                address
-            },
-        )
+        public fun of(texts: List<String>): Networks = Networks(texts.map(::network))
+
+        private fun network(text: String): IPAddress {
+            val address = try {
+                IPAddressString(text).toAddress()
+            } catch (e: AddressStringException) {
+                throw IllegalArgumentException("\"$text\" is no IP network: ${e.message}", e)
+            }
+            val unspecified = address == null || text.isBlank() || (address.isAnyLocal && !address.isPrefixed)
+            require(!unspecified) { "\"$text\" is no IP network" }
+            require(!address.isPrefixed || address.isPrefixBlock) { "\"$text\" has bits set beyond its prefix" }
+            return address
+        }
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/ReapBlock.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/ReapBlock.kt
@@ -63,9 +63,7 @@
             return try {
                 val by = value.stringsOrNull("by").orEmpty().map { text ->
                     val request = RequestId.parse(text.substringBefore(':')) ?: return null
-                    val place = if (':' in
-                        text
-                    ) {
+                    val place = if (':' in text) {
                         text.substringAfter(':').toIntOrNull()?.takeIf { it in 0 until CompletedTasks.BLOCK }
                             ?: return null
                     } else {
--- a/src/main/kotlin/org/elderhitch/drmaa/SessionRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/SessionRegistry.kt
@@ -214,45 +214,13 @@
 
     private fun put(entry: Entry, listed: Boolean) {
         val key = entry.key
-        DrmaaKeys.sessionOf(key)?.let { session ->
-            val record = SessionRecord.decode(entry.value, entry.version)
-            if (record == null) return log.error("session malformed key={}", key)
-            // One that is seen being opened has nothing that would have to be read.
-            if (!listed && session !in records) loaded.add(session)
-            records[session] = record
-            return
-        }
-        DrmaaKeys.heldOf(key)?.let { job ->
-            held[job] = HeldJob.decode(entry.value, entry.version) ?: return log.error("held job malformed key={}", key)
-            return
-        }
-        ReapKey.parse(key)?.let { reap ->
-            // Of sessions that nobody uses here, nothing is kept that would have to be read anyway.
-            if (reap.session in
-                loaded
-            ) {
-                took(
-                    reap,
-                    ReapBlock.decode(entry.value, entry.version)
-                        ?: return log.error("taken results malformed key={}", key),
-                )
-            }
-            return
-        }
+        DrmaaKeys.sessionOf(key)?.let { return putSession(it, entry, listed) }
+        DrmaaKeys.heldOf(key)?.let { return putHeld(it, entry) }
+        ReapKey.parse(key)?.let { return putTaken(it, entry) }
         when (val subject = Keys.subject(key)) {
             is StoredKey.Job -> JobName.parse(subject.id)?.let { state(it.session).opened(it) }
 
-            is StoredKey.CompletedTasks -> JobName.parse(subject.id)?.let { job ->
-                val value = entry.value.raw("f") as? String ?: return
-                if (job.members == null) return
-                if (!state(
-                        job.session,
-                    ).finished(job, subject.block, value)
-                ) {
-                    log.error("finished block malformed key={}", key)
-                }
-                wake(job.session)
-            }
+            is StoredKey.CompletedTasks -> JobName.parse(subject.id)?.let { putCompleted(it, subject.block, entry) }
 
             is StoredKey.TerminalRecord -> JobName.parse(subject.id)?.let { job ->
                 TerminalRecord.decode(entry.value)?.let { ended(job, it) }
@@ -262,6 +230,35 @@
         }
     }
 
+    private fun putSession(session: SessionName, entry: Entry, listed: Boolean) {
+        val record = SessionRecord.decode(entry.value, entry.version)
+        if (record == null) return log.error("session malformed key={}", entry.key)
+        // One that is seen being opened has nothing that would have to be read.
+        if (!listed && session !in records) loaded.add(session)
+        records[session] = record
+    }
+
+    private fun putHeld(job: JobName, entry: Entry) {
+        val record = HeldJob.decode(entry.value, entry.version)
+        if (record == null) return log.error("held job malformed key={}", entry.key)
+        held[job] = record
+    }
+
+    private fun putTaken(reap: ReapKey, entry: Entry) {
+        // Of sessions that nobody uses here, nothing is kept that would have to be read anyway.
+        if (reap.session !in loaded) return
+        val block = ReapBlock.decode(entry.value, entry.version)
+        if (block == null) return log.error("taken results malformed key={}", entry.key)
+        took(reap, block)
+    }
+
+    private fun putCompleted(job: JobName, block: Int, entry: Entry) {
+        val value = entry.value.raw("f") as? String ?: return
+        if (job.members == null) return
+        if (!state(job.session).finished(job, block, value)) log.error("finished block malformed key={}", entry.key)
+        wake(job.session)
+    }
+
     private fun ended(job: JobName, record: TerminalRecord) {
         // In use or not: a job that is no longer listed as open must be known to have ended, once it is known at all.
         state(job.session).ended(job, record.how)
--- a/src/main/kotlin/org/elderhitch/drmaa/Sessions.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Sessions.kt
@@ -25,9 +25,7 @@
         val open = sessionRegistry.sessions()
         if (session in open) return
         val ofTeam = open.values.count { it.team == team }
-        if (ofTeam >=
-            settings.sessionsPerTeam
-        ) {
+        if (ofTeam >= settings.sessionsPerTeam) {
             throw Refused(
                 Fault.TryLaterException,
                 "the team has $ofTeam sessions open, of ${settings.sessionsPerTeam}",
@@ -50,9 +48,7 @@
                     return
                 }
 
-                is CommitOutcome.Conflict -> if (key in
-                    outcome.failed
-                ) {
+                is CommitOutcome.Conflict -> if (key in outcome.failed) {
                     return
                 } else {
                     throw Refused(Fault.NoActiveSessionException, "the session was closed")
--- a/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
@@ -66,9 +66,7 @@
         val sessions = sessionRegistry.sessions()
         val team = sessions.filterValues { it.team == checked.spec.team }.keys
         val held = sessionRegistry.look(name.session) { it.heldOfTeam(team) } ?: throw closed()
-        if (held >=
-            settings.heldPerTeam
-        ) {
+        if (held >= settings.heldPerTeam) {
             throw Refused(Fault.TryLaterException, "the team has $held held jobs, of ${settings.heldPerTeam}")
         }
         jobService.refusal(checked.spec)?.let { accepted(it) }
@@ -78,9 +76,7 @@
             "since" to wallClock.now().ms,
             "start" to checked.startAt?.ms,
         ).filterValues { it != null }
-        if (Json.bytes(value).size >
-            valueBytes
-        ) {
+        if (Json.bytes(value).size > valueBytes) {
             throw Refused(Fault.InvalidAttributeValueException, "the template's attributes are too long")
         }
         val conditions =
@@ -88,14 +84,12 @@
                 Condition(it, Revision.ABSENT)
             } +
                 Condition(DrmaaKeys.session(name.session), sessions[name.session]?.version ?: throw closed())
+        writeHeld(name, conditions, Write.Put(DrmaaKeys.held(name), value))
+    }
+
+    private suspend fun writeHeld(name: JobName, conditions: List<Condition>, write: Write) {
         repeat(TRIES) {
-            when (
-                val outcome = client.commit(
-                    conditions,
-                    listOf(Write.Put(DrmaaKeys.held(name), value)),
-                    RequestPriority.RECORD,
-                )
-            ) {
+            when (val outcome = client.commit(conditions, listOf(write), RequestPriority.RECORD)) {
                 is CommitOutcome.Committed -> return
 
                 is CommitOutcome.Conflict -> {
--- a/src/main/kotlin/org/elderhitch/drmaa/TemplateCheck.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/TemplateCheck.kt
@@ -33,7 +33,8 @@
 }
 
 /** A request that DRMAA refuses, with one line of reason. */
-public class Refused(public val fault: Fault, public val reason: String) : Exception(reason)
+public class Refused(public val fault: Fault, public val reason: String, cause: Throwable? = null) :
+    Exception(reason, cause)
 
 /** Members `start, start + step, …` up to `end`, as the specification counts bulk jobs. */
 public data class Bulk(val start: Int, val end: Int, val step: Int) {
@@ -47,15 +48,11 @@
             val wrongWay = if (step > 0) end < start else end > start
             if (wrongWay) throw Refused(Fault.InvalidArgumentException, "bulk: the end lies before the start")
             // Checked one by one: sums of what a client sends may overflow.
-            if (maxOf(start, end) > Int.MAX_VALUE ||
-                step !in Int.MIN_VALUE..Int.MAX_VALUE
-            ) {
+            if (maxOf(start, end) > Int.MAX_VALUE || step !in Int.MIN_VALUE..Int.MAX_VALUE) {
                 throw Refused(Fault.InvalidArgumentException, "bulk: an index out of range")
             }
             val bulk = Bulk(start.toInt(), end.toInt(), step.toInt())
-            if (bulk.members >
-                JobCodec.MAX_TASKS
-            ) {
+            if (bulk.members > JobCodec.MAX_TASKS) {
                 throw Refused(Fault.InvalidArgumentException, "bulk: more than ${JobCodec.MAX_TASKS} members")
             }
             return bulk
@@ -81,23 +78,35 @@
         val native = native(template.text("native"))
         val startAt = template.time("startAt")
         val deadline = template.time("deadlineAt")
-        if (deadline != null &&
-            deadline <= (startAt ?: now)
-        ) {
-            conflict("deadlineTime lies before startTime, or has passed")
-        }
-        if (deadline != null && CLOSING in native) conflict("deadlineTime and $CLOSING in nativeSpecification")
+        if (deadline != null) checkDeadline(deadline, startAt ?: now, native)
         val runs = template.number("softRunS")
         if (runs != null && HAUL in native) conflict("softRunDurationLimit and $HAUL in nativeSpecification")
         if (bulk != null && TASKS in native) conflict("a bulk job and $TASKS in nativeSpecification")
+        val body = body(name, team, template, bulk, native)
+        if (runs != null) body[HAUL] = runs
+        // A deadline counts from the submission, which for a job that starts later is when it starts.
+        if (deadline != null) {
+            body[CLOSING] = (deadline - (startAt?.takeIf { it > now } ?: now)).toDouble(DurationUnit.SECONDS)
+        }
+        val spec = decoded(body, native)
+        if (bulk != null && spec.kind != JobKind.ARRAY) {
+            conflict("a bulk job of kind ${body["lotKind"]}: its members are independent tasks")
+        }
+        return Checked(spec, extra(template, bulk), template.flag("hold") ?: false, startAt?.takeIf { it > now })
+    }
+
+    /** The native body: defaults, then the category, the command's image, and the template's own native fields. */
+    private fun body(
+        name: JobName,
+        team: TeamName,
+        template: JsonObject,
+        bulk: Bulk?,
+        native: Map<String, Any?>,
+    ): MutableMap<String, Any?> {
         val body = LinkedHashMap(DEFAULTS)
         val category = template.text("category")
-        if (category !=
-            null
-        ) {
-            body.putAll(
-                categories[category] ?: value("jobCategory: unknown; known are ${categories.keys.sorted()}"),
-            )
+        if (category != null) {
+            body.putAll(categories[category] ?: value("jobCategory: unknown; known are ${categories.keys.sorted()}"))
         }
         template.text("command")?.let { body.putIfAbsent(IMAGE, it) }
         body.putAll(native)
@@ -105,27 +114,19 @@
         body["desk"] = team.text
         body.putIfAbsent("lotClass", category ?: "drmaa")
         if (bulk != null) body[TASKS] = bulk.members.toLong()
-        if (runs != null) body[HAUL] = runs
-        // A deadline counts from the submission, which for a job that starts later is when it starts.
-        if (deadline !=
-            null
-        ) {
-            body[CLOSING] = (deadline - (startAt?.takeIf { it > now } ?: now)).toDouble(DurationUnit.SECONDS)
-        }
-        val spec = try {
-            JobCodec.decode(JsonObject.of(body))
-        } catch (e: MalformedJson) {
-            throw Refused(
-                Fault.InvalidAttributeValueException,
-                "${attributeOf(e.message.orEmpty(), native)}: ${e.message}",
-            )
-        }
-        if (bulk != null &&
-            spec.kind != JobKind.ARRAY
-        ) {
-            conflict("a bulk job of kind ${body["lotKind"]}: its members are independent tasks")
-        }
-        return Checked(spec, extra(template, bulk), template.flag("hold") ?: false, startAt?.takeIf { it > now })
+        return body
+    }
+
+    private fun checkDeadline(deadline: WallTime, start: WallTime, native: Map<String, Any?>) {
+        if (deadline <= start) conflict("deadlineTime lies before startTime, or has passed")
+        if (CLOSING in native) conflict("deadlineTime and $CLOSING in nativeSpecification")
+    }
+
+    private fun decoded(body: Map<String, Any?>, native: Map<String, Any?>): JobSpec = try {
+        JobCodec.decode(JsonObject.of(body))
+    } catch (e: MalformedJson) {
+        val reason = "${attributeOf(e.message.orEmpty(), native)}: ${e.message}"
+        throw Refused(Fault.InvalidAttributeValueException, reason, e)
     }
 
     private fun unknown(template: JsonObject) {
@@ -140,9 +141,7 @@
         val fields = LinkedHashMap<String, Any?>()
         for (pair in text.split(' ', '\t', '\n').filter { it.isNotEmpty() }) {
             val key = pair.substringBefore('=')
-            if ('=' !in
-                pair
-            ) {
+            if ('=' !in pair) {
                 throw Refused(
                     Fault.InvalidAttributeFormatException,
                     "nativeSpecification: \"$key\" is no key=value",
@@ -177,7 +176,7 @@
     private fun <T> formed(read: () -> T): T = try {
         read()
     } catch (e: MalformedJson) {
-        throw Refused(Fault.InvalidAttributeFormatException, e.message.orEmpty())
+        throw Refused(Fault.InvalidAttributeFormatException, e.message.orEmpty(), e)
     }
 
     private fun JsonObject.text(name: String): String? = formed { stringOrNull(name) }
@@ -188,9 +187,7 @@
 
     private fun JsonObject.time(name: String): WallTime? = formed { longOrNull(name) }?.let(::WallTime)
         ?.also {
-            if (it.ms < 0 ||
-                it > LATEST
-            ) {
+            if (it.ms < 0 || it > LATEST) {
                 throw Refused(Fault.InvalidAttributeValueException, "$name: out of range")
             }
         }
--- a/src/main/kotlin/org/elderhitch/drmaa/Tokens.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Tokens.kt
@@ -24,7 +24,7 @@
 public class BadToken(message: String) : Exception(message)
 
 /** The key file can't be used; the message names the file and the line. */
-public class BadKeys(message: String) : Exception(message)
+public class BadKeys(message: String, cause: Throwable? = null) : Exception(message, cause)
 
 /**
  * Tokens: what they say, and a MAC over it under a key of the operators. Two keys may be valid at once: the first
@@ -58,22 +58,18 @@
         if (parts.size != PARTS) throw BadToken("not a token")
         val key = keys.firstOrNull { it.id == parts[0] } ?: throw BadToken("a token of a key that is not valid here")
         val signed = key.sign(token.substringBeforeLast('.'))
-        if (!MessageDigest.isEqual(
-                signed.toByteArray(),
-                parts.last().toByteArray(),
-            )
-        ) {
+        if (!MessageDigest.isEqual(signed.toByteArray(), parts.last().toByteArray())) {
             throw BadToken("not a token of ours")
         }
-        val team = TeamName(String(Base64.decodeBase64(parts[2]), Charsets.UTF_8))
+        val team = TeamName(String(Base64.decodeBase64(parts[TEAM]), Charsets.UTF_8))
         return when (parts[1]) {
             "g" -> {
-                val until = parts[3].toLongOrNull() ?: throw BadToken("not a token of ours")
+                val until = parts[SUBJECT].toLongOrNull() ?: throw BadToken("not a token of ours")
                 if (until != 0L && now > WallTime(until)) throw BadToken("the grant has run out")
                 Claim.Grant(team, if (until == 0L) null else WallTime(until))
             }
 
-            "s" -> Claim.InSession(team, SessionName.parse(parts[3]) ?: throw BadToken("not a token of ours"))
+            "s" -> Claim.InSession(team, SessionName.parse(parts[SUBJECT]) ?: throw BadToken("not a token of ours"))
 
             else -> throw BadToken("not a token of ours")
         }
@@ -91,6 +87,9 @@
     private fun packed(team: TeamName): String = Base64.encodeBase64URLSafeString(team.text.toByteArray())
 
     public companion object {
+        /** Parts of a token: key, kind, team, session or end of the grant, MAC. */
+        private const val TEAM = 2
+        private const val SUBJECT = 3
         private const val PARTS = 5
         private const val LONGEST = 1000
         private const val BYTE = 0xff
@@ -107,7 +106,7 @@
             val lines = try {
                 file.readLines()
             } catch (e: IOException) {
-                throw BadKeys("$file can't be read: ${e.message}")
+                throw BadKeys("$file can't be read: ${e.message}", e)
             }
             return parse(file.name, lines)
         }
@@ -121,9 +120,7 @@
                 if (!ID.matches(id)) throw BadKeys("$name:${n + 1}: the key's name must match $ID")
                 if (keys.any { it.first == id }) throw BadKeys("$name:${n + 1}: the name $id is taken")
                 val bytes = if (Base64.isBase64(secret)) Base64.decodeBase64(secret) else ByteArray(0)
-                if (bytes.size <
-                    LEAST_SECRET
-                ) {
+                if (bytes.size < LEAST_SECRET) {
                     throw BadKeys("$name:${n + 1}: the secret is no base64 of at least $LEAST_SECRET bytes")
                 }
                 keys.add(id to bytes)
--- a/src/main/kotlin/org/elderhitch/drmaa/Waits.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Waits.kt
@@ -199,14 +199,14 @@
             sessionRegistry.tell(BookMessage.Await(session, woken))
             try {
                 attempt()?.let { return it }
-                if (!waits(woken, deadline)) return WaitAnswer.NotYet(upTo)
+                if (!awaitChange(woken, deadline)) return WaitAnswer.NotYet(upTo)
             } finally {
                 sessionRegistry.tell(BookMessage.Done(session, woken))
             }
         }
     }
 
-    private suspend fun waits(woken: CompletableDeferred<Unit>, deadline: MonotonicInstant): Boolean {
+    private suspend fun awaitChange(woken: CompletableDeferred<Unit>, deadline: MonotonicInstant): Boolean {
         val left = deadline - clock.now()
         if (!left.isPositive()) return false
         if (held >= most) throw Refused(Fault.TryLaterException, "as many waits are held as this node has sockets for")
--- a/src/main/kotlin/org/elderhitch/drmaa/client/ClientSession.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/client/ClientSession.kt
@@ -80,9 +80,7 @@
     }
 
     private fun fields(session: Active, template: JobTemplate): Map<String, Any?> {
-        if (template !in
-            session.templates
-        ) {
+        if (template !in session.templates) {
             throw InvalidJobTemplateException("not a template of this session, or deleted")
         }
         return (template as Template).fields()
@@ -135,9 +133,7 @@
             done += now
             if (left == 0L) return
             if (now > 0) idleSince = clock.nowMs()
-            if (clock.nowMs() - idleSince >
-                PATIENCE_MS
-            ) {
+            if (clock.nowMs() - idleSince > PATIENCE_MS) {
                 throw TryLaterException("$word of all jobs: $done are done, $left are not yet")
             }
             read { answer.objectOrNull("upto") }?.let { upTo ->
@@ -151,10 +147,7 @@
         val session = active()
         val deadline = deadline(timeout)
         if (jobIds.isEmpty()) return
-        val pieces = if (jobIds.any {
-                it == Session.JOB_IDS_SESSION_ALL
-            }
-        ) {
+        val pieces = if (jobIds.any { it == Session.JOB_IDS_SESSION_ALL }) {
             listOf(listOf(Session.JOB_IDS_SESSION_ALL))
         } else {
             jobIds.chunked(PIECE)
@@ -221,7 +214,7 @@
     private fun <T> read(field: () -> T): T = try {
         field()
     } catch (e: MalformedJson) {
-        throw DrmCommunicationException("the daemon's answer can't be read: ${e.message}")
+        throw DrmCommunicationException("the daemon's answer can't be read: ${e.message}").apply { initCause(e) }
     }
 
     private class Info(private val answer: JsonObject) : JobInfo {
@@ -234,7 +227,9 @@
             val account = try {
                 answer.objectOrNull("account")
             } catch (e: MalformedJson) {
-                throw DrmCommunicationException("the daemon's answer can't be read: ${e.message}")
+                throw DrmCommunicationException("the daemon's answer can't be read: ${e.message}").apply {
+                    initCause(e)
+                }
             }
             val counted = USAGE.mapNotNull { (field, name) -> account?.raw(field)?.let { name to it.toString() } }
             return counted.toMap() + (answer.raw("tasks")?.let { mapOf("tasks_done" to it.toString()) }.orEmpty())
--- a/src/main/kotlin/org/elderhitch/drmaa/client/Template.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/client/Template.kt
@@ -42,9 +42,7 @@
     override fun getArgs(): List<String>? = args
 
     override fun setJobSubmissionState(state: Int) {
-        if (state != JobTemplate.HOLD_STATE &&
-            state != JobTemplate.ACTIVE_STATE
-        ) {
+        if (state != JobTemplate.HOLD_STATE && state != JobTemplate.ACTIVE_STATE) {
             throw InvalidAttributeValueException("jobSubmissionState: neither HOLD_STATE nor ACTIVE_STATE")
         }
         this.state = state
@@ -64,9 +62,7 @@
                 "workingDirectory: neither absolute nor beginning with the home directory's placeholder",
             )
         }
-        if (wd != null &&
-            JobTemplate.WORKING_DIRECTORY in wd
-        ) {
+        if (wd != null && JobTemplate.WORKING_DIRECTORY in wd) {
             throw InvalidAttributeFormatException("workingDirectory: can't be relative to itself")
         }
         placeholders("workingDirectory", wd)
@@ -107,9 +103,7 @@
     override fun getStartTime(): PartialTimestamp? = startTime
 
     override fun setJobName(name: String?) {
-        if (name != null &&
-            (name.isEmpty() || name.length > LONGEST_NAME || name.any { !it.isLetterOrDigit() && it !in "_-." })
-        ) {
+        if (name != null && !isJobName(name)) {
             throw InvalidAttributeValueException("jobName: letters, digits, _ - and . only, at most $LONGEST_NAME")
         }
         this.name = name
@@ -117,6 +111,9 @@
 
     override fun getJobName(): String? = name
 
+    private fun isJobName(text: String): Boolean =
+        text.length in 1..LONGEST_NAME && text.all { it.isLetterOrDigit() || it in "_-." }
+
     override fun setInputPath(inputPath: String?) {
         input = path("inputPath", inputPath)
     }
@@ -186,9 +183,7 @@
 
     private fun placeholders(attribute: String, path: String?) {
         for (place in listOf(JobTemplate.HOME_DIRECTORY, JobTemplate.WORKING_DIRECTORY)) {
-            if (path != null &&
-                path.lastIndexOf(place) > 0
-            ) {
+            if (path != null && path.lastIndexOf(place) > 0) {
                 throw InvalidAttributeFormatException("$attribute: $place stands at the beginning only")
             }
         }
@@ -199,9 +194,7 @@
      * [InvalidJobTemplateException].
      */
     fun fields(): Map<String, Any?> {
-        if (remoteCommand == null &&
-            category == null
-        ) {
+        if (remoteCommand == null && category == null) {
             throw InvalidJobTemplateException("neither remoteCommand nor jobCategory is set")
         }
         return linkedMapOf(
@@ -211,9 +204,7 @@
             "email" to email?.toList(), "blockEmail" to (if (blockEmail) true else null), "category" to category,
             "native" to native,
             "hold" to (
-                if (state ==
-                    JobTemplate.HOLD_STATE
-                ) {
+                if (state == JobTemplate.HOLD_STATE) {
                     true
                 } else {
                     null
@@ -228,7 +219,7 @@
     private fun moment(attribute: String, time: PartialTimestamp): Long = try {
         time.getTimeInMillis()
     } catch (e: IllegalArgumentException) {
-        throw InvalidAttributeValueException("$attribute: ${e.message}")
+        throw InvalidAttributeValueException("$attribute: ${e.message}").apply { initCause(e) }
     }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/drmaa/client/Wire.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/client/Wire.kt
@@ -41,14 +41,10 @@
             if (!rest.startsWith(SCHEME)) throw InvalidContactStringException("a contact string begins with $SCHEME")
             val nodes = rest.removePrefix(SCHEME).substringBefore('?').split(',')
             val token = rest.substringAfter("?$TOKEN", "")
-            if (nodes.isEmpty() ||
-                nodes.any { !NODE.matches(it) }
-            ) {
+            if (nodes.isEmpty() || nodes.any { !NODE.matches(it) }) {
                 throw InvalidContactStringException("the contact string names no addresses of the form HOST:PORT")
             }
-            if (token.isEmpty() ||
-                token.any { it <= ' ' }
-            ) {
+            if (token.isEmpty() || token.any { it <= ' ' }) {
                 throw InvalidContactStringException("the contact string has no token")
             }
             return ContactString(nodes, token)
@@ -155,7 +151,7 @@
     private fun decoded(body: ByteArray): JsonObject = try {
         Json.parseObject(body)
     } catch (e: MalformedJson) {
-        throw DrmCommunicationException("the daemon's answer can't be read: ${e.message}")
+        throw DrmCommunicationException("the daemon's answer can't be read: ${e.message}").apply { initCause(e) }
     }
 
     private fun fault(answer: NodeAnswer): DrmaaException {
@@ -199,9 +195,7 @@
 
             "DrmCommunicationException" -> DrmCommunicationException(reason)
 
-            else -> if (answer.status ==
-                NOT_FOUND
-            ) {
+            else -> if (answer.status == NOT_FOUND) {
                 DrmCommunicationException("the controllers don't serve DRMAA: $reason")
             } else {
                 InternalException(reason)
--- a/src/main/kotlin/org/elderhitch/sweeps/Acceptance.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Acceptance.kt
@@ -59,29 +59,21 @@
             }
         }
         val good = first ?: return Checked.Refused(bad, badCount, "no point is well-formed")
-        if (badCount > 0 &&
-            description.onBad == OnBad.REFUSE
-        ) {
+        if (badCount > 0 && description.onBad == OnBad.REFUSE) {
             return Checked.Refused(bad, badCount, "$badCount of $points points are malformed")
         }
         return Checked.Fine(skipped, bad, badCount, good, seconds, tasks)
     }
 
     private fun refusal(spec: JobSpec, first: JobSpec?): JobResponse? {
-        if (spec.kind ==
-            JobKind.SERVICE
-        ) {
+        if (spec.kind == JobKind.SERVICE) {
             throw BadPoint("lotKind", "a service never ends, so the points after it would never start")
         }
         if (first == null) return null
-        if (spec.team !=
-            first.team
-        ) {
+        if (spec.team != first.team) {
             throw BadPoint("desk", "a sweep is one team's, and its first point is ${first.team}'s")
         }
-        if (spec.jobClass !=
-            first.jobClass
-        ) {
+        if (spec.jobClass != first.jobClass) {
             throw BadPoint("lotClass", "a sweep is of one class, and its first point of ${first.jobClass}")
         }
         return null
--- a/src/main/kotlin/org/elderhitch/sweeps/AdmissionWindow.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/AdmissionWindow.kt
@@ -115,9 +115,7 @@
             if (opened[state.id]?.points?.remove(first + at) == true) jobs(JobEvent.Ended(state.id.point(first + at)))
         }
         if (state.open == 0) {
-            if (loop !=
-                null
-            ) {
+            if (loop != null) {
                 log.info(
                     "sweep ended sweep={} done={} withdrawn={} skipped={}",
                     state.id,
--- a/src/main/kotlin/org/elderhitch/sweeps/DescriptionStore.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/DescriptionStore.kt
@@ -122,9 +122,7 @@
                 is CommitOutcome.Committed -> return Put.RECORDED
 
                 is CommitOutcome.Conflict -> return when (val read = client.read(key, RequestPriority.PROGRESS)) {
-                    is ReadOutcome.Found -> if (read.entry.value.stringOrNull("data") ==
-                        data
-                    ) {
+                    is ReadOutcome.Found -> if (read.entry.value.stringOrNull("data") == data) {
                         Put.RECORDED
                     } else {
                         Put.OTHER
@@ -162,9 +160,7 @@
                         Condition(SweepKeys.manifest(id), Revision.ABSENT),
                         Condition(
                             first,
-                            if (entry.key ==
-                                first
-                            ) {
+                            if (entry.key == first) {
                                 entry.version
                             } else {
                                 Revision.ABSENT
--- a/src/main/kotlin/org/elderhitch/sweeps/Points.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Points.kt
@@ -96,10 +96,7 @@
                 } else {
                     listOf(entry)
                 }
-                if (row.any {
-                        it == null || it is List<*> || it is Map<*, *>
-                    }
-                ) {
+                if (row.any { it == null || it is List<*> || it is Map<*, *> }) {
                     throw BadTemplate("points.grid.$key: an entry is no text, number, true or false")
                 }
             }
@@ -114,17 +111,12 @@
                         "points.grid.$key: \"${text.take(SHOWN)}\" is no range like \"0.1 .. 0.9 step 0.1\"",
                     )
             val (first, last, step) = try {
-                Triple(
-                    BigDecimal(parts[1]),
-                    BigDecimal(parts[2]),
-                    if (parts[3].isEmpty()) BigDecimal.ONE else BigDecimal(parts[3]),
-                )
+                val (from, to, by) = parts.drop(1)
+                Triple(BigDecimal(from), BigDecimal(to), if (by.isEmpty()) BigDecimal.ONE else BigDecimal(by))
             } catch (_: NumberFormatException) {
                 throw BadTemplate("points.grid.$key: \"${text.take(SHOWN)}\" has a number that is none")
             }
-            if (step.signum() == 0 ||
-                (last - first).signum() * step.signum() < 0
-            ) {
+            if (step.signum() == 0 || (last - first).signum() * step.signum() < 0) {
                 throw BadTemplate("points.grid.$key: never gets from $first to $last by $step")
             }
             val steps = (last - first).divideToIntegralValue(step)
@@ -149,14 +141,10 @@
 
     override fun values(point: Int): Map<String, Any?> {
         val row = row(point)
-        if (row.size !=
-            columns.size
-        ) {
+        if (row.size != columns.size) {
             throw BadPoint(
                 columns.getOrElse(row.size) { "row" },
-                if (row.size <
-                    columns.size
-                ) {
+                if (row.size < columns.size) {
                     "the row is cut short"
                 } else {
                     "the row has ${row.size} values for ${columns.size} columns"
@@ -183,9 +171,7 @@
             private val starts = it.unimi.dsi.fastutil.ints.IntArrayList()
 
             init {
-                if (columns.isEmpty() ||
-                    columns.any { it.isBlank() }
-                ) {
+                if (columns.isEmpty() || columns.any { it.isBlank() }) {
                     throw BadTemplate("columns: a header without a name")
                 }
                 columns.groupBy {
@@ -201,9 +187,7 @@
                 val line =
                     row.joinToString(FIELD.toString()) { field ->
                         field.map {
-                            if (it <
-                                ' '
-                            ) {
+                            if (it < ' ') {
                                 ' '
                             } else {
                                 it
--- a/src/main/kotlin/org/elderhitch/sweeps/Sources.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sources.kt
@@ -30,9 +30,9 @@
         val json = try {
             Json.parseObject(file.readBytes())
         } catch (e: MalformedJson) {
-            throw BadTemplate("$file: ${e.message}")
+            throw BadTemplate("$file: ${e.message}", e)
         } catch (e: IOException) {
-            throw BadTemplate("$file can't be read: ${e.message}")
+            throw BadTemplate("$file can't be read: ${e.message}", e)
         }
         return Description.parse(json, table?.let(::csv) ?: points(json, file))
     }
@@ -56,11 +56,11 @@
         } catch (_: CharacterCodingException) {
             throw BadTemplate("${file.name}: not UTF-8")
         } catch (e: UncheckedIOException) {
-            throw BadTemplate(
-                if (e.cause is CharacterCodingException) "${file.name}: not UTF-8" else "${file.name} can't be read: ${e.cause?.message}",
-            )
+            val encoding = e.cause is CharacterCodingException
+            val reason = if (encoding) ": not UTF-8" else " can't be read: ${e.cause?.message}"
+            throw BadTemplate(file.name + reason, e)
         } catch (e: IOException) {
-            throw BadTemplate("${file.name} can't be read: ${e.message}")
+            throw BadTemplate("${file.name} can't be read: ${e.message}", e)
         }
     }
 
@@ -71,15 +71,11 @@
         ).skipEmptyLines(true).ofCsvRecord(from).forEach { record: CsvRecord ->
             val row = record.fields.map { it.trim() }
             val rows = builder
-            if (rows ==
-                null
-            ) {
+            if (rows == null) {
                 builder =
                     Table.Companion.Builder(
                         row.mapIndexed { n, column ->
-                            if (n ==
-                                0
-                            ) {
+                            if (n == 0) {
                                 column.removePrefix("\uFEFF")
                             } else {
                                 column
@@ -93,15 +89,13 @@
         builder?.build() ?: throw BadTemplate("$name: empty")
     } catch (e: CsvParseException) {
         val cause = e.cause
-        throw if (cause is CharacterCodingException ||
-            cause?.cause is CharacterCodingException
-        ) {
+        throw if (cause is CharacterCodingException || cause?.cause is CharacterCodingException) {
             BadTemplate("$name: not UTF-8")
         } else {
             BadTemplate("$name: ${e.message}")
         }
     } catch (e: BadTemplate) {
-        throw BadTemplate("$name: ${e.message}")
+        throw BadTemplate("$name: ${e.message}", e)
     }
 
     /**
@@ -111,12 +105,14 @@
      */
     public fun script(name: String, script: String, seed: Long): Table {
         val prelude = "local seed = $seed; local state = (seed * 2654435761 + 12345) % 2147483648; " +
-            "local function random() state = (state * 1103515245 + 12345) % 2147483648; return state / 2147483648 end; " +
-            "math.random = function(a, b) local r = random(); if not a then return r end; if not b then a, b = 1, a end; return a + math.floor(r * (b - a + 1)) end; math.randomseed = nil; "
+            "local function random() state = (state * 1103515245 + 12345) % 2147483648; " +
+            "return state / 2147483648 end; " +
+            "math.random = function(a, b) local r = random(); if not a then return r end; " +
+            "if not b then a, b = 1, a end; return a + math.floor(r * (b - a + 1)) end; math.randomseed = nil; "
         val rows = try {
             rowsOf(LuaScript.table(name, prelude + script))
         } catch (e: BadScript) {
-            throw BadTemplate(e.message.orEmpty())
+            throw BadTemplate(e.message.orEmpty(), e)
         }
         val columns = rows.flatMap { it.keys }.distinct().sorted()
         val builder = Table.Companion.Builder(columns)
--- a/src/main/kotlin/org/elderhitch/sweeps/Sweep.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sweep.kt
@@ -93,7 +93,7 @@
                 atOnce.toInt(),
             )
         } catch (e: MalformedJson) {
-            throw BadTemplate(e.message.orEmpty())
+            throw BadTemplate(e.message.orEmpty(), e)
         }
 
         /** Throws [BadTemplate] for what [pack] did not make. */
@@ -101,11 +101,9 @@
             val json = try {
                 Json.parseObject(decompress(packed))
             } catch (e: MalformedJson) {
-                throw BadTemplate("the description is ${e.message}")
+                throw BadTemplate("the description is ${e.message}", e)
             }
-            if (json.raw("v") !=
-                VERSION
-            ) {
+            if (json.raw("v") != VERSION) {
                 throw BadTemplate("the description has format ${json.raw("v")}, known is $VERSION")
             }
             return parse(json)
@@ -123,14 +121,12 @@
             // Told by the sender: what it would take is bounded before it is taken.
             if (size !in 1..MOST_BYTES) throw BadTemplate("the description would be $size bytes")
             val out = ByteArray(size.toInt())
-            if (decompressor.decompress(packed, 0, packed.size, out, 0, out.size) !=
-                out.size
-            ) {
+            if (decompressor.decompress(packed, 0, packed.size, out, 0, out.size) != out.size) {
                 throw BadTemplate("the description is cut short")
             }
             out
         } catch (e: io.airlift.compress.MalformedInputException) {
-            throw BadTemplate("the description can't be unpacked: ${e.message}")
+            throw BadTemplate("the description can't be unpacked: ${e.message}", e)
         }
 
         /** A checksum of the packed description; it names the content, and tells a torn one. */
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepCommands.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepCommands.kt
@@ -46,7 +46,7 @@
 private fun read(file: String, points: String?): Description = try {
     Sources.read(File(file), points?.let(::File))
 } catch (e: BadTemplate) {
-    throw CliktError(e.message, statusCode = USAGE)
+    throw CliktError(e.message, e, statusCode = USAGE)
 }
 
 private class TemplateCheckCommand : CoreCliktCommand(name = "check") {
@@ -84,15 +84,13 @@
 
     override fun run() {
         val description = read(file, points)
-        if (point >=
-            description.points.count
-        ) {
+        if (point >= description.points.count) {
             throw CliktError("--point: there are ${description.points.count} points, from 0", statusCode = USAGE)
         }
         try {
             echo(Json.text(description.body(SweepId("sample"), point)))
         } catch (e: BadPoint) {
-            throw CliktError("row ${point + 1}: ${e.message}", statusCode = REFUSED)
+            throw CliktError("row ${point + 1}: ${e.message}", e, statusCode = REFUSED)
         }
     }
 }
@@ -137,7 +135,11 @@
     /** The answer's body, or the end of the command. */
     protected fun fine(told: Told): JsonObject = when (told) {
         is Told.NoResponse -> throw CliktError(
-            if (told.mayBeDone) "no answer: it may have been carried out; the same command again tells, and does no harm" else "no controller answers",
+            if (told.mayBeDone) {
+                "no answer: it may have been carried out; the same command again tells, and does no harm"
+            } else {
+                "no controller answers"
+            },
             statusCode = NO_ANSWER,
         )
 
@@ -150,9 +152,7 @@
         }
         throw CliktError(
             "${told.status} ${told.body.stringOrNull("error") ?: "refused"}",
-            statusCode = if (told.status ==
-                BUSY
-            ) {
+            statusCode = if (told.status == BUSY) {
                 NO_ANSWER
             } else {
                 REFUSED
@@ -216,9 +216,7 @@
     }
 
     private fun write(folder: File, name: SweepId, description: Description) {
-        if (!folder.isDirectory &&
-            !folder.mkdirs()
-        ) {
+        if (!folder.isDirectory && !folder.mkdirs()) {
             throw CliktError("--upload: $folder is no folder and can't be made", statusCode = USAGE)
         }
         for (point in 0 until description.points.count) {
@@ -227,7 +225,7 @@
             } catch (_: BadPoint) {
                 continue
             } catch (e: java.io.IOException) {
-                throw CliktError("--upload: $folder can't be written: ${e.message}", statusCode = USAGE)
+                throw CliktError("--upload: $folder can't be written: ${e.message}", e, statusCode = USAGE)
             }
         }
     }
@@ -342,9 +340,7 @@
                 if (onTerminal) echo("\n" + line(shown))
                 return
             }
-            if (SystemSteadyClock.now() >=
-                until
-            ) {
+            if (SystemSteadyClock.now() >= until) {
                 throw CliktError("$open points are still open", statusCode = NO_ANSWER)
             }
             runBlocking { delay(POLL) }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepRegistry.kt
@@ -10,6 +10,8 @@
 internal object SweepKeys {
     private const val HERE = "v/a/sweeps/"
 
+    private const val BLOCK_PARTS = 3
+
     /** Parts stand beside what every node lists at start. */
     const val PARTS: String = "v/sweeps/p/"
 
@@ -28,7 +30,7 @@
         val id = SweepId.parse(parts[0]) ?: return null
         return when {
             parts.size == 2 && parts[1] == "m" -> id to null
-            parts.size == 3 && parts[1] == "b" -> parts[2].toIntOrNull()?.takeIf { it >= 0 }?.let { id to it }
+            parts.size == BLOCK_PARTS && parts[1] == "b" -> parts[2].toIntOrNull()?.takeIf { it >= 0 }?.let { id to it }
             else -> null
         }
     }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepService.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepService.kt
@@ -78,9 +78,7 @@
     }
 
     private suspend fun part(id: SweepId, number: Int?, body: JsonObject): Response {
-        if (number == null ||
-            number !in 0 until Parts.MOST
-        ) {
+        if (number == null || number !in 0 until Parts.MOST) {
             throw MalformedJson("part: not from 0 to ${Parts.MOST - 1}")
         }
         return when (library.put(id, number, body.string("data"))) {
@@ -106,45 +104,46 @@
         if (parts !in 1..Parts.MOST) throw MalformedJson("parts: not from 1 to ${Parts.MOST}")
         if (!context.sync()) return later("the state service doesn't answer")
         sweepRegistry.of(id)?.let { return repeated(it, sum) }
-        val packed = when (val read = library.parts(id, parts)) {
-            is Reading.Packed -> read
-            is Reading.Missing -> return HttpServer.refusal(CONFLICT, "part ${read.part} is missing")
-            Reading.NotNow -> return later("the state service doesn't answer")
-        }
-        if (Description.sum(packed.bytes) !=
-            sum
-        ) {
-            return HttpServer.refusal(CONFLICT, "the parts are not those of sum $sum")
+        return when (val read = library.parts(id, parts)) {
+            is Reading.Packed -> if (Description.sum(read.bytes) == sum) {
+                accept(id, body, read)
+            } else {
+                HttpServer.refusal(CONFLICT, "the parts are not those of sum $sum")
+            }
+
+            is Reading.Missing -> HttpServer.refusal(CONFLICT, "part ${read.part} is missing")
+
+            Reading.NotNow -> later("the state service doesn't answer")
         }
+    }
+
+    private suspend fun accept(id: SweepId, body: JsonObject, packed: Reading.Packed): Response {
         val description = Description.unpack(packed.bytes)
         val dry = body.booleanOrNull("dry") ?: false
         return when (val checked = acceptance.check(id, description)) {
-            is Checked.Refused -> Response(
-                BAD,
-                Json.bytes(
-                    linkedMapOf(
-                        "error" to checked.reason,
-                        "bad_count" to checked.badCount,
-                        "bad" to checked.bad.map(::told),
-                    ),
-                ),
-            )
+            is Checked.Refused -> refused(checked)
 
             is Checked.NotNow -> later(checked.reason)
 
             is Checked.Fine -> if (dry) {
-                ok(
-                    estimate(id, description, checked),
-                )
+                ok(estimate(id, description, checked))
             } else {
-                record(id, parts, sum, packed.firstPart, description, checked)
+                val parts = body.count("parts").toInt()
+                record(id, parts, body.string("sum"), packed.firstPart, description, checked)
             }
         }
     }
 
-    private fun repeated(state: SweepState, sum: String): Response = if (state.manifest.sum ==
-        sum
-    ) {
+    private fun refused(checked: Checked.Refused): Response {
+        val body = linkedMapOf(
+            "error" to checked.reason,
+            "bad_count" to checked.badCount,
+            "bad" to checked.bad.map(::told),
+        )
+        return Response(BAD, Json.bytes(body))
+    }
+
+    private fun repeated(state: SweepState, sum: String): Response = if (state.manifest.sum == sum) {
         ok(shown(state))
     } else {
         HttpServer.refusal(CONFLICT, "another sweep has the name ${state.id}")
@@ -158,9 +157,7 @@
         description: Description,
         checked: Checked.Fine,
     ): Response {
-        if (sweepRegistry.all.count { it.open > 0 } >=
-            settings.mostOpen
-        ) {
+        if (sweepRegistry.all.count { it.open > 0 } >= settings.mostOpen) {
             return Response(
                 BUSY,
                 Json.bytes(mapOf("error" to "${settings.mostOpen} sweeps are open")),
@@ -177,9 +174,7 @@
                 context.wallClock.now(),
                 acceptance.packed(checked.skipped),
             )
-        if (Json.bytes(manifest.encode()).size >
-            valueBytes
-        ) {
+        if (Json.bytes(manifest.encode()).size > valueBytes) {
             return HttpServer.refusal(BAD, "too many malformed points lie scattered: ${checked.badCount}")
         }
         val accepted = endings.accept(id, manifest, firstPart) ?: return later("the state service takes no record now")
@@ -332,16 +327,11 @@
     private suspend fun cancel(state: SweepState, body: JsonObject): Response {
         val from = body.longOrNull("from") ?: 0
         val to = body.longOrNull("to") ?: (state.points - 1L)
-        if (from < 0 ||
-            to < from ||
-            from >= state.points
-        ) {
+        if (from < 0 || to < from || from >= state.points) {
             throw MalformedJson("from, to: no points of 0 to ${state.points - 1}")
         }
         val range = from.toInt()..minOf(to, state.points - 1L).toInt()
-        if (endings.cancel(state, range) ==
-            Withdrawal.NOT_NOW
-        ) {
+        if (endings.cancel(state, range) == Withdrawal.NOT_NOW) {
             return later("the state service takes no record now; what was not recorded is asked for again")
         }
         log.info("sweep withdrawn sweep={} points={}", state.id, range)
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepState.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepState.kt
@@ -74,9 +74,7 @@
     public val withdrawnCount: Int get() = cancelled.count
 
     /** [at]: the point's place in the block. */
-    public fun endOf(at: Int): PointEnd? = if (at in
-        done
-    ) {
+    public fun endOf(at: Int): PointEnd? = if (at in done) {
         PointEnd.DONE
     } else if (at in cancelled) {
         PointEnd.WITHDRAWN
@@ -124,9 +122,7 @@
         /** Throws [MalformedJson] for a value that this program did not write. */
         public fun decode(number: Int, points: Int, value: JsonObject, version: Revision): Block {
             val empty = empty(number, points)
-            if (!empty.done.unpack(0, value.string("d")) ||
-                !empty.cancelled.unpack(0, value.string("w"))
-            ) {
+            if (!empty.done.unpack(0, value.string("d")) || !empty.cancelled.unpack(0, value.string("w"))) {
                 throw MalformedJson("a block's points are none of its")
             }
             return Block(number, empty.done, empty.cancelled, Work.decode(value.obj("work")), version)
@@ -154,9 +150,7 @@
         return true
     }
 
-    public fun endOf(point: Int): PointEnd? = if (point in
-        skipped
-    ) {
+    public fun endOf(point: Int): PointEnd? = if (point in skipped) {
         PointEnd.SKIPPED
     } else {
         blocks[point / Block.SIZE].endOf(point % Block.SIZE)
--- a/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
@@ -98,7 +98,9 @@
                 PointEnd.DONE -> "point $point of sweep $id is done"
                 PointEnd.WITHDRAWN -> "point $point of sweep $id was withdrawn"
                 PointEnd.SKIPPED -> "point $point of sweep $id is malformed and was skipped: it is no job"
-                null -> "point $point of sweep $id is open, as ${state.open} of ${state.points}; points are started in their order, at most so many at a time as the sweep asked for"
+                null ->
+                    "point $point of sweep $id is open, as ${state.open} of ${state.points}; points are started in " +
+                        "their order, at most so many at a time as the sweep asked for"
             },
         )
     }
@@ -113,8 +115,8 @@
         // An answer that isn't final is never older than one that another node gave.
         if (!context.sync()) return JobResponse.NotNow("the state service doesn't answer")
         final(id, sweep, point)?.let { return it }
-        val state = sweepRegistry.of(sweep)?.takeIf { point < it.points } ?: return JobResponse.Unknown
-        if (state.endOf(point) == PointEnd.SKIPPED) return JobResponse.Unknown
+        val state = sweepRegistry.of(sweep)
+        if (state == null || point >= state.points || state.endOf(point) == PointEnd.SKIPPED) return JobResponse.Unknown
         return JobResponse.State(id, JobStatus.open(0, context.running(id)))
     }
 
@@ -147,9 +149,7 @@
         val shown = show(id)
         val state = sweepRegistry.of(sweep)
         if (shown !is JobResponse.State || state == null) return shown
-        return if (endings.cancel(state, point..point) ==
-            Withdrawal.RECORDED
-        ) {
+        return if (endings.cancel(state, point..point) == Withdrawal.RECORDED) {
             show(id)
         } else {
             JobResponse.NotNow("the state service takes no record now")
--- a/src/main/kotlin/org/elderhitch/sweeps/Template.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Template.kt
@@ -7,13 +7,22 @@
 import org.elderhitch.json.MalformedJson
 
 /** What a parameter's values are. */
-public enum class ParamType { TEXT, WHOLE, NUMBER, FLAG }
+public enum class ParamType(
+    /** Its name in a template. */
+    internal val word: String,
+) {
+    TEXT("text"),
+    WHOLE("whole"),
+    NUMBER("number"),
+    FLAG("flag"),
+}
 
 /** A point that its template can't make a job of. [column]: the parameter or field at fault. */
-public class BadPoint(public val column: String, public val reason: String) : Exception("$column: $reason")
+public class BadPoint(public val column: String, public val reason: String, cause: Throwable? = null) :
+    Exception("$column: $reason", cause)
 
 /** A template that can't be used, whatever the point. */
-public class BadTemplate(message: String) : Exception(message)
+public class BadTemplate(message: String, cause: Throwable? = null) : Exception(message, cause)
 
 /** A parameter of a template: its type, what it is without a value, and what values it may have. */
 public class Param internal constructor(
@@ -27,27 +36,37 @@
 ) {
     /** The value as its type has it. Throws [BadPoint]. */
     public fun typed(raw: Any): Any {
-        val value: Any? = when (type) {
-            ParamType.TEXT -> raw.toString()
+        val value = converted(raw) ?: throw BadPoint(name, "\"${raw.toString().take(SHOWN)}\" is no ${type.word}")
+        if (value is String) checkText(value)
+        if (value is Number) checkRange(value)
+        if (choices != null && value !in choices) throw BadPoint(name, "$value is none of $choices")
+        return value
+    }
 
-            ParamType.WHOLE -> raw as? Long ?: raw.toString().trim().toLongOrNull()
+    /** Null: it can't be read as a value of this type. */
+    private fun converted(raw: Any): Any? = when (type) {
+        ParamType.TEXT -> raw.toString()
 
-            ParamType.NUMBER -> (raw as? Number)?.toDouble()
-                ?: raw.toString().trim().toDoubleOrNull()?.takeIf { it.isFinite() }
+        ParamType.WHOLE -> raw as? Long ?: raw.toString().trim().toLongOrNull()
 
-            ParamType.FLAG -> raw as? Boolean ?: raw.toString().trim().lowercase().toBooleanStrictOrNull()
-        }
-        if (value == null) throw BadPoint(name, "\"${raw.toString().take(SHOWN)}\" is no ${type.name.lowercase()}")
-        if (value is String && value.length > LONGEST) throw BadPoint(name, "over $LONGEST characters")
-        if (value is String && value.any { it < ' ' }) throw BadPoint(name, "has control characters")
-        val number = (value as? Number)?.toDouble()
-        if (number != null &&
-            (least != null && number < least || most != null && number > most)
-        ) {
+        ParamType.NUMBER -> (raw as? Number)?.toDouble()
+            ?: raw.toString().trim().toDoubleOrNull()?.takeIf { it.isFinite() }
+
+        ParamType.FLAG -> raw as? Boolean ?: raw.toString().trim().lowercase().toBooleanStrictOrNull()
+    }
+
+    private fun checkText(value: String) {
+        if (value.length > LONGEST) throw BadPoint(name, "over $LONGEST characters")
+        if (value.any { it < ' ' }) throw BadPoint(name, "has control characters")
+    }
+
+    private fun checkRange(value: Number) {
+        val number = value.toDouble()
+        val tooSmall = least != null && number < least
+        val tooLarge = most != null && number > most
+        if (tooSmall || tooLarge) {
             throw BadPoint(name, "$value is not from ${least ?: "any"} to ${most ?: "any"}")
         }
-        if (choices != null && value !in choices) throw BadPoint(name, "$value is none of $choices")
-        return value
     }
 
     private companion object {
@@ -140,41 +159,38 @@
 
         private fun param(name: String, from: JsonObject): Param = try {
             if (!NAME.matches(name)) throw BadTemplate("params.$name: a name is letters, digits and _, at most 40")
-            from.names.firstOrNull {
-                it !in PARAM_FIELDS
-            }?.let { throw BadTemplate("params.$name.$it: unknown; known are ${PARAM_FIELDS.sorted()}") }
-            val word = from.stringOrNull("type") ?: "text"
-            val type =
-                ParamType.entries.firstOrNull { it.name.lowercase() == word }
-                    ?: throw BadTemplate(
-                        "params.$name.type: $word is none of ${ParamType.entries.map {
-                            it.name.lowercase()
-                        }}",
-                    )
-            val bounds = listOf("least", "most").map { from.raw(it) as? Number }
-            listOf("least", "most").forEachIndexed { n, key ->
-                if (from.has(key) &&
-                    bounds[n] == null
-                ) {
-                    throw BadTemplate("params.$name.$key: must be a number")
-                }
-            }
-            val plain = Param(name, type, null, bounds[0]?.toDouble(), bounds[1]?.toDouble(), null)
-            val choices = (from.raw("choices") as? List<*>)?.map {
-                plain.typed(it ?: throw BadTemplate("params.$name.choices: null"))
-            }
-            if (choices != null &&
-                (choices.isEmpty() || choices.size > MOST_CHOICES)
-            ) {
-                throw BadTemplate("params.$name.choices: not from 1 to $MOST_CHOICES")
-            }
-            Param(name, type, from.raw("default"), bounds[0]?.toDouble(), bounds[1]?.toDouble(), choices).also { made ->
+            val unknown = from.names.firstOrNull { it !in PARAM_FIELDS }
+            if (unknown != null) throw BadTemplate("params.$name.$unknown: unknown; known are ${PARAM_FIELDS.sorted()}")
+            val type = paramType(name, from.stringOrNull("type") ?: "text")
+            val least = bound(name, from, "least")
+            val most = bound(name, from, "most")
+            val choices = choices(from, Param(name, type, null, least, most, null))
+            Param(name, type, from.raw("default"), least, most, choices).also { made ->
                 made.default?.let { if (places(it).isEmpty()) made.typed(it) }
             }
         } catch (e: BadPoint) {
-            throw BadTemplate("params.$name: ${e.reason}")
+            throw BadTemplate("params.$name: ${e.reason}", e)
         } catch (e: MalformedJson) {
-            throw BadTemplate("params.$name.${e.message}")
+            throw BadTemplate("params.$name.${e.message}", e)
+        }
+
+        private fun paramType(name: String, word: String): ParamType = ParamType.entries.firstOrNull { it.word == word }
+            ?: throw BadTemplate("params.$name.type: $word is none of ${ParamType.entries.map { it.word }}")
+
+        private fun bound(name: String, from: JsonObject, key: String): Double? {
+            val value = from.raw(key) as? Number
+            if (from.has(key) && value == null) throw BadTemplate("params.$name.$key: must be a number")
+            return value?.toDouble()
+        }
+
+        /** The values that [plain], a parameter without choices, may have; null: any. */
+        private fun choices(from: JsonObject, plain: Param): List<Any>? {
+            val listed = from.raw("choices") as? List<*> ?: return null
+            val choices = listed.map { plain.typed(it ?: throw BadTemplate("params.${plain.name}.choices: null")) }
+            if (choices.isEmpty() || choices.size > MOST_CHOICES) {
+                throw BadTemplate("params.${plain.name}.choices: not from 1 to $MOST_CHOICES")
+            }
+            return choices
         }
 
         /** Each after those that its default names. Throws [BadTemplate] for a circle. */
@@ -182,9 +198,7 @@
             val done = LinkedHashMap<String, Param>()
             fun add(param: Param, path: List<String>) {
                 if (param.name in done) return
-                if (param.name in
-                    path
-                ) {
+                if (param.name in path) {
                     throw BadTemplate(
                         "params.${param.name}.default: goes in a circle: ${(path + param.name).joinToString(
                             " -> ",
--- a/src/main/kotlin/org/ggf/drmaa/PartialTimestamp.kt
+++ b/src/main/kotlin/org/ggf/drmaa/PartialTimestamp.kt
@@ -155,42 +155,36 @@
 
     /** The times in question, soonest first. A day that not every month has comes up within eight years. */
     private fun candidates(here: LocalDateTime): Sequence<Guess> = sequence {
-        val years = if (isSet(
-                YEAR,
-            )
-        ) {
-            listOf(century(here) * YEARS + fields[YEAR])
-        } else {
-            (here.year..here.year + LEAP_GAP).toList()
-        }
-        for (year in years) {
-            for (month in if (isSet(MONTH)) fields[MONTH]..fields[MONTH] else 0 until MONTHS) {
-                val days = Year.of(year).atMonth(month + 1).lengthOfMonth()
-                val day = fields[DAY_OF_MONTH]
-                if (day != UNSET && day > days) continue
-                for (d in if (day != UNSET) day..day else 1..days) {
-                    if (!isSet(YEAR) &&
-                        LocalDateTime.of(year, month + 1, d, LAST_HOUR, LAST_MINUTE).isBefore(here)
-                    ) {
-                        continue
-                    }
-                    for (hour in if (isSet(
-                            HOUR_OF_DAY,
-                        )
-                    ) {
-                        fields[HOUR_OF_DAY]..fields[HOUR_OF_DAY]
-                    } else {
-                        0..LAST_HOUR
-                    }) {
-                        yield(
-                            Guess(year, month, d, hour),
-                        )
-                    }
+        for (year in years(here)) {
+            for (month in fixedOr(MONTH, 0 until MONTHS)) {
+                for (day in daysOf(year, month)) {
+                    val lastMinute = LocalDateTime.of(year, month + 1, day, LAST_HOUR, LAST_MINUTE)
+                    if (!isSet(YEAR) && lastMinute.isBefore(here)) continue
+                    for (hour in fixedOr(HOUR_OF_DAY, 0..LAST_HOUR)) yield(Guess(year, month, day, hour))
                 }
             }
         }
     }
 
+    private fun years(here: LocalDateTime): IntRange {
+        if (!isSet(YEAR)) return here.year..here.year + LEAP_GAP
+        val year = century(here) * YEARS + fields[YEAR]
+        return year..year
+    }
+
+    private fun fixedOr(field: Int, all: IntRange): IntRange = if (isSet(field)) fields[field]..fields[field] else all
+
+    /** The days in question of a month; none if it has not as many days as the timestamp asks for. */
+    private fun daysOf(year: Int, month: Int): IntRange {
+        val days = Year.of(year).atMonth(month + 1).lengthOfMonth()
+        val day = fields[DAY_OF_MONTH]
+        return when {
+            day == UNSET -> 1..days
+            day > days -> IntRange.EMPTY
+            else -> day..day
+        }
+    }
+
     private fun century(here: LocalDateTime): Int = if (isSet(CENTURY)) fields[CENTURY] else here.year / YEARS
 
     private fun modified(time: LocalDateTime): LocalDateTime = time
@@ -262,9 +256,7 @@
             val offset = time.get(PartialTimestamp.ZONE_OFFSET)
             val size = Math.abs(offset)
             append(
-                if (offset <
-                    0
-                ) {
+                if (offset < 0) {
                     " -"
                 } else {
                     " +"
@@ -280,11 +272,11 @@
         val match =
             FORM.matchEntire(text.trim())
                 ?: throw ParseException("not of the form [[[[CC]YY/]MM/]DD] hh:mm[:ss] [{-|+}UU:uu]: $text", 0)
-        val (century, year, month, day, hour, minute, second) = match.destructured
+        val fields = match.groupValues.subList(1, 1 + PartialTimestamp.SECOND + 1)
         val (sign, hours, minutes) = match.groupValues.takeLast(OFFSET_GROUPS)
         val time = PartialTimestamp()
         try {
-            for ((field, value) in listOf(century, year, month, day, hour, minute, second).withIndex()) {
+            for ((field, value) in fields.withIndex()) {
                 if (value.isNotEmpty()) time.set(field, value.toInt() - (if (field == PartialTimestamp.MONTH) 1 else 0))
             }
             if (sign.isNotEmpty()) {
@@ -294,7 +286,7 @@
                 )
             }
         } catch (e: IllegalArgumentException) {
-            throw ParseException("$text: ${e.message}", 0)
+            throw ParseException("$text: ${e.message}", 0).apply { initCause(e) }
         }
         return time
     }
@@ -304,7 +296,8 @@
         const val OFFSET_GROUPS = 3
         val FORM =
             Regex(
-                "(?:(?:(?:(\\d\\d)?(\\d\\d)/)?(\\d\\d)/)?(\\d\\d)\\s+)?(\\d\\d):(\\d\\d)(?::(\\d\\d))?(?:\\s*([+-])(\\d\\d):(\\d\\d))?",
+                "(?:(?:(?:(\\d\\d)?(\\d\\d)/)?(\\d\\d)/)?(\\d\\d)\\s+)?" +
+                    "(\\d\\d):(\\d\\d)(?::(\\d\\d))?(?:\\s*([+-])(\\d\\d):(\\d\\d))?",
             )
     }
 }
--- /dev/null
+++ b/src/test/kotlin/org/elderhitch/drmaa/SessionResultsTest.kt
@@ -0,0 +1,170 @@
+package org.elderhitch.drmaa
+
+import kotlinx.coroutines.delay
+import org.elderhitch.jobs.JobId
+import org.elderhitch.lab.Fate
+import org.elderhitch.lab.WireClient
+import org.elderhitch.store.Keys
+import kotlin.test.Test
+import kotlin.test.assertEquals
+import kotlin.test.assertNotEquals
+import kotlin.test.assertNotNull
+import kotlin.test.assertTrue
+import kotlin.time.Duration.Companion.seconds
+
+/** Waits for results: each is told once, whatever nodes and clients fail. */
+internal class SessionResultsTest : DrmaaScenario() {
+    @Test
+    fun `jobs and members of bulk jobs are waited for, each once, with their account`() = drmaa { settings ->
+        val client = client(settings)
+        val job = client.submitted(short)
+        val bulk = client.submitted(short, members = 3)
+        assertTrue(bulk.endsWith("x3"))
+        val info = assertNotNull(client.wait(job, 60.seconds))
+        assertEquals(true, info.body.raw("done"))
+        assertEquals(1L, info.body.obj("account").long("tries"))
+        val members = (0 until 3).map { assertNotNull(client.wait(WireClient.ANY, 60.seconds)).body.string("job") }
+        assertEquals((0 until 3).map { "$bulk/$it" }.toSet(), members.toSet())
+        val after = assertNotNull(client.wait(WireClient.ANY, 60.seconds))
+        assertEquals(404 to "InvalidJobException", after.status to after.fault)
+        assertEquals("InvalidJobException", client.wait(job, 5.seconds)?.fault)
+        assertEquals("DONE", client.status(job))
+        // The native path tells the same of the same job.
+        assertEquals("done", standing(job))
+    }
+
+    @Test
+    fun `a client that went away finds its result at another node, once`() = drmaa { settings ->
+        val client = client(settings)
+        val job = client.submitted(short)
+        val request = client.request()
+        // Its first wait is answered, and the answer never seen.
+        assertNotNull(client.wait(job, 60.seconds, request, node = "n0"))
+        val again = joining(client, "clientaa")
+        for (node in names) assertEquals(job, again.wait(job, 30.seconds, request, node)?.body?.string("job"), node)
+        assertEquals("InvalidJobException", again.wait(job, 10.seconds)?.fault)
+    }
+
+    @Test
+    fun `two clients of a session that wait for any get different results`() = drmaa { settings ->
+        val one = client(settings)
+        val two = joining(one, "clientbb", shift = 1)
+        val jobs = List(12) { one.submitted(short) }
+        val taken = ArrayList<String>()
+        val waits = listOf(one, two).map { client ->
+            backgroundly {
+                while (true) {
+                    val answer = client.wait(WireClient.ANY, 120.seconds) ?: break
+                    if (answer.status != 200) break
+                    taken.add(answer.body.string("job"))
+                }
+            }
+        }
+        waits.forEach { it.await() }
+        assertEquals(jobs.sorted(), taken.sorted())
+    }
+
+    @Test
+    fun `the node that holds a wait dies, or stands still, and the result goes to its client once`() =
+        drmaa { settings ->
+            val client = client(settings)
+            val job = client.submitted(mapOf("category" to "long", "native" to "haulS=12"))
+            val request = client.request()
+            val waiting = backgroundly { client.wait(job, 120.seconds, request) }
+            delay(2.seconds)
+            crash("n0")
+            delay(3.seconds)
+            freeze("n1")
+            delay(20.seconds)
+            thaw("n1")
+            startNode("n0")
+            assertEquals(job, waiting.await()?.body?.string("job"))
+            assertEquals("InvalidJobException", client.wait(job, 10.seconds)?.fault)
+        }
+
+    @Test
+    fun `a reap that is carried out late, after another client took the result, changes nothing`() = drmaa { settings ->
+        val one = client(settings)
+        val two = joining(one, "clientbb")
+        val job = one.submitted(short)
+        until("done", 60.seconds) { standing(job) == "done" }
+        fateOf =
+            { node, commit -> if (node == "n0" && "v/drmaa/r/" in commit) Fate.Late(30.seconds) else Fate.Answered }
+        val stuck = backgroundly { one.wait(job, 8.seconds, node = "n0") }
+        delay(3.seconds)
+        val taken = two.wait(job, 8.seconds, node = "n1")
+        fateOf = { _, _ -> Fate.Answered }
+        val first = stuck.await()
+        // Exactly one of the two has it, and it stays so when the late one arrives.
+        assertEquals(
+            1,
+            listOfNotNull(first, taken).count {
+                it.status == 200
+            },
+            "${first?.body?.raw("error")} ${taken?.body?.raw("error")}",
+        )
+        delay(40.seconds)
+        val third = joining(one, "clientcc")
+        assertEquals("InvalidJobException", third.wait(job, 10.seconds)?.fault)
+    }
+
+    @Test
+    fun `an answer lost with its reap is the same when asked for again`() = drmaa { settings ->
+        val client = client(settings)
+        val jobs = List(2) { client.submitted(short) }
+        until("done", 90.seconds) { jobs.all { standing(it) == "done" } }
+        var lost = 0
+        fateOf = { _, commit -> if ("v/drmaa/r/" in commit && lost++ == 0) Fate.AnswerLost else Fate.Answered }
+        val request = client.request()
+        val first = assertNotNull(client.wait(WireClient.ANY, 60.seconds, request))
+        assertEquals(first.body.string("job"), client.wait(WireClient.ANY, 60.seconds, request)?.body?.string("job"))
+        assertNotEquals(first.body.string("job"), client.wait(WireClient.ANY, 60.seconds)?.body?.string("job"))
+        assertTrue(lost > 0)
+    }
+
+    @Test
+    fun `the leader dies between a job's end and its reap, and the others know the result`() = drmaa { settings ->
+        val client = client(settings)
+        val jobs = List(3) { client.submitted(short) }
+        until("done", 90.seconds) { jobs.all { platform.state.value(Keys.terminalRecord(JobId(it))) != null } }
+        crash(assertNotNull(leader()))
+        assertEquals(
+            jobs.toSet(),
+            List(3) {
+                assertNotNull(client.wait(WireClient.ANY, 60.seconds)).body.string("job")
+            }.toSet(),
+        )
+        // A node that starts now has seen nothing of it, and reads what it needs.
+        val gone = names.first { ask("POST", "/drmaa/nowhere", emptyMap(), node = it).first == 503 }
+        startNode(gone)
+        until("it is up", 20.seconds) { client.ask("status", mapOf("job" to jobs[0]), 1.seconds, gone).status == 200 }
+        assertEquals("InvalidJobException", client.wait(jobs[1], 20.seconds, node = gone)?.fault)
+    }
+
+    @Test
+    fun `more waits than a node has room for are refused at once, with when to come back`() = drmaa { settings ->
+        val client = client(settings)
+        client.submitted(mapOf("category" to "long"))
+        val from = clock.now()
+        // A quarter of the 1,024 sockets that settings without a limit mean.
+        val waits = List(300) { n ->
+            backgroundly {
+                client.ask(
+                    "wait",
+                    mapOf(
+                        "request" to "clientaa-${1000 + n}",
+                        "job" to WireClient.ANY,
+                        "holdMs" to 15_000,
+                    ),
+                    0.seconds,
+                    "n1",
+                ) to
+                    clock.now() - from
+            }
+        }.map { it.await() }
+        val refused = waits.filter { it.first.status == 503 }
+        assertEquals(300 - 256, refused.size)
+        assertTrue(refused.all { it.first.fault == "TryLaterException" && it.second < 1.seconds })
+        assertTrue(waits.filter { it.first.status == 200 }.all { it.second > 14.seconds })
+    }
+}
