--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -94,7 +94,7 @@
         settings.cloud,
         RequestRateLimiter(
             clock,
-            settings.cloudLimits.requestsPerS * CloudCallScheduler.USABLE,
+            settings.cloudLimits.requestsPerS * CloudCallScheduler.USABLE_SHARE,
         ),
     )
     private val wiring: SchedulerWiring = SchedulerWiring(
@@ -297,10 +297,10 @@
 
         override fun leadership(message: LeadershipMessage) = leadership.tell(message)
 
-        override fun entitled(leadershipState: LeadershipState.Leader): Boolean =
+        override fun maySendCommands(leadershipState: LeadershipState.Leader): Boolean =
             this@Controller.entitled(leadershipState)
 
-        override fun ordered(counts: Map<String, Any?>) {
+        override fun publishActions(counts: Map<String, Any?>) {
             orderedOfCloud = counts
         }
     }
--- a/src/main/kotlin/org/elderhitch/fleet/Fleet.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Catalog.kt
@@ -4,22 +4,28 @@
 import org.elderhitch.jobs.MachineType
 import org.elderhitch.jobs.Resources
 import org.elderhitch.settings.Zone
-import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
-/** A kind of machine that the cloud rents out. */
+/** A machine type that the cloud offers. */
 public data class TypeInfo(
     val name: MachineType,
     val resources: Resources,
+    /** Size of the local image cache, in GB. */
     val cacheGb: Double,
+    /** Rate at which images are fetched, in GB a second. */
     val fetchGbPerS: Double,
+    /** Price of an on-demand machine, in the cloud's own unit. */
     val price: Double,
+    /** Price of a spot machine, in the same unit. */
     val spotPrice: Double,
+    /** Usual time from the request until the machine is up, as the cloud states it. */
     val bootTime: Duration,
     val zones: List<Zone>,
 )
 
+/** The machine types that the cloud offers, by name. */
 public class Catalog(public val types: Map<MachineType, TypeInfo>) {
+    /** No type is known: the catalog was not fetched yet. */
     public val isEmpty: Boolean get() = types.isEmpty()
 
     public fun resources(type: MachineType): Resources? = types[type]?.resources
@@ -31,7 +37,7 @@
             spec.resources.fitsIn(it.resources)
     }
 
-    /** Where machines could be rented on which a task of the job may run. */
+    /** The markets in which machines could be provisioned on which a task of the job is allowed to run. */
     public fun markets(spec: JobSpec): List<Market> = fitting(spec)
         .flatMap { type ->
             type.zones.flatMap { zone -> listOf(Market(type.name, zone, true), Market(type.name, zone, false)) }
@@ -42,33 +48,3 @@
         public val EMPTY: Catalog = Catalog(emptyMap())
     }
 }
-
-/** A machine that is rented, or may be. */
-public data class Machine(val id: MachineId, val type: MachineType, val zone: Zone, val spot: Boolean)
-
-/** What the leader's table says of a machine whose worker reports. */
-public data class MachineUse(
-    val id: MachineId,
-    val busy: Resources,
-    /** The part of [busy] that would make room for production work. */
-    val yielding: Resources,
-    /** The part of [busy] that is expected to end while a machine would boot. */
-    val ending: Resources,
-    /** The part of [busy] that services take. */
-    val serving: Resources,
-    val usable: Boolean,
-    /** How long nothing has been there; null: something is. */
-    val idle: Duration?,
-    val faulty: Boolean,
-)
-
-/** A place where machines are rented: refusals hold for the whole of it. */
-public data class Market(val type: MachineType, val zone: Zone, val spot: Boolean)
-
-/** A machine as the plan sees it. */
-public data class PlannedMachine(
-    val machine: Machine,
-    val hiredAt: MonotonicInstant,
-    /** Null while it boots. */
-    val use: MachineUse?,
-)
--- a/src/main/kotlin/org/elderhitch/fleet/CatalogRefresher.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CatalogRefresher.kt
@@ -20,88 +20,97 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Keeps the machine types that the cloud states. The leader leaves a copy in the state service, so that a node which
- * starts while the cloud is down can still tell which jobs could run.
+ * Keeps the catalog of machine types up to date. The leader stores a copy in the state service, so that a node which
+ * starts while the cloud is unavailable can still tell which jobs could run.
  */
 public class CatalogRefresher(
     private val scope: CoroutineScope,
     private val cloud: CloudClient,
     private val store: StateClient,
-    private val valueBytes: Int,
-    /** Whether what the state service holds is known here, the machine types that a leader left there included. */
-    private val loaded: () -> Boolean,
+    /** The largest value that the state service takes, in bytes. */
+    private val maxValueBytes: Int,
+    /** Whether this node has read the state service, and so the stored catalog if there is one. */
+    private val isStoreLoaded: () -> Boolean,
     private val onCatalog: (Catalog) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
     private var catalog = Catalog.EMPTY
-    private var kept = false
 
+    /** A copy is stored, or is too large to be. */
+    private var isStored = false
+
+    /** Whether a task of the job could run on any machine type; null: no catalog is known yet. */
     public fun canEverRun(spec: JobSpec): Boolean? = if (catalog.isEmpty) null else catalog.fitting(spec).isNotEmpty()
 
+    /** Begins to refresh the catalog, in the background. */
     public fun start(leadershipState: StateFlow<LeadershipState>) {
         scope.launch {
-            // Seven controllers that all came back asked at once, at 1.5 requests a second: the new leader's list of
-            // machines was refused, and its takeover
-            // waited 6 s for machines that were long gone. Only a leader asks at once; the others mostly find in the
-            // state service what it learnt.
-            for (tick in 0 until FIRST_TICKS) {
-                if (leadershipState.value !is LeadershipState.Leader &&
-                    !(loaded() && !catalog.isEmpty)
-                ) {
-                    delay(FIRST_TICK)
-                }
-            }
+            awaitLeadershipOrCatalog(leadershipState)
             while (true) {
-                val leadership = leadershipState.value as? LeadershipState.Leader
-                if (catalog.isEmpty || leadership != null) {
-                    cloud.catalog()?.let { fresh ->
-                        set(fresh)
-                        leadership?.let { keep(it) }
-                    }
-                }
-                delay(if (catalog.isEmpty) FIRST_RETRY else REFRESH)
+                refresh(leadershipState.value as? LeadershipState.Leader)
+                delay(if (catalog.isEmpty) RETRY_INTERVAL else REFRESH_INTERVAL)
             }
         }
     }
 
-    private fun set(fresh: Catalog) {
+    /**
+     * Gives a node that does not lead time to find the catalog in the state service. When seven controllers that came
+     * back together all asked the cloud at once, at 1.5 requests a second, the new leader's list of machines was
+     * refused, and its takeover waited 6 s for machines that were long gone.
+     */
+    private suspend fun awaitLeadershipOrCatalog(leadershipState: StateFlow<LeadershipState>) {
+        repeat(STARTUP_CHECKS) {
+            val isCatalogKnown = isStoreLoaded() && !catalog.isEmpty
+            if (leadershipState.value !is LeadershipState.Leader && !isCatalogKnown) delay(STARTUP_CHECK_INTERVAL)
+        }
+    }
+
+    /** [leadership] is null on a node that follows, which asks the cloud only while it knows no catalog. */
+    private suspend fun refresh(leadership: LeadershipState.Leader?) {
+        if (!catalog.isEmpty && leadership == null) return
+        val fresh = cloud.catalog() ?: return
+        update(fresh)
+        if (leadership != null) storeCopy(leadership)
+    }
+
+    private fun update(fresh: Catalog) {
         catalog = fresh
         onCatalog(fresh)
     }
 
-    private suspend fun keep(leadership: LeadershipState.Leader) {
-        // Prices move all the time; a copy with older ones serves as well.
-        if (kept) return
-        val value = mapOf("rigs" to catalog.types.values.map(CatalogCodec::encode))
+    /** Stores the catalog once: prices change all the time, and a copy with older ones serves as well. */
+    private suspend fun storeCopy(leadership: LeadershipState.Leader) {
+        if (isStored) return
+        val value = CatalogCodec.encodeTypes(catalog.types.values)
         val bytes = Json.bytes(value)
-        if (bytes.size > valueBytes) {
-            kept = true
-            log.info("machine types not kept bytes={}", bytes.size)
+        if (bytes.size > maxValueBytes) {
+            isStored = true
+            log.info("machine types not stored bytes={}", bytes.size)
             return
         }
-        kept =
-            store.commit(
-                listOf(Condition(Keys.TERM, leadership.termRevision)),
-                listOf(Write.Put(Keys.TYPES, value)),
-                RequestPriority.OTHER,
-            ) is
-                CommitOutcome.Committed
+        val outcome = store.commit(
+            listOf(Condition(Keys.TERM, leadership.termRevision)),
+            listOf(Write.Put(Keys.TYPES, value)),
+            RequestPriority.OTHER,
+        )
+        isStored = outcome is CommitOutcome.Committed
     }
 
+    /** The state service holds a copy of the catalog, which is used until the cloud has answered. */
     public fun stored(entry: Entry) {
         try {
-            val types = entry.value.objects("rigs").map(CatalogCodec::decode)
-            kept = types.isNotEmpty()
-            if (catalog.isEmpty && types.isNotEmpty()) set(Catalog(types.associateBy { it.name }))
+            val types = CatalogCodec.decodeTypes(entry.value)
+            isStored = types.isNotEmpty()
+            if (catalog.isEmpty && types.isNotEmpty()) update(Catalog(types.associateBy { it.name }))
         } catch (e: MalformedJson) {
             log.error("machine types malformed reason=\"{}\"", e.message)
         }
     }
 
     private companion object {
-        val FIRST_RETRY = 1.seconds
-        val FIRST_TICK = 100.milliseconds
-        const val FIRST_TICKS = 20
-        val REFRESH = 30.seconds
+        const val STARTUP_CHECKS = 20
+        val STARTUP_CHECK_INTERVAL = 100.milliseconds
+        val RETRY_INTERVAL = 1.seconds
+        val REFRESH_INTERVAL = 30.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/CloudCallScheduler.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudCallScheduler.kt
@@ -5,125 +5,121 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Why a machine is returned. [ifSilent]: only for as long as its worker says nothing. */
-public enum class TerminationReason(public val word: String, internal val ifSilent: Boolean) {
-    SUSPECTED("silent", true),
-
-    /** It may run something of an earlier term, and has said nothing in this one. */
-    NEVER_SEEN("unheard", true),
-    FAILED("failed", false),
-    IDLE("idle", false),
-}
-
 /**
- * Whose turn it is at the cloud, whose rate all of a leader's requests share. Orders wait here rather than for the
- * rate: machines to be returned until they
- * fill a request, so that one whose worker speaks up meanwhile is spared; hires until they can be sent, so that what is
- * asked for is what is needed then.
+ * Shares the cloud's request rate, [perSecond], fairly between a leader's terminations, lists and provisioning requests.
+ *
+ * Work waits here rather than in the rate limiter: terminations until they fill a request, so that one whose machine
+ * sends a heartbeat meanwhile can be cancelled; provisioning until it can be sent, so that it follows the demand of
+ * that moment.
  *
- * Seen at 1.5 requests a second: for 45 s each request returned one or two silent machines, the list of 603 machines
- * took most of the rest, and not one
- * machine was hired while 2,000 tasks waited.
+ * Without this, at 1.5 requests a second, each request terminated one or two suspected machines, the list of 603
+ * machines took most of the rest, and no machine was provisioned for 45 s while 2,000 tasks waited.
  */
 internal class CloudCallScheduler(private val perSecond: Double) {
-    private val returning = LinkedHashMap<MachineId, TerminationReason>()
-    private var returnedAt = MonotonicInstant.NEVER
-    private var returnsOut = 0
-    private var listing = false
+    private val terminations = LinkedHashMap<MachineId, TerminationReason>()
+    private var lastTerminationAt = MonotonicInstant.NEVER
+    private var terminationsInFlight = 0
+    private var isListing = false
     private var listedAt = MonotonicInstant.NEVER
-    private var pages = 1
+    private var listPages = 1
 
+    /** Forgets all that belongs to the term before. */
     fun newTerm() {
-        returning.clear()
-        returnedAt = MonotonicInstant.NEVER
-        returnsOut = 0
-        listing = false
+        terminations.clear()
+        lastTerminationAt = MonotonicInstant.NEVER
+        terminationsInFlight = 0
+        isListing = false
         listedAt = MonotonicInstant.NEVER
-        pages = 1
+        listPages = 1
     }
 
-    // ---- returns -----------------------------------------------------------------------------------------------
+    // ---- terminations ------------------------------------------------------------------------------------------
 
-    fun wantReturned(machines: Collection<MachineId>, reason: TerminationReason) {
-        for (machine in machines) returning.putIfAbsent(machine, reason)
+    /** Queues the machines for termination; one that is queued already keeps its reason. */
+    fun enqueueTerminations(machines: Collection<MachineId>, reason: TerminationReason) {
+        for (machine in machines) terminations.putIfAbsent(machine, reason)
     }
 
-    /** Its worker has spoken. True: it was to be returned for its silence, and that has not gone out. */
-    fun spare(machine: MachineId): Boolean = returning[machine]?.ifSilent == true && returning.remove(machine) != null
+    /** Takes a machine whose worker sent a heartbeat out of the queue, if its reason is cancellable. True: it was. */
+    fun cancelTermination(machine: MachineId): Boolean =
+        terminations[machine]?.cancellable == true && terminations.remove(machine) != null
 
-    /** It is gone already. */
-    fun gone(machine: MachineId) {
-        returning.remove(machine)
+    /** The machine is gone already: it need not be terminated. */
+    fun removeGone(machine: MachineId) {
+        terminations.remove(machine)
     }
 
     /**
-     * The machines whose return goes out now, with the reason of each; empty: none. Every other turn is left to hires,
-     * whatever is to be returned: the return of a
-     * machine is one name more in a request, while a hire is a request of its own.
+     * The machines to terminate now, with the reason of each; empty if it is not the turn of a termination. However
+     * many are queued, every other turn is left to provisioning: one more machine to terminate is one more name in a
+     * request, while each provisioning needs a request of its own.
      */
-    fun returns(now: MonotonicInstant): Map<MachineId, TerminationReason> {
-        if (returning.isEmpty() ||
-            returnsOut >= MOST_OUT ||
-            now - returnedAt < span(1, RETURNS_SHARE)
-        ) {
-            return emptyMap()
-        }
-        returnedAt = now
-        returnsOut++
+    fun nextTerminations(now: MonotonicInstant): Map<MachineId, TerminationReason> {
+        val isBlocked = terminationsInFlight >= MAX_TERMINATIONS_IN_FLIGHT ||
+            now - lastTerminationAt < timeOf(1, TERMINATIONS_SHARE)
+        if (terminations.isEmpty() || isBlocked) return emptyMap()
+        lastTerminationAt = now
+        terminationsInFlight++
         val batch = LinkedHashMap<MachineId, TerminationReason>()
-        val waiting = returning.entries.iterator()
-        while (waiting.hasNext() && batch.size < CloudClient.MOST_RELEASED) {
-            val (machine, reason) = waiting.next()
+        val queued = terminations.entries.iterator()
+        while (queued.hasNext() && batch.size < CloudClient.MAX_TERMINATED) {
+            val (machine, reason) = queued.next()
             batch[machine] = reason
-            waiting.remove()
+            queued.remove()
         }
         return batch
     }
 
-    fun returned() {
-        returnsOut--
+    /** A termination request was answered, or its outcome is unknown. */
+    fun terminationCompleted() {
+        terminationsInFlight--
     }
 
-    // ---- the list ----------------------------------------------------------------------------------------------
+    // ---- lists -------------------------------------------------------------------------------------------------
 
-    /** Nothing is known yet of what the cloud says in this term. */
-    val unlisted: Boolean get() = listedAt == MonotonicInstant.NEVER
+    /** Whether no list was received in this term yet. */
+    val neverListed: Boolean get() = listedAt == MonotonicInstant.NEVER
 
-    /** At [least] intervals, and no more of the rate than its share goes on the pages of the list. */
-    fun startList(now: MonotonicInstant, least: Duration): Boolean {
-        if (listing || !unlisted && now - listedAt < maxOf(least, span(pages, LIST_SHARE))) return false
-        listing = true
+    /**
+     * Whether the list is to be requested now: no more often than every [interval], and with no more than its share of
+     * the rate for all its pages. True marks it as under way.
+     */
+    fun startListing(now: MonotonicInstant, interval: Duration): Boolean {
+        val isTooSoon = !neverListed && now - listedAt < maxOf(interval, timeOf(listPages, LISTING_SHARE))
+        if (isListing || isTooSoon) return false
+        isListing = true
         return true
     }
 
-    /** [machines]: how many there were; null: the list could not be had. */
-    fun listed(machines: Int?, now: MonotonicInstant) {
-        listing = false
+    /** The list had [machines] entries; null: it was unavailable. */
+    fun listingCompleted(machines: Int?, now: MonotonicInstant) {
+        isListing = false
         listedAt = now
-        if (machines != null) pages = machines / CloudClient.PAGE + 1
+        if (machines != null) listPages = machines / CloudClient.PAGE_SIZE + 1
     }
 
-    // ---- hires -------------------------------------------------------------------------------------------------
+    // ---- provisioning ------------------------------------------------------------------------------------------
 
-    /** How many requests to rent may be under way at a time. */
-    val mostHiring: Int get() = maxOf(1, perSecond.toInt())
+    /** How many provisioning requests may be in flight at a time. */
+    val maxProvisioningInFlight: Int get() = maxOf(1, perSecond.toInt())
 
     /**
-     * How many may be prepared and under way together: those of one second, as what is needed by the next is known
-     * better then.
+     * How many provisioning intents may be open, in preparation or in flight: those of one second, as the demand is
+     * known better afterwards.
      */
-    val mostOpen: Int get() = ceil(perSecond).toInt()
+    val maxOpenIntents: Int get() = ceil(perSecond).toInt()
 
-    private fun span(requests: Int, share: Double): Duration = (requests / (perSecond * share)).seconds
+    /** How long that many requests take at [share] of the rate. */
+    private fun timeOf(requests: Int, share: Double): Duration = (requests / (perSecond * share)).seconds
 
     companion object {
         /**
-         * Of the cloud's rate: the rest is for a predecessor's last requests, and for other nodes that ask for the
-         * machine types.
+         * The part of the cloud's rate that a leader uses. The rest is for the last requests of the leader before it,
+         * and for other nodes that fetch the catalog.
          */
-        const val USABLE = 0.8
-        private const val RETURNS_SHARE = 0.5
-        private const val LIST_SHARE = 0.25
-        private const val MOST_OUT = 4
+        const val USABLE_SHARE = 0.8
+        private const val TERMINATIONS_SHARE = 0.5
+        private const val LISTING_SHARE = 0.25
+        private const val MAX_TERMINATIONS_IN_FLIGHT = 4
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
@@ -3,171 +3,138 @@
 import org.elderhitch.http.Address
 import org.elderhitch.http.Response
 import org.elderhitch.http.Transport
-import org.elderhitch.jobs.MachineType
-import org.elderhitch.jobs.Resources
 import org.elderhitch.json.Json
-import org.elderhitch.json.JsonObject
 import org.elderhitch.json.decodedFrom
-import org.elderhitch.settings.Zone
 import org.elderhitch.store.RequestPriority
 import org.elderhitch.store.RequestRateLimiter
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
+/** The cloud's answer to a provisioning request. */
 public sealed interface ProvisioningOutcome {
+    /** The machines that were provisioned: fewer than requested, or none, where capacity is short. */
     public data class Provisioned(val machines: List<MachineId>) : ProvisioningOutcome
+
+    /** The market has no capacity; nothing was provisioned. */
     public data object NoCapacity : ProvisioningOutcome
 
-    /** Malformed, by the cloud's word: never to be repeated. */
+    /** The cloud calls the request malformed: it must not be repeated. */
     public data object Rejected : ProvisioningOutcome
 
-    /** Perhaps carried out, perhaps later: the same request must be made again. */
+    /** The request may be carried out, now or later: it must be repeated under the same name. */
     public data object Unknown : ProvisioningOutcome
 }
 
-public class ListedMachine(public val machine: Machine, public val state: String, public val address: Address?)
+/** A machine as the cloud lists it; [state] is the cloud's own word, [address] that of its worker once it is known. */
+public class ListedMachine(public val machine: Machine, public val state: String, public val address: Address?) {
+    /** The machine stopped by itself. */
+    internal val isFailed: Boolean get() = CloudCodec.isFailed(state)
+}
 
+/** The client of the cloud's API. All requests share one rate limiter; none is retried here. */
 public class CloudClient(
     private val transport: Transport,
     private val address: Address,
-    private val budget: RequestRateLimiter,
+    private val rateLimiter: RequestRateLimiter,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
 
+    /** The machine types that the cloud offers; null if they could not be fetched. */
     public suspend fun catalog(): Catalog? {
         val response = call("GET", "/flavors", null, RequestPriority.PROGRESS) ?: return null
-        if (response.status != OK) return null
-        return decodedFrom("cloud", log, null) {
-            val types = Json.parseObject(response.body).objects("rigs").map(::type)
+        if (response.status != STATUS_OK) return null
+        return decodedFrom(PEER, log, null) {
+            val types = CatalogCodec.decodeTypes(Json.parseObject(response.body))
             if (types.isEmpty()) null else Catalog(types.associateBy { it.name })
         }
     }
 
-    private fun type(from: JsonObject): TypeInfo = CatalogCodec.decode(from)
-
-    /** [entitled] is asked last, as the budget may have been waited for, or the process may have stood still. */
-    public suspend fun provision(name: String, market: Market, count: Int, entitled: () -> Boolean): ProvisioningOutcome {
-        val body = Json.bytes(
-            linkedMapOf(
-                "hire" to name,
-                "rig" to market.type.name,
-                "hall" to market.zone.name,
-                "borrowedRigs" to market.spot,
-                "count" to count,
-            ),
-        )
-        val response =
-            call("POST", "/machines", body, RequestPriority.RECORD, entitled) ?: return ProvisioningOutcome.Unknown
-        return decodedFrom("cloud", log, ProvisioningOutcome.Unknown) {
-            when (response.status) {
-                OK -> ProvisioningOutcome.Provisioned(
-                    Json.parseObject(response.body).stringsOrNull("stalls").orEmpty().map(::MachineId),
-                )
-
-                BUSY -> if (response.body.decodeToString().contains(
-                        "no capacity",
-                    )
-                ) {
-                    ProvisioningOutcome.NoCapacity
-                } else {
-                    ProvisioningOutcome.Unknown
-                }
-
-                BAD -> ProvisioningOutcome.Rejected
-
-                else -> ProvisioningOutcome.Unknown
+    /**
+     * Requests [count] machines under [name]; the same name never provisions twice.
+     *
+     * [maySend] is asked immediately before the request is sent, as it may have waited for the rate limiter or the
+     * process may have paused.
+     */
+    public suspend fun provision(
+        name: String,
+        market: Market,
+        count: Int,
+        maySend: () -> Boolean,
+    ): ProvisioningOutcome {
+        val body = CloudCodec.provisioningRequest(name, market, count)
+        val response = call("POST", "/machines", body, RequestPriority.RECORD, maySend)
+            ?: return ProvisioningOutcome.Unknown
+        return decodedFrom(PEER, log, ProvisioningOutcome.Unknown) { provisioningOutcome(response) }
+    }
+
+    private fun provisioningOutcome(response: Response): ProvisioningOutcome = when (response.status) {
+        STATUS_OK -> ProvisioningOutcome.Provisioned(CloudCodec.provisionedMachines(response.body))
+
+        STATUS_UNAVAILABLE ->
+            if (CloudCodec.lacksCapacity(response.body)) {
+                ProvisioningOutcome.NoCapacity
+            } else {
+                ProvisioningOutcome.Unknown
             }
-        }
+
+        STATUS_BAD_REQUEST -> ProvisioningOutcome.Rejected
+
+        else -> ProvisioningOutcome.Unknown
     }
 
-    /** True: they are gone, and all that was on them. A successor may use them by the time the request's turn comes. */
-    public suspend fun terminate(machines: List<MachineId>, entitled: () -> Boolean): Boolean {
-        check(machines.size <= MOST_RELEASED) { "${machines.size} machines in a request" }
-        val body = Json.bytes(mapOf("stalls" to machines.map { it.text }))
-        return call("POST", "/machines/release", body, RequestPriority.LEADERSHIP, entitled)?.status == OK
+    /**
+     * Terminates at most [MAX_TERMINATED] machines. True: they are gone, with all that ran on them.
+     *
+     * [maySend] is asked immediately before the request is sent: a later leader may use the machines by then.
+     */
+    public suspend fun terminate(machines: List<MachineId>, maySend: () -> Boolean): Boolean {
+        check(machines.size <= MAX_TERMINATED) { "${machines.size} machines in a request" }
+        val body = CloudCodec.terminationRequest(machines)
+        return call("POST", "/machines/release", body, RequestPriority.LEADERSHIP, maySend)?.status == STATUS_OK
     }
 
-    /** All machines, or null when some page could not be had. */
-    public suspend fun list(purpose: RequestPriority = RequestPriority.OTHER): List<ListedMachine>? {
+    /** All machines of the cluster; null if any page could not be fetched. */
+    public suspend fun list(priority: RequestPriority = RequestPriority.OTHER): List<ListedMachine>? {
         val all = ArrayList<ListedMachine>()
-        var after: String? = null
-        while (true) {
-            val target = "/machines?page=$PAGE" + (after?.let { "&after=$it" } ?: "")
-            val response = call("GET", target, null, purpose) ?: return null
-            if (response.status != OK) return null
-            val more = decodedFrom("cloud", log, null) {
-                val body = Json.parseObject(response.body)
-                body.objects("stalls").mapTo(all) {
-                    ListedMachine(
-                        Machine(
-                            MachineId(it.string("id")),
-                            MachineType(it.string("rig")),
-                            Zone(it.string("hall")),
-                            it.boolean("borrowedRigs"),
-                        ),
-                        it.string("standing"),
-                        it.stringOrNull("addr")?.let(Address::parse),
-                    )
-                }
-                body.boolean("more")
-            } ?: return null
-            if (!more) return all
-            after = all.lastOrNull()?.machine?.id?.text ?: return all
-        }
+        do {
+            val page = page(all.lastOrNull()?.machine?.id, priority) ?: return null
+            all.addAll(page.machines)
+        } while (page.more && all.isNotEmpty())
+        return all
+    }
+
+    private suspend fun page(after: MachineId?, priority: RequestPriority): MachinePage? {
+        val target = "/machines?page=$PAGE_SIZE" + (after?.let { "&after=${it.text}" } ?: "")
+        val response = call("GET", target, null, priority) ?: return null
+        if (response.status != STATUS_OK) return null
+        return decodedFrom(PEER, log, null) { CloudCodec.machinePage(response.body) }
     }
 
     private suspend fun call(
         method: String,
         target: String,
         body: ByteArray?,
-        purpose: RequestPriority,
-        entitled: () -> Boolean = {
-            true
-        },
+        priority: RequestPriority,
+        maySend: () -> Boolean = { true },
     ): Response? {
-        if (!budget.take(purpose, 1, PATIENCE) || !entitled()) return null
-        return transport.call(address, method, target, body, TIMEOUT)
+        if (!rateLimiter.take(priority, 1, RATE_LIMITER_TIMEOUT) || !maySend()) return null
+        return transport.call(address, method, target, body, REQUEST_TIMEOUT)
     }
 
     public companion object {
-        public const val MOST_RELEASED: Int = 100
-        public const val MOST_HIRED: Int = 50
-        private const val OK = 200
-        private const val BAD = 400
-        private const val BUSY = 503
-        public const val PAGE: Int = 500
-        private val PATIENCE = 3.seconds
-        private val TIMEOUT = 4.seconds
+        /** The most machines that one termination request may name. */
+        public const val MAX_TERMINATED: Int = 100
+
+        /** The most machines that one provisioning request may ask for. */
+        public const val MAX_PROVISIONED: Int = 50
+
+        /** Machines on a page of the list. */
+        public const val PAGE_SIZE: Int = 500
+        private const val PEER = "cloud"
+        private const val STATUS_OK = 200
+        private const val STATUS_BAD_REQUEST = 400
+        private const val STATUS_UNAVAILABLE = 503
+        private val RATE_LIMITER_TIMEOUT = 3.seconds
+        private val REQUEST_TIMEOUT = 4.seconds
     }
 }
-
-/**
- * Machine types as the cloud states them, and as the state service keeps them for nodes that start while it is down.
- */
-public object CatalogCodec {
-    public fun decode(from: JsonObject): TypeInfo = TypeInfo(
-        MachineType(from.string("name")),
-        Resources(from.amount("cores"), from.amount("accelerators"), from.amount("memGb")),
-        from.amountOrNull("localGb") ?: 0.0,
-        from.amountOrNull("pullGbPerS") ?: 1.0,
-        from.amountOrNull("rate") ?: 0.0,
-        from.amountOrNull("lowPrice") ?: from.amountOrNull("rate") ?: 0.0,
-        (from.amountOrNull("readyS") ?: 0.0).seconds,
-        from.stringsOrNull("halls").orEmpty().map(::Zone),
-    )
-
-    public fun encode(type: TypeInfo): Map<String, Any?> = linkedMapOf(
-        "name" to type.name.name,
-        "cores" to type.resources.cpus,
-        "accelerators" to type.resources.gpus,
-        "memGb" to type.resources.memoryGb,
-        "localGb" to type.cacheGb,
-        "pullGbPerS" to type.fetchGbPerS,
-        "rate" to type.price,
-        "lowPrice" to type.spotPrice,
-        "readyS" to type.bootTime.inWholeMilliseconds / MS,
-        "halls" to type.zones.map { it.name },
-    )
-
-    private const val MS = 1000.0
-}
--- a/src/main/kotlin/org/elderhitch/fleet/OrphanAdoption.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/OrphanAdoption.kt
@@ -6,71 +6,66 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Machines that nobody here knows: they came late, or an answer never told of them. They are used once an intent of
- * their own says that they are there.
+ * Adopts orphaned machines: those that exist and that no intent names, because they came late or because the cloud's
+ * answer was lost. Each is recorded in an intent of its own before it is used.
  */
 internal class OrphanAdoption(private val intents: ProvisioningIntentStore) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
 
-    /** Those that report, until they are adopted. */
-    private val strays = LinkedHashMap<MachineId, Machine>()
+    /** Orphans that send heartbeats, until they are adopted. */
+    private val orphans = LinkedHashMap<MachineId, Machine>()
 
-    /** When there were none yet. */
-    private var strayedAt = MonotonicInstant.NEVER
+    /** When there last were none. */
+    private var emptyAt = MonotonicInstant.NEVER
 
-    fun newTerm() = strays.clear()
+    fun newTerm() = orphans.clear()
 
-    fun reported(machine: Machine) {
-        strays[machine.id] = machine
+    /** An orphaned machine sent a heartbeat. */
+    fun detected(machine: Machine) {
+        orphans[machine.id] = machine
     }
 
-    /** Half a second after the first of them: where there are many, a part of them is heard by then. */
-    fun tick(leadership: LeadershipState.Leader, now: MonotonicInstant, isHeld: (MachineId) -> Boolean) {
-        if (strays.isEmpty()) {
-            strayedAt = now
+    /** Adopts what was detected, some time after the first, so that many orphans share an intent. */
+    fun tick(leadership: LeadershipState.Leader, now: MonotonicInstant, isKnown: (MachineId) -> Boolean) {
+        if (orphans.isEmpty()) {
+            emptyAt = now
             return
         }
-        if (now - strayedAt < STRAYS_WAIT) return
-        val machines = strays.values.filter { !isHeld(it.id) && mayAdopt(it) }
-        strays.clear()
-        adopt(leadership, machines, reporting = true)
+        if (now - emptyAt < COLLECTION_TIME) return
+        val machines = orphans.values.filter { !isKnown(it.id) && isAdoptable(it) }
+        orphans.clear()
+        adopt(leadership, machines, areUp = true)
     }
 
-    /** The cloud has listed them for longer than machines stay listed that were returned. */
-    fun listed(leadership: LeadershipState.Leader, machines: List<Machine>) =
-        adopt(leadership, machines.filter(::mayAdopt), reporting = false)
+    /** Adopts machines that the cloud has listed as nobody's for longer than terminated machines stay listed. */
+    fun adoptListed(leadership: LeadershipState.Leader, machines: List<Machine>) =
+        adopt(leadership, machines.filter(::isAdoptable), areUp = false)
 
-    /** Whether no request that is still open, or being recorded, can have rented it. */
-    private fun mayAdopt(machine: Machine): Boolean = intents.all.none {
-        if (it.machines ==
-            null
-        ) {
-            it.asked && it.market == marketOf(machine)
-        } else {
-            machine.id in it.machines.orEmpty()
-        }
+    /** Whether no request that is open, or whose machines are being recorded, can have provisioned the machine. */
+    private fun isAdoptable(machine: Machine): Boolean = intents.all.none { intent ->
+        val known = intent.machines
+        if (known == null) intent.wasRequested && intent.market == machine.market else machine.id in known
     }
 
-    private fun marketOf(machine: Machine) = Market(machine.type, machine.zone, machine.spot)
-
     /**
-     * Many at once share an intent: a fleet of 220 that nobody had rented took 440 writes and 19 s, at 24 writes a
-     * second. It says that they are up if they report.
+     * Records up to [CloudClient.MAX_PROVISIONED] machines in one intent: with an intent for each machine, a fleet of
+     * 220 orphans took 440 writes and 19 s. [areUp]: they send heartbeats, and are recorded as up at once.
      */
-    private fun adopt(leadership: LeadershipState.Leader, machines: List<Machine>, reporting: Boolean) {
-        for ((market, its) in machines.groupBy(::marketOf)) {
-            for (some in its.chunked(CloudClient.MOST_HIRED)) {
-                val intent = ProvisioningIntent("adopted-${leadership.term}-${some.first().id}", market, some.size)
+    private fun adopt(leadership: LeadershipState.Leader, machines: List<Machine>, areUp: Boolean) {
+        for ((market, ofMarket) in machines.groupBy { it.market }) {
+            for (chunk in ofMarket.chunked(CloudClient.MAX_PROVISIONED)) {
+                val ids = chunk.map { it.id }
+                val intent = ProvisioningIntent("adopted-${leadership.term}-${ids.first()}", market, ids.size)
                 if (intents[intent.name] != null) continue
-                log.info("machines adopted market={} machines={}", market, some.map { it.id })
-                intent.machines = some.map { it.id }
-                if (reporting) intent.up.addAll(some.map { it.id })
+                log.info("machines adopted market={} machines={}", market, ids)
+                intent.machines = ids
+                if (areUp) intent.recordedUp.addAll(ids)
                 intents.add(leadership, intent)
             }
         }
     }
 
     private companion object {
-        val STRAYS_WAIT = 500.milliseconds
+        val COLLECTION_TIME = 500.milliseconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntent.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntent.kt
@@ -7,39 +7,69 @@
 import org.elderhitch.time.MonotonicInstant
 
 /**
- * A request to rent, recorded before it is made and completed with the machines' names: what every later term knows of
- * them.
+ * A write-ahead record of a provisioning request: stored before the request is made and completed with the names of the
+ * machines, so that every later term knows of all machines that may run tasks.
  */
 internal class ProvisioningIntent(val name: String, val market: Market, val count: Int) {
+    /** What is being done with an open intent; only an idle one may be sent or given up. */
+    private enum class Activity { IDLE, RECORDING, REQUESTING }
+
+    private var activity = Activity.IDLE
+
+    /** The machines that the cloud provisioned; null while the request is open. */
     var machines: List<MachineId>? = null
 
-    /** That of its key: each write is conditional on it, or one carried out late would undo a newer one. */
+    /** Revision of its key. Each write is conditional on it: one executed late would undo a newer one otherwise. */
     var version = Revision.ABSENT
 
-    /** Machines that may have been given tasks: recorded before their first one is. */
-    val up = HashSet<MachineId>()
-    var cameUp = HashSet<MachineId>()
-    var writingUp = false
-    var busy = false
+    /** Machines that are recorded as up, which each is before its first task: they may run something. */
+    val recordedUp = HashSet<MachineId>()
+
+    /** Machines that came up and are not recorded as such yet. */
+    var pendingUp = HashSet<MachineId>()
 
-    /** The cloud may have been asked: only its answer settles it. */
-    var asked = false
+    /** A write of [pendingUp] is in flight. */
+    var isRecordingUp = false
 
-    /** It is being asked. */
-    var requesting = false
+    /** The cloud may have received the request, in this term or an earlier one: only its answer settles the intent. */
+    var wasRequested = false
 
-    /** Names machines that are gone; its value in the state service is to be written anew. */
-    var outdated = false
+    /** It names machines that are gone: its stored value is to be rewritten. */
+    var isOutdated = false
+
+    /** The request is not repeated before. */
     var retryAt = MonotonicInstant.NEVER
 
-    /** Leaves out what is not [there] any more. */
-    fun shorten(there: (MachineId) -> Boolean) {
-        machines = machines?.filter(there)
-        up.retainAll(there)
-        cameUp.retainAll(there)
-        outdated = false
+    /** Neither being written nor being requested. */
+    val isIdle: Boolean get() = activity == Activity.IDLE
+
+    /** The cloud is being asked. */
+    val isRequesting: Boolean get() = activity == Activity.REQUESTING
+
+    /** The intent, or the names of its machines, are being written. */
+    fun startRecording() {
+        activity = Activity.RECORDING
+    }
+
+    fun startRequest() {
+        activity = Activity.REQUESTING
+        wasRequested = true
+    }
+
+    /** What was under way has completed, with whatever outcome. */
+    fun complete() {
+        activity = Activity.IDLE
+    }
+
+    /** Removes all machines but those that still [exist]. */
+    fun retainMachines(exist: (MachineId) -> Boolean) {
+        machines = machines?.filter(exist)
+        recordedUp.retainAll(exist)
+        pendingUp.retainAll(exist)
+        isOutdated = false
     }
 
+    /** The stored value. */
     fun encode(): Map<String, Any?> = linkedMapOf<String, Any?>(
         "rig" to market.type.name,
         "hall" to market.zone.name,
@@ -47,18 +77,19 @@
         "count" to count,
     ).apply {
         machines?.let { put("stalls", it.map(MachineId::text)) }
-        val recorded = up + cameUp
-        if (recorded.isNotEmpty()) put("up", recorded.map(MachineId::text))
+        val up = recordedUp + pendingUp
+        if (up.isNotEmpty()) put("up", up.map(MachineId::text))
     }
 
     companion object {
-        fun decode(name: String, value: JsonObject, at: Revision): ProvisioningIntent {
+        /** Reads a stored value; throws `MalformedJson` if it is none. */
+        fun decode(name: String, value: JsonObject, version: Revision): ProvisioningIntent {
             val market =
                 Market(MachineType(value.string("rig")), Zone(value.string("hall")), value.boolean("borrowedRigs"))
-            return ProvisioningIntent(name, market, value.count("count").toInt()).apply {
-                version = at
-                machines = value.stringsOrNull("stalls")?.map(::MachineId)
-                value.stringsOrNull("up")?.mapTo(up, ::MachineId)
+            return ProvisioningIntent(name, market, value.count("count").toInt()).also { intent ->
+                intent.version = version
+                intent.machines = value.stringsOrNull("stalls")?.map(::MachineId)
+                value.stringsOrNull("up")?.mapTo(intent.recordedUp, ::MachineId)
             }
         }
     }
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntentStore.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntentStore.kt
@@ -24,8 +24,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The intents to rent, as the state service holds them and as this term works with them; each write is conditional on
- * the term and on what it replaces.
+ * The provisioning intents, as the state service holds them and as this term works with them. Each write is conditional
+ * on the term and on the version of the intent that it replaces.
  */
 internal class ProvisioningIntentStore(
     private val scope: CoroutineScope,
@@ -35,47 +35,66 @@
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
 
+    /** What a write puts, taken from the intent before the write begins. */
+    private class Content(intent: ProvisioningIntent) {
+        val value: Map<String, Any?> = intent.encode()
+        private val machines = intent.machines
+        private val up = intent.recordedUp + intent.pendingUp
+
+        fun isThatOf(stored: ProvisioningIntent): Boolean = stored.machines == machines && stored.recordedUp == up
+    }
+
+    private sealed interface WriteAttempt {
+        /** The write was executed with that [version]; null: it never will be. */
+        class Finished(val version: Revision?) : WriteAttempt
+
+        data object Retry : WriteAttempt
+    }
+
     /**
-     * What the state service holds, in every role: a leader that stood still hears of its successors' intents before it
-     * hears that it leads no more. Not to take them then was to miss machines with tasks on them in its next term.
+     * What the state service holds, followed in every role: a leader that was paused hears of its successors' intents
+     * before it hears that it leads no more, and in its next term must know the machines that run their tasks.
      */
-    private val recorded = LinkedHashMap<String, Entry>()
+    private val stored = LinkedHashMap<String, Entry>()
 
     /** What this term works with. */
     private val working = LinkedHashMap<String, ProvisioningIntent>()
-    private var shortenedAt = MonotonicInstant.NEVER
+    private var compactedAt = MonotonicInstant.NEVER
 
     val all: Collection<ProvisioningIntent> get() = working.values
 
-    /** Whose machines' names are not recorded yet. */
+    /** The intents whose machines are not known yet. */
     val open: List<ProvisioningIntent> get() = working.values.filter { it.machines == null }
 
     operator fun get(name: String?): ProvisioningIntent? = working[name]
 
+    /** Replaces what is known of the state service. */
     fun snapshot(entries: List<Entry>) {
-        recorded.clear()
+        stored.clear()
         entries.forEach(::put)
     }
 
+    /** Applies a change of the state service; keys of other kinds are ignored. */
     fun changed(change: Change) {
         when (change) {
             is Change.Put -> put(change.entry)
+
             is Change.Drop -> (Keys.subject(change.key) as? StoredKey.ProvisioningIntent)?.let {
-                recorded.remove(it.name)
+                stored.remove(it.name)
             }
         }
     }
 
     private fun put(entry: Entry) {
-        val subject = Keys.subject(entry.key) as? StoredKey.ProvisioningIntent ?: return
-        recorded[subject.name] = entry
+        val key = Keys.subject(entry.key) as? StoredKey.ProvisioningIntent ?: return
+        stored[key.name] = entry
     }
 
-    /** Works with what is recorded from now on: all that earlier terms may have asked for. */
-    fun take() {
+    /** Begins a term with all that is stored: earlier terms may have sent the requests of any of these intents. */
+    fun loadStored() {
         working.clear()
-        for ((name, entry) in recorded) decoded(name, entry)?.let { working[name] = it }
-        working.values.forEach { it.asked = true }
+        for ((name, entry) in stored) decoded(name, entry)?.let { working[name] = it }
+        working.values.forEach { it.wasRequested = true }
     }
 
     private fun decoded(name: String, entry: Entry): ProvisioningIntent? = try {
@@ -85,113 +104,134 @@
         null
     }
 
+    /** Stores a new intent; the outcome arrives as [FleetMessage.IntentRecorded]. */
     fun add(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
-        intent.busy = true
+        intent.startRecording()
         working[intent.name] = intent
         write(leadership, intent) { version -> FleetMessage.IntentRecorded(leadership.term, intent.name, version) }
     }
 
-    fun forget(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
+    /** Deletes an intent, in the background and without a retry: a later term settles one that stays. */
+    fun delete(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
         working.remove(intent.name)
         scope.launch {
             store.commit(
                 listOf(Condition(Keys.TERM, leadership.termRevision)),
                 listOf(Write.Drop(Keys.provisioningIntent(intent.name))),
                 RequestPriority.OTHER,
-                WRITE_PATIENCE,
+                WRITE_TIMEOUT,
             )
         }
     }
 
-    /** The names of its machines are known; what becomes of it comes back as [FleetMessage.IntentRecorded]. */
-    fun recordNames(leadership: LeadershipState.Leader, intent: ProvisioningIntent) =
+    /** Stores the names of the intent's machines; the outcome arrives as [FleetMessage.IntentRecorded]. */
+    fun recordMachines(leadership: LeadershipState.Leader, intent: ProvisioningIntent) =
         write(leadership, intent) { version -> FleetMessage.IntentRecorded(leadership.term, intent.name, version) }
 
-    /** What becomes of it comes back as [FleetMessage.MachineUpRecorded]. */
-    fun writeUp(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
-        intent.writingUp = true
-        val written = intent.cameUp.toSet()
+    /** Stores which machines are up; the outcome arrives as [FleetMessage.MachineUpRecorded]. */
+    fun recordUp(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
+        intent.isRecordingUp = true
+        val written = intent.pendingUp.toSet()
         write(leadership, intent) { version ->
             FleetMessage.MachineUpRecorded(leadership.term, intent.name, written, version != null)
         }
     }
 
     /**
-     * Takes machines that are gone out of their intents, one intent at a time: the rest of the writes is for others.
-     * Left
-     * in, each takeover for the rest of the day waited for their word and returned them once more.
+     * Rewrites an intent that names machines which do not [exist] any more: one at a time, to leave the write rate to
+     * others. Otherwise each later takeover would wait for these machines and terminate them again.
      */
-    fun shorten(leadership: LeadershipState.Leader, now: MonotonicInstant, there: (MachineId) -> Boolean) {
-        if (now - shortenedAt < SHORTEN_EVERY) return
-        val intent = working.values.firstOrNull { it.outdated && !it.busy && !it.writingUp } ?: return
-        shortenedAt = now
-        intent.shorten(there)
-        writeUp(leadership, intent)
+    fun compact(leadership: LeadershipState.Leader, now: MonotonicInstant, exist: (MachineId) -> Boolean) {
+        if (now - compactedAt < COMPACT_INTERVAL) return
+        val intent = working.values.firstOrNull { it.isOutdated && it.isIdle && !it.isRecordingUp } ?: return
+        compactedAt = now
+        intent.retainMachines(exist)
+        recordUp(leadership, intent)
     }
 
     private fun write(
         leadership: LeadershipState.Leader,
         intent: ProvisioningIntent,
-        then: (Revision?) -> FleetMessage,
+        onResult: (Revision?) -> FleetMessage,
     ) {
-        val value = intent.encode()
-        val machines = intent.machines
-        val up = intent.up + intent.cameUp
+        val content = Content(intent)
+        scope.launch { tell(onResult(writeWithRetries(leadership, intent, content))) }
+    }
+
+    /** Returns the revision of the write; null if it was not executed as far as is known. */
+    private suspend fun writeWithRetries(
+        leadership: LeadershipState.Leader,
+        intent: ProvisioningIntent,
+        content: Content,
+    ): Revision? {
+        repeat(WRITE_ATTEMPTS) {
+            val attempt = attemptWrite(leadership, intent, content)
+            if (attempt is WriteAttempt.Finished) return attempt.version
+        }
+        return null
+    }
+
+    private suspend fun attemptWrite(
+        leadership: LeadershipState.Leader,
+        intent: ProvisioningIntent,
+        content: Content,
+    ): WriteAttempt {
         val key = Keys.provisioningIntent(intent.name)
-        scope.launch {
-            var result: Revision? = null
-            for (attempt in 0 until WRITE_TRIES) {
-                // Conditional on the version too. Seen in a test: a write without an answer was carried out 30 s later,
-                // over a newer one that
-                // said which machines were up; the next term took those for booting and started their tasks elsewhere.
-                val outcome = store.commit(
-                    listOf(Condition(Keys.TERM, leadership.termRevision), Condition(key, intent.version)),
-                    listOf(Write.Put(key, value)),
-                    RequestPriority.END,
-                    WRITE_PATIENCE,
-                )
-                if (outcome is CommitOutcome.Committed) {
-                    intent.version = outcome.revision
-                    result = outcome.revision
-                    break
-                }
-                if (outcome is CommitOutcome.Conflict) {
-                    if (Keys.TERM in outcome.failed) {
-                        log.info("intent refused term={} reason=\"the counter has moved on\"", leadership.term)
-                        leadership(LeadershipMessage.TermObserved(Term(leadership.term.number + 1)))
-                        break
-                    }
-                    // An earlier try of this term came through after all: this very one, or an earlier content, whose
-                    // version is the one to replace. No two
-                    // contents of an intent are under way at once in a term: each write begins when the one before has
-                    // told what came of it.
-                    when (val read = store.read(key, RequestPriority.END)) {
-                        is ReadOutcome.Found -> {
-                            intent.version = read.entry.version
-                            if (decoded(intent.name, read.entry)?.let { it.machines == machines && it.up == up } ==
-                                true
-                            ) {
-                                result = read.entry.version
-                                break
-                            }
-                        }
-
-                        ReadOutcome.Absent -> intent.version = Revision.ABSENT
-
-                        ReadOutcome.Unavailable -> delay(WRITE_PAUSE)
-                    }
-                    continue
-                }
+        // Conditional on the version too: a write without an answer was once executed 30 s later, over a newer one that
+        // recorded machines as up; the next term took these for booting and started their tasks elsewhere.
+        val outcome = store.commit(
+            listOf(Condition(Keys.TERM, leadership.termRevision), Condition(key, intent.version)),
+            listOf(Write.Put(key, content.value)),
+            RequestPriority.END,
+            WRITE_TIMEOUT,
+        )
+        return when {
+            outcome is CommitOutcome.Committed -> {
+                intent.version = outcome.revision
+                WriteAttempt.Finished(outcome.revision)
+            }
+
+            outcome is CommitOutcome.Conflict && Keys.TERM in outcome.failed -> {
+                log.info("intent refused term={} reason=\"the counter has moved on\"", leadership.term)
+                this.leadership(LeadershipMessage.TermObserved(Term(leadership.term.number + 1)))
+                WriteAttempt.Finished(null)
+            }
+
+            outcome is CommitOutcome.Conflict -> resolveConflict(key, intent, content)
+
+            else -> {
                 delay(WRITE_PAUSE)
+                WriteAttempt.Retry
             }
-            tell(then(result))
         }
     }
 
+    /**
+     * The version was not the expected one: an earlier attempt of this term was executed after all. It wrote this very
+     * content, or an earlier one whose version is then the one to replace. Two contents of an intent are never written
+     * at the same time within a term, as each write begins only after the outcome of the one before.
+     */
+    private suspend fun resolveConflict(key: String, intent: ProvisioningIntent, content: Content): WriteAttempt {
+        when (val read = store.read(key, RequestPriority.END)) {
+            is ReadOutcome.Found -> {
+                val version = read.entry.version
+                intent.version = version
+                val isWritten = decoded(intent.name, read.entry)?.let(content::isThatOf) ?: false
+                if (isWritten) return WriteAttempt.Finished(version)
+            }
+
+            ReadOutcome.Absent -> intent.version = Revision.ABSENT
+
+            ReadOutcome.Unavailable -> delay(WRITE_PAUSE)
+        }
+        return WriteAttempt.Retry
+    }
+
     companion object {
-        private val SHORTEN_EVERY = 500.milliseconds
-        private const val WRITE_TRIES = 4
-        private val WRITE_PATIENCE = 3.seconds
+        /** The pause before a write is tried again. */
         val WRITE_PAUSE = 500.milliseconds
+        private val COMPACT_INTERVAL = 500.milliseconds
+        private const val WRITE_ATTEMPTS = 4
+        private val WRITE_TIMEOUT = 3.seconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningRequester.kt
@@ -0,0 +1,157 @@
+package org.elderhitch.fleet
+
+import kotlinx.coroutines.launch
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.recovery.ActionKind
+import org.elderhitch.recovery.NeedlessActionKind
+import org.elderhitch.scheduler.SchedulerMessage
+import org.elderhitch.time.MonotonicInstant
+import org.slf4j.LoggerFactory
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * Provisions machines: records an intent, sends its request to the cloud, and records the names of the machines. A
+ * request whose outcome is unknown is repeated under the same name, which provisions nothing twice.
+ */
+internal class ProvisioningRequester(
+    private val fleet: FleetContext,
+    private val cloud: CloudClient,
+    private val intents: ProvisioningIntentStore,
+    private val machines: MachineTracker,
+    private val markets: MarketBackoff,
+) {
+    private val log = LoggerFactory.getLogger("elderhitch.fleet")
+
+    /** Number of the next intent of this term. */
+    private var sequence = 0
+
+    fun newTerm() {
+        markets.newTerm()
+        sequence = 0
+    }
+
+    /** Records the intent to provision machines; the request follows once that is written. */
+    fun add(leadership: LeadershipState.Leader, request: ProvisioningRequest) {
+        // No two leaders have the same term, so the name is unique.
+        val name = "r-${leadership.term}-${sequence++}"
+        intents.add(leadership, ProvisioningIntent(name, request.market, request.count))
+    }
+
+    /** The intent, or the names of its machines, were written, or could not be. */
+    fun intentRecorded(message: FleetMessage.IntentRecorded) {
+        val leadership = fleet.term.leaderOf(message.term) ?: return
+        val intent = intents[message.name] ?: return
+        if (message.version == null) {
+            writeFailed(leadership, intent)
+            return
+        }
+        intent.complete()
+        when {
+            intent.machines != null -> machinesRecorded(leadership, intent)
+            intent.market in markets.closed -> intents.delete(leadership, intent)
+            else -> sendDue(leadership, fleet.clock.now())
+        }
+    }
+
+    /** The write may still be executed: an intent that appears later is settled by a later term. */
+    private fun writeFailed(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
+        if (intent.machines == null) {
+            intents.delete(leadership, intent)
+        } else {
+            intent.retryAt = fleet.clock.now() + ProvisioningIntentStore.WRITE_PAUSE
+            intents.recordMachines(leadership, intent)
+        }
+    }
+
+    private fun machinesRecorded(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
+        machines.addMachines(intent, fleet.clock.now())
+        intent.recordedUp.forEach { fleet.ports.scheduler(SchedulerMessage.MachineUsable(it)) }
+        if (intent.pendingUp.isNotEmpty() && !intent.isRecordingUp) intents.recordUp(leadership, intent)
+    }
+
+    /**
+     * Sends as many requests at a time as the cloud takes in a second: first those whose outcome is unknown, then the
+     * others in the order of the plan, which is that of the tasks' priority. The rest waits here, where the refusal of
+     * another request for the same market can still make it needless.
+     */
+    fun sendDue(leadership: LeadershipState.Leader, now: MonotonicInstant) {
+        val (inFlight, waiting) = intents.open.partition { it.isRequesting }
+        // The machines of requests that an earlier term left open run nothing yet; the list is more urgent, as the
+        // takeover needs it.
+        val isListAwaited = fleet.calls.neverListed && now - fleet.term.startedAt < MAX_LIST_WAIT
+        val due = waiting
+            .filter { it.isIdle && now >= it.retryAt && !(isListAwaited && it.wasRequested) }
+            .sortedBy { !it.wasRequested }
+        val free = maxOf(0, fleet.calls.maxProvisioningInFlight - inFlight.size)
+        for (intent in due.take(free)) send(leadership, intent)
+    }
+
+    private fun send(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
+        if (!leadership.maySendCommands(fleet.clock.now())) return
+        intent.startRequest()
+        fleet.actions.record(ActionKind.PROVISION, 1, fleet.clock.now())
+        fleet.scope.launch {
+            val outcome = cloud.provision(intent.name, intent.market, intent.count) {
+                fleet.ports.maySendCommands(leadership)
+            }
+            fleet.tell(FleetMessage.ProvisioningCompleted(leadership.term, intent.name, outcome))
+        }
+    }
+
+    /** The cloud answered a request, or did not. */
+    fun completed(message: FleetMessage.ProvisioningCompleted) {
+        val leadership = fleet.term.leaderOf(message.term) ?: return
+        val intent = intents[message.name] ?: return
+        intent.complete()
+        when (val outcome = message.outcome) {
+            is ProvisioningOutcome.Provisioned -> provisioned(leadership, intent, outcome.machines)
+
+            ProvisioningOutcome.NoCapacity -> {
+                log.info("provisioning refused name={} market={}", intent.name, intent.market)
+                fleet.actions.recordNeedless(NeedlessActionKind.PROVISIONING_REFUSED)
+                giveUp(leadership, intent)
+            }
+
+            ProvisioningOutcome.Rejected -> {
+                log.error("provisioning rejected name={} market={}", intent.name, intent.market)
+                giveUp(leadership, intent)
+            }
+
+            ProvisioningOutcome.Unknown -> intent.retryAt = fleet.clock.now() + REQUEST_RETRY
+        }
+    }
+
+    private fun provisioned(leadership: LeadershipState.Leader, intent: ProvisioningIntent, granted: List<MachineId>) {
+        log.info(
+            "provisioned name={} market={} requested={} granted={}",
+            intent.name,
+            intent.market,
+            intent.count,
+            granted.size,
+        )
+        if (granted.size < intent.count) close(leadership, intent.market) else markets.served(intent.market)
+        fleet.actions.recordProvisioned(intent.market, granted.size, fleet.clock.now())
+        intent.machines = granted
+        intent.startRecording()
+        if (granted.isEmpty()) intents.delete(leadership, intent) else intents.recordMachines(leadership, intent)
+    }
+
+    private fun giveUp(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
+        close(leadership, intent.market)
+        intents.delete(leadership, intent)
+    }
+
+    /** Closes the market for a while, and gives up the intents for it whose requests were not sent yet. */
+    private fun close(leadership: LeadershipState.Leader, market: Market) {
+        markets.close(market, fleet.clock.now())
+        // Intents that are being written are given up when that is done.
+        intents.open.filter { it.market == market && !it.wasRequested && it.isIdle }
+            .forEach { intents.delete(leadership, it) }
+    }
+
+    private companion object {
+        /** Longer than two pages of the list take at the slowest cloud. */
+        val MAX_LIST_WAIT = 5.seconds
+        val REQUEST_RETRY = 2.seconds
+    }
+}
--- a/src/main/kotlin/org/elderhitch/fleet/TerminationQueue.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/TerminationQueue.kt
@@ -1,118 +1,96 @@
 package org.elderhitch.fleet
 
-import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.recovery.ActionKind
-import org.elderhitch.recovery.ActionLedger
 import org.elderhitch.recovery.NeedlessActionKind
 import org.elderhitch.scheduler.SchedulerMessage
 import org.elderhitch.time.MonotonicInstant
-import org.elderhitch.time.SteadyClock
 import org.slf4j.LoggerFactory
 
-/** A machine that an intent of this term names. */
-internal class ProvisionedMachine(
-    val machine: Machine,
-    val intent: String,
-    val hiredAt: MonotonicInstant,
-    val hiredHere: Boolean,
-) {
-    var failed = false
-
-    /** It came up in an earlier term. */
-    var upBefore = false
-    var cameUp = false
-
-    /** Its return was asked for, and nothing has come of that yet. */
-    var releasing = false
-
-    val market: Market get() = Market(machine.type, machine.zone, machine.spot)
-}
-
-/** Machines on their way back to the cloud: asked for, waiting for their turn, or under way. */
+/**
+ * Terminates machines. A termination is requested, waits for its turn in the [CloudCallScheduler], and is then sent;
+ * until it is sent it can be cancelled.
+ */
 internal class TerminationQueue(
-    private val scope: CoroutineScope,
+    private val fleet: FleetContext,
     private val cloud: CloudClient,
-    private val turns: CloudCallScheduler,
-    private val orders: ActionLedger,
-    private val held: Map<MachineId, ProvisionedMachine>,
-    private val clock: SteadyClock,
-    private val ports: FleetPorts,
-    private val tell: (FleetMessage) -> Unit,
+    private val machines: Map<MachineId, ProvisionedMachine>,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
+    private val calls = fleet.calls
 
-    fun want(leadership: LeadershipState.Leader?, machines: List<MachineId>, reason: TerminationReason) {
-        val wanted = machines.filter { held[it]?.releasing != true }
-        wanted.forEach { held[it]?.releasing = true }
-        turns.wantReturned(wanted, reason)
-        leadership?.let { send(it, clock.now()) }
+    /** Requests the termination of those machines for which it is not requested already. */
+    fun request(requested: List<MachineId>, reason: TerminationReason) {
+        val added = requested.filter { machines[it]?.terminating != true }
+        added.forEach { machines[it]?.terminating = true }
+        calls.enqueueTerminations(added, reason)
+        fleet.term.leader?.let { sendDue(it, fleet.clock.now()) }
     }
 
     /**
-     * Before an idle machine is returned the foreman gives it nothing more: a task that came there while its return
-     * waited for its turn was lost.
+     * Requests the termination of idle machines. The scheduler is told first to place nothing there any more, or tasks
+     * that are placed while the termination waits for its turn would be lost.
      */
-    fun cordon(machines: List<MachineId>) {
-        machines.forEach { held[it]?.releasing = true }
-        ports.scheduler(SchedulerMessage.CordonMachines(machines))
+    fun requestIdle(idle: List<MachineId>) {
+        idle.forEach { machines[it]?.terminating = true }
+        fleet.ports.scheduler(SchedulerMessage.CordonMachines(idle))
     }
 
-    fun cordoned(leadership: LeadershipState.Leader?, message: FleetMessage.MachinesCordoned) {
-        message.inUse.forEach { held[it]?.releasing = false }
-        turns.wantReturned(message.empty, TerminationReason.IDLE)
-        leadership?.let { send(it, clock.now()) }
+    /** The scheduler's answer: machines that are in use by now are kept. */
+    fun cordoned(message: FleetMessage.MachinesCordoned) {
+        message.inUse.forEach { machines[it]?.terminating = false }
+        calls.enqueueTerminations(message.empty, TerminationReason.IDLE)
+        fleet.term.leader?.let { sendDue(it, fleet.clock.now()) }
     }
 
-    /** Its worker speaks; if its return for silence has not gone out, it goes on. */
-    fun spare(machine: MachineId) {
-        if (!turns.spare(machine)) return
-        log.info("return spared machine={}", machine)
-        orders.recordNeedless(NeedlessActionKind.TERMINATION_CANCELLED)
-        held[machine]?.releasing = false
-        ports.scheduler(SchedulerMessage.TerminationCancelled(machine))
+    /** A heartbeat of the machine arrived: cancels a termination that was requested only for want of one. */
+    fun heartbeatReceived(machine: MachineId) {
+        if (!calls.cancelTermination(machine)) return
+        log.info("termination cancelled machine={}", machine)
+        fleet.actions.recordNeedless(NeedlessActionKind.TERMINATION_CANCELLED)
+        machines[machine]?.terminating = false
+        fleet.ports.scheduler(SchedulerMessage.TerminationCancelled(machine))
     }
 
-    fun send(leadership: LeadershipState.Leader, now: MonotonicInstant) {
+    /** Sends the terminations whose turn it is. */
+    fun sendDue(leadership: LeadershipState.Leader, now: MonotonicInstant) {
         if (!leadership.maySendCommands(now)) return
         while (true) {
-            val batch = turns.returns(now).ifEmpty { return }
-            for ((reason, its) in batch.entries.groupBy({
-                it.value
-            }, { it.key })) {
-                log.info("release machines={} reason={}", its, reason.word)
-            }
-            for ((machine, reason) in batch) {
-                val market = held[machine]?.market
-                if (reason == TerminationReason.IDLE &&
-                    market != null
-                ) {
-                    orders.recordIdleTermination(market, now)
-                } else {
-                    orders.record(ActionKind.TERMINATE, 1, now)
-                }
-            }
-            val names = batch.keys.toList()
-            scope.launch {
-                tell(
-                    FleetMessage.MachinesTerminated(
-                        leadership.term,
-                        names,
-                        cloud.terminate(names) {
-                            ports.entitled(leadership)
-                        },
-                    ),
-                )
-            }
+            val batch = calls.nextTerminations(now).ifEmpty { return }
+            logBatch(batch)
+            for ((machine, reason) in batch) count(machine, reason, now)
+            send(leadership, batch.keys.toList())
+        }
+    }
+
+    private fun logBatch(batch: Map<MachineId, TerminationReason>) {
+        for ((reason, ids) in batch.entries.groupBy({ it.value }, { it.key })) {
+            log.info("terminate machines={} reason={}", ids, reason.logName)
+        }
+    }
+
+    private fun count(machine: MachineId, reason: TerminationReason, now: MonotonicInstant) {
+        val market = machines[machine]?.market
+        if (reason == TerminationReason.IDLE && market != null) {
+            fleet.actions.recordIdleTermination(market, now)
+        } else {
+            fleet.actions.record(ActionKind.TERMINATE, 1, now)
+        }
+    }
+
+    private fun send(leadership: LeadershipState.Leader, ids: List<MachineId>) {
+        fleet.scope.launch {
+            val done = cloud.terminate(ids) { fleet.ports.maySendCommands(leadership) }
+            fleet.tell(FleetMessage.MachinesTerminated(leadership.term, ids, done))
         }
     }
 
-    /** What is gone by the cloud's word. */
-    fun answered(message: FleetMessage.MachinesTerminated): List<MachineId> {
-        turns.returned()
+    /** Takes the cloud's answer; returns the machines that are surely gone. */
+    fun completed(message: FleetMessage.MachinesTerminated): List<MachineId> {
+        calls.terminationCompleted()
         if (message.done) return message.machines
-        message.machines.forEach { held[it]?.releasing = false }
+        message.machines.forEach { machines[it]?.terminating = false }
         return emptyList()
     }
 }
--- a/src/test/kotlin/org/elderhitch/fleet/CloudClientTest.kt
+++ b/src/test/kotlin/org/elderhitch/fleet/CloudClientTest.kt
@@ -21,39 +21,44 @@
 
 @OptIn(ExperimentalCoroutinesApi::class)
 class CloudClientTest {
-    /** A leader whose window closes while a request waits for its turn must not return what its successor uses. */
-    @Test
-    fun `what waited for its turn is not sent once the term is over`() = runTest {
-        val clock = SteadyClock { MonotonicInstant(0) + currentTime.milliseconds }
+    /** Answers every request with one machine. */
+    private class OneMachineCloud : Transport {
         val sent = ArrayList<String>()
-        val transport = object : Transport {
-            override suspend fun call(
-                to: Address,
-                method: String,
-                target: String,
-                body: ByteArray?,
-                timeout: Duration,
-            ): Response {
-                sent.add(target)
-                return Response(200, """{"stalls":["m1"]}""".encodeToByteArray())
-            }
 
-            override suspend fun deliver(
-                to: Address,
-                method: String,
-                target: String,
-                body: ByteArray?,
-                connect: Duration,
-                timeout: Duration,
-            ) = Delivery.NotSent
+        override suspend fun call(
+            to: Address,
+            method: String,
+            target: String,
+            body: ByteArray?,
+            timeout: Duration,
+        ): Response {
+            sent.add(target)
+            return Response(200, """{"stalls":["m1"]}""".encodeToByteArray())
         }
+
+        override suspend fun deliver(
+            to: Address,
+            method: String,
+            target: String,
+            body: ByteArray?,
+            connect: Duration,
+            timeout: Duration,
+        ) = Delivery.NotSent
+    }
+
+    /** A leader whose lease window closes while a request waits must not terminate what the next leader uses. */
+    @Test
+    fun `client sends no request when its term is over by the time of its turn`() = runTest {
+        val clock = SteadyClock { MonotonicInstant(0) + currentTime.milliseconds }
+        val transport = OneMachineCloud()
         val cloud = CloudClient(transport, Address("cloud:1"), RequestRateLimiter(clock, 1.0))
-        val entitled = { currentTime < 500 }
+        val machines = listOf(MachineId("m1"))
+        val maySend = { currentTime < 500 }
         val market = Market(MachineType("g8"), Zone("a"), false)
-        assertTrue(cloud.terminate(listOf(MachineId("m1")), entitled))
-        assertFalse(cloud.terminate(listOf(MachineId("m1")), entitled), "its turn comes after a second")
-        assertEquals(ProvisioningOutcome.Unknown, cloud.provision("r-1-0", market, 1, entitled))
-        assertEquals(listOf("/machines/release"), sent)
-        assertEquals(ProvisioningOutcome.Provisioned(listOf(MachineId("m1"))), cloud.provision("r-1-0", market, 1) { true })
+        assertTrue(cloud.terminate(machines, maySend))
+        assertFalse(cloud.terminate(machines, maySend), "its turn comes after a second")
+        assertEquals(ProvisioningOutcome.Unknown, cloud.provision("r-1-0", market, 1, maySend))
+        assertEquals(listOf("/machines/release"), transport.sent)
+        assertEquals(ProvisioningOutcome.Provisioned(machines), cloud.provision("r-1-0", market, 1) { true })
     }
 }
--- a/src/test/kotlin/org/elderhitch/golden/GoldenStoreTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenStoreTest.kt
@@ -295,14 +295,14 @@
         assertNull(asked.machines)
         val machines = listOf(MachineId("m1"), MachineId("m2"), MachineId("m3"))
         assertEquals(machines, hire("hire-hired").machines)
-        assertEquals(emptySet(), hire("hire-hired").up.toSet())
-        assertEquals(machines.take(2).toSet(), hire("hire-up").up.toSet())
+        assertEquals(emptySet(), hire("hire-hired").recordedUp.toSet())
+        assertEquals(machines.take(2).toSet(), hire("hire-up").recordedUp.toSet())
         assertEquals(emptyList(), hire("hire-none-left").machines)
     }
 
     @Test
     fun `a machine that came up is recorded as up before that is written`() {
-        val intent = hire("hire-hired").apply { cameUp.addAll(listOf(MachineId("m1"), MachineId("m2"))) }
+        val intent = hire("hire-hired").apply { pendingUp.addAll(listOf(MachineId("m1"), MachineId("m2"))) }
         same("hire-up", intent.encode())
     }
 
