--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureAttribution.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureAttribution.kt
@@ -1,8 +1,8 @@
 package org.elderhitch.failuredetection
 
 import org.elderhitch.heartbeat.TaskStatus
-import org.elderhitch.jobs.JobId
 import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.Placement
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.time.MonotonicInstant
@@ -10,85 +10,78 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Tells faulty machines from faulty jobs. A machine is at fault when tasks of several jobs fail there, or some of a job
- * that runs well elsewhere; a job is when it fails on several machines and runs on none. Until it is clear, nothing new
- * goes to a machine where something failed: it is always free, and would take task after task.
+ * Tells faulty machines from faulty jobs. A machine is at fault when tasks of several jobs fail on it, or several of a
+ * job that runs well elsewhere; a job is when it fails on several machines and runs on none. Until that is clear,
+ * nothing new goes to a machine where something failed: it always has capacity, and would take task after task.
  *
- * A job submitted with a mistake fails wherever it goes. Of seventy tasks that failed on fifty machines within a
- * second,
- * each closed its machine to everybody for a while; so once the job is known to be at fault, its machines are open
- * again.
+ * A job submitted with a mistake fails wherever it runs. Once it is known to be at fault, its failures count against no
+ * machine: of seventy tasks that failed on fifty machines within a second, each closed its machine to all jobs.
  */
 internal class FailureAttribution(private val table: TaskTable) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
 
+    /** Records that the [task] exited with an error on the [worker], and blames the job or the machine if it can. */
     fun recordTaskFailure(worker: WorkerState, job: JobState, task: TaskStatus, now: MonotonicInstant) {
         log.info("task failed task={} machine={}", task.task, worker.id)
         job.failedOn.add(worker.id)
-        worker.avoid(job.id, now + ERROR_SHUN)
+        worker.avoid(job.id, now + AVOIDANCE)
         worker.failuresByJob.merge(job.id, 1, Int::plus)
-        if (job.failedOn.size >= JOB_AT_FAULT && !runsSomewhere(job, worker)) {
-            cordon(job, now)
-            return
+        if (isFaulty(job) && !runsElsewhere(job, worker)) {
+            blameJob(job, now)
+        } else {
+            worker.quarantinedUntil = now + QUARANTINE
+            blameMachineIfFaulty(worker, now)
         }
-        worker.quarantinedUntil = now + DOUBT
-        judge(worker, now)
     }
 
-    /** What such a job does says nothing of the machines that it was on. */
-    private fun cordon(job: JobState, now: MonotonicInstant) {
-        val back = ERROR_BACKOFF * (1 shl minOf(job.failedOn.size - JOB_AT_FAULT, MAX_DOUBLINGS))
-        if (job.notBefore <
-            now
-        ) {
+    /** Delays the job's next tries, and lifts the quarantine of machines that it alone was the cause of. */
+    private fun blameJob(job: JobState, now: MonotonicInstant) {
+        val doublings = minOf(job.failedOn.size - FAULTY_JOB_MACHINES, MAX_DOUBLINGS)
+        val backoff = INITIAL_BACKOFF * (1 shl doublings)
+        if (job.notBefore < now) {
             log.info(
                 "job at fault job={} machines={} again_ms={}",
                 job.id,
                 job.failedOn.size,
-                back.inWholeMilliseconds,
+                backoff.inWholeMilliseconds,
             )
         }
-        job.notBefore = now + minOf(back, MAX_BACKOFF)
+        job.notBefore = now + minOf(backoff, MAX_BACKOFF)
         for (id in job.failedOn) {
             val worker = table.workers[id] ?: continue
-            if (worker.failuresByJob.remove(job.id) != null &&
-                worker.failuresByJob.isEmpty()
-            ) {
-                worker.quarantinedUntil = MonotonicInstant.NEVER
-            }
+            val counted = worker.failuresByJob.remove(job.id) != null
+            if (counted && worker.failuresByJob.isEmpty()) worker.quarantinedUntil = MonotonicInstant.NEVER
         }
     }
 
     /**
-     * How many tasks of a job may be started now, while it isn't known whether it can run at all: those that are on
-     * their
-     * way tell, and the others would only fail beside them. Null: as many as there are.
+     * How many tasks of a job may be started now while it isn't known whether it can run at all: those that are placed
+     * already will show it, and more would only fail as well. Null if there is no limit.
      */
     fun trialLimit(job: JobState): Int? {
-        if (job.failedOn.size < SUSPECT || runsSomewhere(job, besides = null)) return null
-        return (if (job.failedOn.size < JOB_AT_FAULT) PROBES else 1) - job.placements.size
+        if (job.failedOn.size < SUSPECT_JOB_MACHINES || runsElsewhere(job, except = null)) return null
+        val trials = if (isFaulty(job)) 1 else SUSPECT_JOB_TRIALS
+        return trials - job.placements.size
     }
 
-    fun isFaulty(job: JobState): Boolean = job.failedOn.size >= JOB_AT_FAULT
+    fun isFaulty(job: JobState): Boolean = job.failedOn.size >= FAULTY_JOB_MACHINES
 
-    /** Time brings evidence too: jobs that failed on a machine prove well elsewhere. */
+    /** Judges again with what has happened since: a job that failed on a machine may run well elsewhere by now. */
     fun reassess(now: MonotonicInstant) {
-        for (worker in table.workers.values) if (worker.failuresByJob.isNotEmpty()) judge(worker, now)
+        for (worker in table.workers.values) {
+            if (worker.failuresByJob.isNotEmpty()) blameMachineIfFaulty(worker, now)
+        }
         for (job in table.jobs.values) {
-            if (job.notBefore > now &&
-                runsWell(job, null, now)
-            ) {
-                job.notBefore = MonotonicInstant.NEVER
-            }
+            if (job.notBefore > now && runsWellElsewhere(job, null, now)) job.notBefore = MonotonicInstant.NEVER
         }
     }
 
-    private fun judge(worker: WorkerState, now: MonotonicInstant) {
-        if (worker.faulty || worker.failuresByJob.values.sum() < ERRORS_AT_FAULT) return
-        val proven = worker.failuresByJob.keys.any { id: JobId ->
-            table.jobs[id]?.let { runsWell(it, worker, now) } ?: false
+    private fun blameMachineIfFaulty(worker: WorkerState, now: MonotonicInstant) {
+        if (worker.faulty || worker.failuresByJob.values.sum() < FAULTY_MACHINE_FAILURES) return
+        val jobsRunWell = worker.failuresByJob.keys.any { id ->
+            table.jobs[id]?.let { job -> runsWellElsewhere(job, worker, now) } ?: false
         }
-        if (worker.failuresByJob.size < JOBS_AT_FAULT && !proven) return
+        if (worker.failuresByJob.size < FAULTY_MACHINE_JOBS && !jobsRunWell) return
         worker.faulty = true
         worker.failuresByJob.keys.forEach { table.jobs[it]?.failedOn?.remove(worker.id) }
         log.info(
@@ -99,29 +92,39 @@
         )
     }
 
-    /** Enough to blame a machine: that a task of the job is seen running for a moment is not. */
-    private fun runsWell(job: JobState, besides: WorkerState?, now: MonotonicInstant): Boolean = job.completed.count > 0 ||
-        job.placements.values.any { p ->
-            p.worker !== besides && p.worker.failuresByJob.isEmpty() && p.runningSince.let { it != null && now - it > PROVEN }
-        }
+    /** Enough to blame the machine of a failure: a task of the job has completed, or has run elsewhere for a while. */
+    private fun runsWellElsewhere(job: JobState, except: WorkerState?, now: MonotonicInstant): Boolean =
+        job.completed.count > 0 ||
+            job.placements.values.any { placement ->
+                val runningSince = placement.runningSince
+                isOnOtherSoundMachine(placement, except) && runningSince != null && now - runningSince > PROVEN_AFTER
+            }
+
+    /** Enough not to blame the job of a failure: a task of it has completed, or was seen running elsewhere. */
+    private fun runsElsewhere(job: JobState, except: WorkerState?): Boolean = job.completed.count > 0 ||
+        job.placements.values.any { isOnOtherSoundMachine(it, except) && it.runningSince != null }
 
-    /** Enough not to blame the job. */
-    private fun runsSomewhere(job: JobState, besides: WorkerState?): Boolean = job.completed.count > 0 ||
-        job.placements.values.any { it.worker !== besides && it.worker.failuresByJob.isEmpty() && it.runningSince != null }
+    private fun isOnOtherSoundMachine(placement: Placement, except: WorkerState?): Boolean =
+        placement.worker !== except && placement.worker.failuresByJob.isEmpty()
 
     private companion object {
-        val ERROR_SHUN = 300.seconds
-        val ERROR_BACKOFF = 2.seconds
+        /** For how long a job's tasks go elsewhere after one failed on a machine. */
+        val AVOIDANCE = 300.seconds
+
+        /** For how long nothing new goes to a machine after a failure. */
+        val QUARANTINE = 10.seconds
+        val INITIAL_BACKOFF = 2.seconds
         val MAX_BACKOFF = 60.seconds
-        val DOUBT = 10.seconds
-        val PROVEN = 10.seconds
         const val MAX_DOUBLINGS = 5
-        const val SUSPECT = 2
-        const val JOB_AT_FAULT = 3
-        const val JOBS_AT_FAULT = 2
-        const val ERRORS_AT_FAULT = 2
 
-        /** On two machines at once: if one of them is the faulty one, the other tells. */
-        const val PROBES = 2
+        /** A task that has run for so long shows that its job can run. */
+        val PROVEN_AFTER = 10.seconds
+        const val SUSPECT_JOB_MACHINES = 2
+        const val FAULTY_JOB_MACHINES = 3
+        const val FAULTY_MACHINE_JOBS = 2
+        const val FAULTY_MACHINE_FAILURES = 2
+
+        /** On two machines at once: if one of them is the faulty one, the other shows it. */
+        const val SUSPECT_JOB_TRIALS = 2
     }
 }
--- a/src/main/kotlin/org/elderhitch/failuredetection/PauseDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/PauseDetector.kt
@@ -5,29 +5,28 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Notices that this process stood still while its clock ran on: a tick that comes much later than it was due. Whatever
- * was
- * to be heard meanwhile still lies in the buffers, so silence before [since] says nothing of those who seem to be
- * silent.
- * After three seconds' pause a leader, whose window was still open, took all its workers for lost and resigned.
+ * Notices that this process was paused while its clock ran on, by a tick that comes much later than it was due. The
+ * messages that arrived meanwhile still lie in buffers, so silence before [lastPauseEndedAt] tells nothing: after a
+ * pause of three seconds a leader, whose window was still open, took all its workers for lost and resigned.
+ *
+ * @param tick the time between two calls of [check].
  */
 internal class PauseDetector(private val tick: Duration) {
-    private var last = MonotonicInstant.FOREVER
+    private var lastTick = MonotonicInstant.FOREVER
 
-    /** When it last woke up. */
-    var since: MonotonicInstant = MonotonicInstant.NEVER
+    var lastPauseEndedAt: MonotonicInstant = MonotonicInstant.NEVER
         private set
 
-    /** How long the process stood still until now; null: it did not. */
+    /** Called once a tick; returns how long the process was paused until now, or null if it wasn't. */
     fun check(now: MonotonicInstant): Duration? {
-        val pause = now - last
-        last = now
-        if (pause < tick + PAUSE) return null
-        since = now
-        return pause
+        val sinceLastTick = now - lastTick
+        lastTick = now
+        if (sinceLastTick < tick + MIN_PAUSE) return null
+        lastPauseEndedAt = now
+        return sinceLastTick
     }
 
     private companion object {
-        val PAUSE = 1.seconds
+        val MIN_PAUSE = 1.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/failuredetection/SuspicionRules.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/SuspicionRules.kt
@@ -3,117 +3,119 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
-/** What is known of a machine that says nothing, and of its zone. */
+/**
+ * What is known of a machine whose messages don't arrive, and of its zone.
+ *
+ * @property neverSeen it may run tasks of an earlier term and has sent no message in this one.
+ * @property reconciled it has reported its tasks in this term, so it runs none of earlier ones that aren't known.
+ * @property unlisted the cloud's list of this term doesn't name it.
+ * @property unreachableSince when it first took no connection, twice in a row, since its last message; absent: it took
+ *   one or was not tried.
+ * @property probed it was probed since its last message, and did not answer.
+ * @property zoneLastSeenAt when a message of any machine of its zone was last received; absent: none was.
+ * @property zoneDoubtful most of its zone, or all of it that should have sent a heartbeat lately, is silent.
+ * @property zonePartitioned its zone counts as partitioned from this node.
+ * @property zoneNeverSeen no machine of its zone was seen in this term, although a controller is there.
+ * @property oneWayPartitioned it answers probes while its heartbeats don't arrive, so that its lease runs out.
+ */
 public data class SuspectedMachine(
-    /** It may run something of an earlier term, and has said nothing in this one. */
-    val unheard: Boolean,
-    /** It has reported that it obeys this term: nothing of earlier ones is unclear about it. */
-    val settled: Boolean,
-    /** The cloud's list of this term doesn't name it. */
+    val neverSeen: Boolean,
+    val reconciled: Boolean,
     val unlisted: Boolean,
-    /** When it first took no connection, twice in a row, since its last word; null: it took one, or was not tried. */
     val unreachableSince: MonotonicInstant?,
-    /** It took a connection, or was tried in vain: it has been asked at its own address since its last word. */
-    val asked: Boolean,
-    /** When any machine of its zone was last heard; null: none was in this term. */
-    val zoneHeard: MonotonicInstant?,
-    /** Most of its zone, or all of it that should have reported lately, is silent. */
+    val probed: Boolean,
+    val zoneLastSeenAt: MonotonicInstant?,
     val zoneDoubtful: Boolean,
-    val zoneCut: Boolean,
-    /** A zone with a controller in it, of which not one machine has been heard in this term. */
-    val zoneMissing: Boolean,
-    /** It answers questions at its own address, while its reports don't come: its lease runs out. */
-    val mute: Boolean = false,
+    val zonePartitioned: Boolean,
+    val zoneNeverSeen: Boolean,
+    val oneWayPartitioned: Boolean = false,
 )
 
 /**
- * How a silent machine stands, and so for how long its silence must last before it is returned. Rows of the table in
- * `docs/design/recovery.md`. [proven]: it is
- * known to be dead or gone; else there is nothing but its silence ([TerminationRateLimiter]).
+ * The rule by which a silent machine is judged, and so for how long its silence must last before it is terminated. Rows
+ * of the table in `docs/design/recovery.md`.
+ *
+ * @property proven whether the machine is known to be dead or gone; otherwise there is only its silence, and a
+ *   [TerminationRateLimiter] paces its termination.
  */
 public enum class SuspicionRule(public val proven: Boolean) {
-    /** Mostly long gone: to return it costs nothing then, and is proof at once. */
+    /** Most likely long gone: then its termination costs nothing, and proves at once that it is gone. */
     UNLISTED(true),
 
-    /** It takes no connection, and another of its zone was heard after that: it is dead, and no cut explains it. */
-    DEAD(true),
+    /** It takes no connection, and another of its zone was seen after that: no partition explains it. */
+    UNREACHABLE(true),
 
-    /** A controller there keeps the machines running: their return would end half of all services. */
-    ZONE_MISSING(false),
-    ZONE_CUT(false),
+    /** A controller in the zone keeps the machines running: terminating them would end half of all services. */
+    ZONE_NEVER_SEEN(false),
 
-    /** A cut zone that a takeover waits for, with no other proof as early. */
-    ZONE_CUT_WAITED_FOR(false),
+    /** Its zone is partitioned, and its tasks go on. */
+    ZONE_PARTITIONED(false),
 
-    /** It runs on until its lease is over, and from then on nothing: to return it sooner would end that for nothing. */
-    MUTE(false),
-    SILENT(false),
-}
-
-/** The spans that judgements of silence rest on. */
-public data class DetectionTimeouts(
-    /** By when a report has come. */
-    val report: Duration,
-    /** A report's time, an answer's, and two tries at other nodes. */
-    val silent: Duration,
-
-    /** A lease, counted on this node's clock. */
-    val mute: Duration,
-    val unlisted: Duration,
-    /** A worker that was not asked may wait for two other nodes first. */
-    val unaskedMargin: Duration,
-    val unheardMargin: Duration,
-    /** After that a zone is given up: new machines would long be up elsewhere. */
-    val cut: Duration,
-)
-
-/** Reconciles the silence of machines with what else is known of them and their zone. Pure. */
-public class SuspicionRules(private val times: DetectionTimeouts) {
-    /** Nothing is returned sooner than that. */
-    public val least: Duration = minOf(times.report, times.unlisted)
-
-    /**
-     * [takeoverOpen]: all work of earlier terms waits for the last machine; [endsSoon]: but within one lease's time,
-     * whatever happens.
-     */
-    public fun row(machine: SuspectedMachine, takeoverOpen: Boolean, endsSoon: Boolean): SuspicionRule = when {
-        machine.unheard && machine.unlisted -> SuspicionRule.UNLISTED
+    /** Its zone is partitioned while a takeover waits for it, and nothing else settles it as early. */
+    ZONE_PARTITIONED_IN_TAKEOVER(false),
 
-        machine.unreachableSince != null &&
-            !machine.zoneDoubtful &&
-            (takeoverOpen || heardSince(machine, machine.unreachableSince)) -> SuspicionRule.DEAD
+    /** Its tasks go on until its lease has expired, and none after that: an earlier termination would end them. */
+    ONE_WAY_PARTITIONED(false),
 
-        machine.zoneMissing -> SuspicionRule.ZONE_MISSING
+    /** Nothing but its silence is known. */
+    UNRESPONSIVE(false),
+    ;
 
-        !machine.zoneCut -> if (machine.mute) SuspicionRule.MUTE else SuspicionRule.SILENT
+    /** The value of `because` in log lines. */
+    public val logWord: String = name.lowercase()
+}
 
-        !machine.settled && takeoverOpen && !endsSoon -> SuspicionRule.ZONE_CUT_WAITED_FOR
+/** Judges a silent machine by what else is known of it and its zone. Pure. */
+public class SuspicionRules(public val timeouts: DetectionTimeouts) {
+    /** No machine is terminated before its silence has lasted that long. */
+    public val minimumPatience: Duration = minOf(timeouts.heartbeatOverdue, timeouts.unlisted)
 
-        else -> SuspicionRule.ZONE_CUT
+    /**
+     * The rule that applies to the machine.
+     *
+     * @param takeoverOpen whether all work of earlier terms waits for the last machine.
+     * @param endsSoon whether the takeover settles within the time of one lease, whatever happens.
+     */
+    public fun ruleFor(machine: SuspectedMachine, takeoverOpen: Boolean, endsSoon: Boolean): SuspicionRule = when {
+        machine.neverSeen && machine.unlisted -> SuspicionRule.UNLISTED
+        isProvenDead(machine, takeoverOpen) -> SuspicionRule.UNREACHABLE
+        machine.zoneNeverSeen -> SuspicionRule.ZONE_NEVER_SEEN
+        !machine.zonePartitioned && machine.oneWayPartitioned -> SuspicionRule.ONE_WAY_PARTITIONED
+        !machine.zonePartitioned -> SuspicionRule.UNRESPONSIVE
+        !machine.reconciled && takeoverOpen && !endsSoon -> SuspicionRule.ZONE_PARTITIONED_IN_TAKEOVER
+        else -> SuspicionRule.ZONE_PARTITIONED
     }
 
     /**
-     * In a cut's first seconds those whose reports are due first can't be told from dead ones, unless another of the
-     * zone is heard after them.
+     * In the first seconds of a partition, machines whose heartbeats are due first can't be told from dead ones, unless
+     * another of the zone is seen after them. A takeover doesn't wait for that.
      */
-    private fun heardSince(machine: SuspectedMachine, since: MonotonicInstant): Boolean = machine.zoneHeard.let {
-        it != null &&
-            it > since
+    private fun isProvenDead(machine: SuspectedMachine, takeoverOpen: Boolean): Boolean {
+        val unreachableSince = machine.unreachableSince ?: return false
+        if (machine.zoneDoubtful) return false
+        return takeoverOpen || machine.zoneLastSeenAt.let { it != null && it > unreachableSince }
     }
 
-    /** How long the silence of such a machine lasts before it is returned. */
-    public fun patience(machine: SuspectedMachine, takeoverOpen: Boolean, endsSoon: Boolean): Duration {
-        val base = when (row(machine, takeoverOpen, endsSoon)) {
-            SuspicionRule.UNLISTED -> return times.unlisted
-            SuspicionRule.MUTE -> return times.mute
-            SuspicionRule.DEAD -> if (takeoverOpen) minOf(times.report, times.unlisted) else times.report
-            SuspicionRule.ZONE_MISSING, SuspicionRule.ZONE_CUT -> times.cut
-            SuspicionRule.ZONE_CUT_WAITED_FOR, SuspicionRule.SILENT -> times.silent
-        }
-        return base + when {
-            machine.unheard -> if (machine.unreachableSince != null) Duration.ZERO else times.unheardMargin
-            machine.asked -> Duration.ZERO
-            else -> times.unaskedMargin
+    /** How long the silence of such a machine lasts before it is terminated. */
+    public fun patience(machine: SuspectedMachine, takeoverOpen: Boolean, endsSoon: Boolean): Duration =
+        when (ruleFor(machine, takeoverOpen, endsSoon)) {
+            SuspicionRule.UNLISTED -> timeouts.unlisted
+
+            SuspicionRule.ONE_WAY_PARTITIONED -> timeouts.oneWayPartition
+
+            SuspicionRule.UNREACHABLE ->
+                (if (takeoverOpen) minimumPatience else timeouts.heartbeatOverdue) + margin(machine)
+
+            SuspicionRule.ZONE_NEVER_SEEN, SuspicionRule.ZONE_PARTITIONED -> timeouts.zonePartition + margin(machine)
+
+            SuspicionRule.ZONE_PARTITIONED_IN_TAKEOVER, SuspicionRule.UNRESPONSIVE ->
+                timeouts.unresponsive + margin(machine)
         }
+
+    private fun margin(machine: SuspectedMachine): Duration = when {
+        machine.neverSeen && machine.unreachableSince != null -> Duration.ZERO
+        machine.neverSeen -> timeouts.neverSeenMargin
+        machine.probed -> Duration.ZERO
+        else -> timeouts.unprobedMargin
     }
 }
--- a/src/main/kotlin/org/elderhitch/failuredetection/TerminationRateLimiter.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/TerminationRateLimiter.kt
@@ -6,29 +6,29 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How many machines of a zone may be returned for nothing but their silence. When much of a zone is silent at once and
- * nothing proves that the machines are
- * dead, that may say more of us, or of the network, than of them; each is paid for again, boots, and fetches its
- * images. Where there is proof nothing is paced.
+ * Limits how many machines of a zone are terminated for their silence alone, by a token bucket for each zone. Made anew
+ * for each term. When much of a zone is silent at once and nothing proves that the machines are dead, this node or the
+ * network may be at fault; and each replacement is paid for, boots, and fetches its images again.
+ *
+ * @param share the share of a zone's machines that may be terminated within [SPAN].
  */
 internal class TerminationRateLimiter(private val share: Double) {
-    private class Bucket(var left: Double, var at: MonotonicInstant)
+    private class Bucket(var tokens: Double, var refilledAt: MonotonicInstant)
 
-    private val zones = HashMap<Zone, Bucket>()
-
-    fun newTerm() = zones.clear()
+    private val buckets = HashMap<Zone, Bucket>()
 
     /**
-     * How many of [wanted] may go now, of a zone of [size] machines: its share of them within [SPAN], and always a few.
+     * How many of the [requested] terminations may go out now, in a zone of [size] machines: its share of them within
+     * [SPAN], and always a few.
      */
-    fun allow(zone: Zone, size: Int, wanted: Int, now: MonotonicInstant): Int {
-        val most = maxOf(FEW, size * share)
-        val bucket = zones.getOrPut(zone) { Bucket(most, now) }
-        bucket.left = minOf(most, bucket.left + (now - bucket.at) / SPAN * most)
-        bucket.at = now
-        val may = minOf(wanted, bucket.left.toInt())
-        bucket.left -= may
-        return may
+    fun allow(zone: Zone, size: Int, requested: Int, now: MonotonicInstant): Int {
+        val capacity = maxOf(FEW, size * share)
+        val bucket = buckets.getOrPut(zone) { Bucket(capacity, now) }
+        bucket.tokens = minOf(capacity, bucket.tokens + (now - bucket.refilledAt) / SPAN * capacity)
+        bucket.refilledAt = now
+        val allowed = minOf(requested, bucket.tokens.toInt())
+        bucket.tokens -= allowed
+        return allowed
     }
 
     companion object {
--- a/src/main/kotlin/org/elderhitch/heartbeat/MessageRecorder.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/MessageRecorder.kt
@@ -27,7 +27,7 @@
     private val ports: SchedulerPorts,
     private val ledger: ActionLedger,
 ) {
-    /** Records a message of a machine that is surely gone, as delayed on its way; returns whether the machine is gone. */
+    /** Records the delayed message of a machine that is surely gone; returns whether the machine is gone. */
     fun recordIfGone(machine: MachineId, now: MonotonicInstant): Boolean {
         val gone = machine in machineRegistry.gone
         if (gone) ledger.machineSeen(machine, now)
@@ -79,7 +79,9 @@
 
     private fun recordPreemptionNotice(worker: WorkerState, message: Heartbeat) {
         if (message.notice != null && worker.preemptionNotice == null) {
-            events.info("spot notice", worker.id) { "spot notice machine=${message.machine} notice_s=${message.notice}" }
+            events.info("spot notice", worker.id) {
+                "spot notice machine=${message.machine} notice_s=${message.notice}"
+            }
             table.dirty = true
         }
         worker.preemptionNotice = message.notice
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -7,6 +7,7 @@
 import org.elderhitch.delegates.ZoneDelegates
 import org.elderhitch.explain.JobExplainer
 import org.elderhitch.failuredetection.FailureAttribution
+import org.elderhitch.failuredetection.FailureDetectionSettings
 import org.elderhitch.failuredetection.FailureDetector
 import org.elderhitch.failuredetection.PauseDetector
 import org.elderhitch.failuredetection.WorkerProber
@@ -105,18 +106,20 @@
     private val delegates = ZoneDelegates(own, nodeZones, times, table, takeover, machineRegistry, ports)
     private val failureDetector =
         FailureDetector(
+            FailureDetectionSettings(
+                workerTimes,
+                leases,
+                TICK,
+                nodeZones.values.toSet(),
+                suspectedTerminationShare,
+            ),
             table,
             takeover,
-            workerTimes,
-            leases,
-            TICK,
-            nodeZones.values.toSet(),
             workerProber,
             pauseDetector,
+            delegates,
             events,
             ports,
-            delegates,
-            suspectedTerminationShare,
         )
     private val consolidation = Consolidation(table)
     private val cycleInputBuilder = CycleInputBuilder(table, faults, teams, objectives)
--- a/src/test/kotlin/org/elderhitch/recovery/ReconciliationTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/ReconciliationTest.kt
@@ -98,13 +98,13 @@
 
     private val times =
         DetectionTimeouts(
-            report = 3.seconds,
-            silent = 9.seconds,
-            mute = 18.seconds,
+            heartbeatOverdue = 3.seconds,
+            unresponsive = 9.seconds,
+            oneWayPartition = 18.seconds,
             unlisted = 2.seconds,
-            unaskedMargin = 6.seconds,
-            unheardMargin = 3.seconds,
-            cut = 90.seconds,
+            unprobedMargin = 6.seconds,
+            neverSeenMargin = 3.seconds,
+            zonePartition = 90.seconds,
         )
     private val reconciliation = SuspicionRules(times)
     private val now = MonotonicInstant(0) + 1000.seconds
@@ -156,13 +156,13 @@
         for (machine in everyMachine()) {
             for (open in flags) {
                 for (endsSoon in flags) {
-                    val row = reconciliation.row(machine, open, endsSoon)
+                    val row = reconciliation.ruleFor(machine, open, endsSoon)
                     val patience = reconciliation.patience(machine, open, endsSoon)
                     rows.add(row)
-                    assertTrue(patience >= reconciliation.least)
+                    assertTrue(patience >= reconciliation.minimumPatience)
                     if (!row.proven) {
                         assertTrue(
-                            patience >= times.silent,
+                            patience >= times.unresponsive,
                             "$machine: $row after $patience, with no proof",
                         )
                     }
@@ -170,36 +170,36 @@
                         SuspicionRule.UNLISTED
                     ) {
                         assertTrue(
-                            machine.unheard && machine.unlisted,
+                            machine.neverSeen && machine.unlisted,
                             "a machine that has spoken is not returned by the word of an old list",
                         )
                     }
                     if (row ==
-                        SuspicionRule.DEAD
+                        SuspicionRule.UNREACHABLE
                     ) {
                         assertTrue(
-                            !machine.zoneDoubtful && (open || machine.zoneHeard == now - 1.seconds),
+                            !machine.zoneDoubtful && (open || machine.zoneLastSeenAt == now - 1.seconds),
                             "a cut explains it: $machine",
                         )
                     }
                     // What it runs goes on until its lease is over.
                     if (row ==
-                        SuspicionRule.MUTE
+                        SuspicionRule.ONE_WAY_PARTITIONED
                     ) {
-                        assertTrue(machine.mute && patience >= times.mute, "$machine: $row after $patience")
+                        assertTrue(machine.oneWayPartitioned && patience >= times.oneWayPartition, "$machine: $row after $patience")
                     }
                     // A whole zone is silent: its machines run on, and their return would end all that is there.
-                    if (machine.zoneCut &&
+                    if (machine.zonePartitioned &&
                         machine.zoneDoubtful &&
-                        machine.settled
+                        machine.reconciled
                     ) {
-                        assertTrue(patience >= times.cut, "$machine: $row after $patience")
+                        assertTrue(patience >= times.zonePartition, "$machine: $row after $patience")
                     }
-                    if (machine.zoneMissing &&
+                    if (machine.zoneNeverSeen &&
                         machine.zoneDoubtful &&
                         !machine.unlisted
                     ) {
-                        assertTrue(patience >= times.cut, "$machine: $row after $patience")
+                        assertTrue(patience >= times.zonePartition, "$machine: $row after $patience")
                     }
                 }
             }
