--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntentStore.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntentStore.kt
@@ -79,14 +79,14 @@
         when (change) {
             is Change.Put -> put(change.entry)
 
-            is Change.Drop -> (Keys.subject(change.key) as? StoredKey.ProvisioningIntent)?.let {
+            is Change.Drop -> (Keys.parse(change.key) as? StoredKey.ProvisioningIntent)?.let {
                 stored.remove(it.name)
             }
         }
     }
 
     private fun put(entry: Entry) {
-        val key = Keys.subject(entry.key) as? StoredKey.ProvisioningIntent ?: return
+        val key = Keys.parse(entry.key) as? StoredKey.ProvisioningIntent ?: return
         stored[key.name] = entry
     }
 
--- /dev/null
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenStoreJobsTest.kt
@@ -0,0 +1,189 @@
+package org.elderhitch.golden
+
+import org.elderhitch.golden.GoldenStoreValues.malformed
+import org.elderhitch.golden.GoldenStoreValues.of
+import org.elderhitch.golden.GoldenStoreValues.same
+import org.elderhitch.golden.GoldenStoreValues.stored
+import org.elderhitch.golden.GoldenStoreValues.text
+import org.elderhitch.jobs.CompletedTasks
+import org.elderhitch.jobs.HoldKind
+import org.elderhitch.jobs.JobCodec
+import org.elderhitch.jobs.JobHold
+import org.elderhitch.jobs.TerminalRecord
+import org.elderhitch.json.Json
+import org.elderhitch.json.MalformedJson
+import org.elderhitch.store.Revision
+import kotlin.test.Test
+import kotlin.test.assertEquals
+import kotlin.test.assertFailsWith
+import kotlin.test.assertFalse
+import kotlin.test.assertNotNull
+import kotlin.test.assertNull
+import kotlin.test.assertTrue
+import kotlin.time.Duration.Companion.seconds
+
+/** The bytes of job records, completed tasks, terminal records and holds in the state service. */
+class GoldenStoreJobsTest {
+    @Test
+    fun `a job record keeps its bytes with each optional field and without`() {
+        val full = JobCodec.decode(stored("job-full"))
+        same("job-full", JobCodec.encode(full))
+        assertEquals(5000, full.tasks)
+        assertEquals(listOf("g8", "g16"), full.types?.map { it.name })
+        assertEquals(listOf("north", "req-000001"), listOf(full.zone?.name, full.repeatOf?.text))
+        assertTrue(full.oneZone && full.spread && full.spotAllowed)
+        val spans = listOf(full.estimate, full.checkpointInterval, full.checkpointDuration)
+        assertEquals(listOf(90.5.seconds, 30.seconds, 2.5.seconds), spans)
+        assertEquals(3600.seconds, full.deadline)
+        same("job-least", JobCodec.encode(JobCodec.decode(stored("job-least"))))
+    }
+
+    @Test
+    fun `a job record of an earlier version reads with the defaults`() {
+        val earlier = JobCodec.decode(stored("job-earlier"))
+        same("job-least", JobCodec.encode(earlier))
+        assertFalse(earlier.oneZone || earlier.spread || earlier.spotAllowed)
+        assertEquals(List(4) { null }, listOf(earlier.types, earlier.zone, earlier.deadline, earlier.repeatOf))
+    }
+
+    @Test
+    fun `a job record keeps what a feature adds behind its own fields`() {
+        val stored = stored("job-extra")
+        same("job-extra", JobCodec.encode(JobCodec.decode(stored)) + mapOf("drmaa" to stored.raw("drmaa")))
+        same("job-least", JobCodec.encode(JobCodec.decode(stored)))
+    }
+
+    @Test
+    fun `each kind and urgency of jobs keeps its word`() {
+        val least = text("job-least")
+        for (kind in listOf("array", "gang", "daemon")) {
+            val value = least.replace("\"lotKind\":\"daemon\"", "\"lotKind\":\"$kind\"")
+            assertEquals(value, Json.text(JobCodec.encode(JobCodec.decode(of(value)))))
+        }
+        for (urgency in listOf("production", "urgent", "normal", "idle")) {
+            val value = least.replace("\"urgency\":\"idle\"", "\"urgency\":\"$urgency\"")
+            assertEquals(value, Json.text(JobCodec.encode(JobCodec.decode(of(value)))))
+        }
+    }
+
+    @Test
+    fun `job records that are wrong are refused with the same words`() {
+        val full = text("job-full")
+        fun refused(message: String, from: String, to: String) {
+            assertTrue(from in full, from)
+            malformed(message) { JobCodec.decode(of(full.replace(from, to))) }
+        }
+        refused("crates: not from 1 to 100000", "\"crates\":5000", "\"crates\":0")
+        refused("crates: not from 1 to 100000", "\"crates\":5000", "\"crates\":100001")
+        refused("crates: not an integer in range", "\"crates\":5000", "\"crates\":99999999999999999999")
+        refused("crates: not an integer in range", "\"crates\":5000", "\"crates\":\"5000\"")
+        refused("crates: missing", "\"crates\":5000", "\"crates\":null")
+        refused("cores: out of range", "\"cores\":4.0", "\"cores\":-1")
+        refused("cores: out of range", "\"cores\":4.0", "\"cores\":1e16")
+        refused("memGb: not a number", "\"memGb\":16.0", "\"memGb\":true")
+        refused("lotKind: unknown", "\"array\"", "\"ring\"")
+        refused("urgency: unknown", "\"urgent\"", "\"HIGH\"")
+        refused("id: not of the form req-000412", "req-000412", "412")
+        refused("repeatOf: not of the form req-000412", "req-000001", "1")
+        refused("rigs: not a list", "[\"g8\",\"g16\"]", "\"g8\"")
+        refused("rigs: holds something that is no string", "[\"g8\",\"g16\"]", "[8]")
+        refused("hall: empty or over 200 characters", "\"north\"", "\"\"")
+        refused("samePlace: not true or false", "\"samePlace\":true", "\"samePlace\":1")
+        assertFailsWith<MalformedJson> { of(full.dropLast(1)) }
+        same("job-full", JobCodec.encode(JobCodec.decode(of(full.dropLast(1) + ",\"newer\":[1]}"))))
+    }
+
+    private fun finished(name: String, block: Int, tasks: Int = 5000): CompletedTasks {
+        val finished = CompletedTasks(tasks)
+        assertTrue(finished.unpack(block, stored(name).string("f")), name)
+        same(name, mapOf("f" to finished.pack(block)))
+        return finished
+    }
+
+    @Test
+    fun `finished blocks keep their bytes as ranges and as a bitmap`() {
+        assertEquals(10, finished("finished-ranges", 0).count)
+        assertEquals(904, finished("finished-last-block", 1).count)
+        assertTrue(4999 in finished("finished-last-block", 1))
+        assertEquals(0, finished("finished-none", 0).count)
+        val bitmap = finished("finished-bitmap", 0)
+        assertEquals(2048, bitmap.count)
+        assertTrue(0 in bitmap && 1 !in bitmap && 4094 in bitmap)
+        assertEquals(685, stored("finished-bitmap").string("f").length)
+        assertEquals(listOf(4096, 685), listOf(CompletedTasks.BLOCK, CompletedTasks.MAX_VALUE_CHARS))
+    }
+
+    @Test
+    fun `finished blocks that are wrong add nothing`() {
+        val wrong = listOf("x", "-1", "5-3", "0-4096", "0-", "0,", "0-1-2", "b*", "b=", "99999999999", " 1")
+        for (value in wrong) {
+            val finished = CompletedTasks(5000)
+            assertFalse(finished.unpack(0, value), value)
+            assertEquals(0, finished.count, value)
+        }
+        assertFalse(CompletedTasks(5000).unpack(1, "904"))
+        assertFalse(CompletedTasks(5000).unpack(2, "0"))
+        assertFalse(CompletedTasks(5000).unpack(-1, "0"))
+    }
+
+    @Test
+    fun `an ending keeps its bytes with and without an account`() {
+        for (name in listOf("end-account", "end-account-unseen", "end-no-account")) {
+            same(name, assertNotNull(TerminalRecord.decode(stored(name))).encode())
+        }
+        val account = assertNotNull(TerminalRecord.decode(stored("end-account"))?.account)
+        assertEquals(listOf(5003L, 3L), listOf(account.attempts, account.lost))
+        assertEquals(listOf(1234.5, 6.7), listOf(account.usefulSeconds, account.lostSeconds))
+        assertEquals(listOf(1_700_000_000_000, 1_700_000_100_000), listOf(account.firstStart?.ms, account.end.ms))
+        assertFalse(account.lowerBound)
+        assertNull(TerminalRecord.decode(stored("end-account-unseen"))?.account?.firstStart)
+        assertNull(assertNotNull(TerminalRecord.decode(stored("end-no-account"))).account)
+    }
+
+    @Test
+    fun `endings that are wrong read as none`() {
+        val wrong = listOf(
+            "{}", "{\"end\":\"eaten\",\"done\":0}", "{\"end\":\"DONE\",\"done\":0}", "{\"end\":1,\"done\":0}",
+            "{\"end\":\"done\"}",
+            "{\"end\":\"done\",\"done\":-1}", "{\"end\":\"done\",\"done\":\"1\"}", "{\"end\":\"done\",\"done\":1.5}",
+            "{\"end\":\"done\",\"done\":99999999999999999999}", "{\"end\":\"done\",\"done\":1,\"acct\":[]}",
+            "{\"end\":\"done\",\"done\":1,\"acct\":{}}", text("end-account").replace("\"least\":false", "\"least\":0"),
+        )
+        for (value in wrong) assertNull(TerminalRecord.decode(of(value)), value)
+        assertEquals(1, TerminalRecord.decode(of("{\"end\":\"done\",\"done\":1,\"newer\":true}"))?.done)
+        val large = of("{\"end\":\"done\",\"done\":4294967296}")
+        assertEquals(0, TerminalRecord.decode(large)?.done, "only the low 32 bits are kept")
+    }
+
+    @Test
+    fun `holds keep their bytes and words`() {
+        val kinds = mapOf(
+            "user" to HoldKind.USER,
+            "suspended" to HoldKind.SUSPENDED,
+            "attempts" to HoldKind.ATTEMPTS,
+            "released" to HoldKind.RELEASED,
+        )
+        for ((word, kind) in kinds) {
+            val hold = assertNotNull(JobHold.decode(stored("hold-$word"), Revision(7)))
+            assertEquals(kind, hold.kind)
+            assertEquals("told so", hold.reason)
+            assertEquals(Revision(7), hold.version)
+            same("hold-$word", hold.encode())
+        }
+        assertEquals(300, JobHold.of(HoldKind.USER, "x".repeat(301)).reason.length)
+    }
+
+    @Test
+    fun `holds that are wrong read as none`() {
+        val wrong = listOf(
+            "{}",
+            "{\"hold\":\"user\"}",
+            "{\"hold\":\"USER\",\"why\":\"\"}",
+            "{\"hold\":1,\"why\":\"\"}",
+            "{\"hold\":\"user\",\"why\":1}",
+            "{\"hold\":\"other\",\"why\":\"\"}",
+        )
+        for (value in wrong) assertNull(JobHold.decode(of(value), Revision(1)), value)
+        assertNotNull(JobHold.decode(of("{\"hold\":\"user\",\"why\":\"\",\"newer\":1}"), Revision(1)))
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenStoreNode.kt
@@ -0,0 +1,99 @@
+package org.elderhitch.golden
+
+import kotlinx.coroutines.CoroutineExceptionHandler
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.ExperimentalCoroutinesApi
+import kotlinx.coroutines.Job
+import kotlinx.coroutines.SupervisorJob
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.test.TestScope
+import kotlinx.coroutines.test.currentTime
+import org.elderhitch.fleet.Catalog
+import org.elderhitch.fleet.CatalogRefresher
+import org.elderhitch.fleet.CloudClient
+import org.elderhitch.golden.GoldenStoreValues.text
+import org.elderhitch.http.Address
+import org.elderhitch.http.Delivery
+import org.elderhitch.http.Message
+import org.elderhitch.http.MessageParser
+import org.elderhitch.http.Response
+import org.elderhitch.http.Transport
+import org.elderhitch.json.JsonObject
+import org.elderhitch.leadership.Incarnation
+import org.elderhitch.leadership.Leadership
+import org.elderhitch.leadership.LeadershipMessage
+import org.elderhitch.leadership.LeadershipTimeouts
+import org.elderhitch.settings.NodeName
+import org.elderhitch.settings.StateLimits
+import org.elderhitch.settings.WorkerTimeouts
+import org.elderhitch.standin.StateStandIn
+import org.elderhitch.store.Keys
+import org.elderhitch.store.RequestRateLimiter
+import org.elderhitch.store.StateClient
+import org.elderhitch.time.MonotonicInstant
+import org.elderhitch.time.SteadyClock
+import kotlin.random.Random
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.seconds
+
+/** The state service and the cloud of a [GoldenStoreNode]: the cloud only lists the machine types [flavors]. */
+private class Net(private val state: StateStandIn, private val flavors: String) : Transport {
+    override suspend fun call(
+        to: Address,
+        method: String,
+        target: String,
+        body: ByteArray?,
+        timeout: Duration,
+    ): Response {
+        if (target == "/flavors") return Response(200, flavors.encodeToByteArray())
+        val message = Message("$method $target HTTP/1.1", emptyMap(), body ?: ByteArray(0), true)
+        return state.handle(MessageParser.request(message))
+    }
+
+    override suspend fun deliver(
+        to: Address,
+        method: String,
+        target: String,
+        body: ByteArray?,
+        connect: Duration,
+        timeout: Duration,
+    ): Delivery = Delivery.Answered(call(to, method, target, body, timeout))
+}
+
+/** One node in virtual time that claims the leadership and refreshes the catalog, and the state service it writes to. */
+@OptIn(ExperimentalCoroutinesApi::class)
+internal class GoldenStoreNode(test: TestScope) {
+    private val clock = SteadyClock { MonotonicInstant(test.currentTime * 1_000_000) }
+    val state = StateStandIn(clock)
+    private val net = Net(state, text("types-full"))
+    private val client = StateClient(
+        net,
+        Address("state:1"),
+        StateLimits(1000.0, 1000.0, 8192, 8),
+        RequestRateLimiter(clock, 1000.0),
+        RequestRateLimiter(clock, 1000.0),
+    )
+    val failures = ArrayList<Throwable>()
+    private val scope = CoroutineScope(
+        test.backgroundScope.coroutineContext + SupervisorJob(test.backgroundScope.coroutineContext[Job]) +
+            CoroutineExceptionHandler { _, e -> failures.add(e) },
+    )
+    private val times = LeadershipTimeouts.of(WorkerTimeouts(1.seconds, 11.seconds, 45.seconds, 5.seconds, 41.seconds))
+    private val ones = object : Random() {
+        override fun nextBits(bitCount: Int) = 1
+    }
+    val leadership =
+        Leadership(scope, NodeName("n1"), Incarnation("run-1"), client, times, clock, ones).apply { start() }
+    val catalogs = ArrayList<Catalog>()
+    private val cloud = CloudClient(net, Address("cloud:1"), RequestRateLimiter(clock, 10.0))
+    val jobProvider = CatalogRefresher(scope, cloud, client, 8192, { true }) {
+        catalogs.add(it)
+    }
+
+    fun counter(value: JsonObject) = state.overwrite(Keys.TERM, value.names.associateWith(value::raw))
+
+    suspend fun claim() {
+        leadership.tell(LeadershipMessage.LeaderObserved(null))
+        delay(1.seconds)
+    }
+}
--- a/src/test/kotlin/org/elderhitch/jobs/JobCodecTest.kt
+++ b/src/test/kotlin/org/elderhitch/jobs/JobCodecTest.kt
@@ -33,7 +33,7 @@
     )
 
     @Test
-    fun `a job survives the wire and the store, with fields that nobody knows`() {
+    fun `a job decodes to the same when encoded again, and unknown fields are ignored`() {
         val random = Random(4)
         repeat(300) {
             val body = body(random)
@@ -48,13 +48,13 @@
     }
 
     @Test
-    fun `each missing, mistyped or impossible field is named`() {
+    fun `the codec names the field when one is missing, mistyped or impossible`() {
         val good = body(Random(5))
-        for (
-        field in listOf(
-            "id", "lotClass", "desk", "lotKind", "urgency", "crates", "cores", "accelerators", "memGb", "catchImage", "haulS",
+        val required = listOf(
+            "id", "lotClass", "desk", "lotKind", "urgency", "crates",
+            "cores", "accelerators", "memGb", "catchImage", "haulS",
         )
-        ) {
+        for (field in required) {
             for (wrong in listOf(null, listOf(1), mapOf("a" to 1), true)) {
                 val error =
                     assertFailsWith<MalformedJson>(field) {
@@ -76,7 +76,7 @@
     }
 
     @Test
-    fun `what is no JSON object is refused in one line`() {
+    fun `the parser refuses in one line when the text is no JSON object`() {
         for (text in listOf("", "nonsense", "[1]", "{\"a\":", "{} {}", "\"x\"", "{\"a\":1,}", "[".repeat(100))) {
             val error = assertFailsWith<MalformedJson>(text) { Json.parseObject(text.toByteArray()) }
             assertTrue('\n' !in error.message.orEmpty())
--- a/src/test/kotlin/org/elderhitch/jobs/JobServiceTest.kt
+++ b/src/test/kotlin/org/elderhitch/jobs/JobServiceTest.kt
@@ -52,10 +52,7 @@
             )
         val opened = HashMap<JobId, Revision>()
         private val jobRegistry = JobRegistry(test.backgroundScope) {
-            if (it is JobEvent.Opened) {
-                opened[it.spec.id] =
-                    it.version
-            }
+            if (it is JobEvent.Opened) opened[it.spec.id] = it.version
         }
         private val stateWatch = StateWatch(
             test.backgroundScope,
@@ -84,17 +81,23 @@
             jobRegistry.start()
             stateWatch.start()
         }
-    }
 
-    private val account = JobAccount(TeamName("team"), "class", 2, 0, 10.0, 0.0, null, WallTime(5), lowerBound = false)
+        /** As the leader, records that both tasks of the job are completed. */
+        suspend fun complete(leadership: LeadershipState.Leader, id: JobId, version: Revision) {
+            val all = CompletedTasks(2).apply {
+                add(0)
+                add(1)
+            }
+            completionWriter.record(leadership, listOf(CompletionBatch(id, version, all, listOf(0, 1), ACCOUNT)))
+        }
+    }
 
     /**
-     * Seen in `lab drmaa`: a batch was made of a job of which one task was missing; that one completed before the batch
-     * was recorded, and the job
-     * ended for ever without an account.
+     * Seen in `lab drmaa`: a batch was made of a job of which one task was missing; that task completed before the batch
+     * was recorded, and the job ended for ever without an account.
      */
     @Test
-    fun `a job whose last task completes while a part of it is being recorded ends with the next batch`() = runTest {
+    fun `a job ends with the next batch when its last task completes while a part of it is being recorded`() = runTest {
         val clock = SteadyClock { MonotonicInstant(currentTime * 1_000_000) }
         val completionWriter = Node(
             this,
@@ -109,109 +112,108 @@
         // for ever.
         assertEquals(
             listOf(mapOf("f" to "0")),
-            completionWriter.writesOf(part).flatMap {
-                it.writes
-            }.map { (it as Write.Put).value },
+            completionWriter.writesOf(part).flatMap { it.writes }.map { (it as Write.Put).value },
         )
-        val whole = CompletionBatch(JobId("req-1"), Revision(3), state, listOf(1), account)
-        assertEquals(account, completionWriter.writesOf(whole).single().terminalRecord?.account)
+        val whole = CompletionBatch(JobId("req-1"), Revision(3), state, listOf(1), ACCOUNT)
+        assertEquals(ACCOUNT, completionWriter.writesOf(whole).single().terminalRecord?.account)
         coroutineContext.cancelChildren()
     }
 
+    /** The last answer that users got about each job: no later answer may contradict one that was given before it. */
+    private class AnswerHistory(private val seed: Long) {
+        val last = HashMap<JobId, String>()
+
+        /** [before]: what was last answered when this was asked. */
+        fun add(id: JobId, before: String?, answer: JobResponse) {
+            val phase = when (answer) {
+                is JobResponse.Accepted -> answer.status.phase.wireName
+                is JobResponse.State -> answer.status.phase.wireName
+                JobResponse.Unknown -> "unknown"
+                else -> return
+            }
+            if (before in TERMINAL) assertEquals(before, phase, "seed $seed: $id went back")
+            if (before != null) assertTrue(phase != "unknown", "seed $seed: $id is forgotten")
+            if (phase != "unknown" && last[id] !in TERMINAL) last[id] = phase
+        }
+    }
+
+    /** Three nodes on a lossy network, and users who ask any of them for anything. */
+    private class Users(private val test: TestScope, seed: Long) {
+        private val random = Random(seed)
+        private val clock = SteadyClock { MonotonicInstant(test.currentTime * 1_000_000) }
+        private val state = StateStandIn(clock)
+        private val net = LossyNet(test.backgroundScope, random, state).apply { trouble = 0.0 }
+        private val nodes = List(3) { Node(test, net, clock) }
+        private val ids = List(12) { JobId("req-$it") }
+        val answers = AnswerHistory(seed)
+
+        suspend fun askAtRandom() {
+            delay(1.seconds)
+            val leadership = leadership()
+            net.trouble = 0.2
+            val users = List(10) { user ->
+                test.launch {
+                    repeat(25) {
+                        askOnce(leadership, choices = if (user == 0) 5 else 4)
+                        delay(random.nextLong(400).milliseconds)
+                    }
+                }
+            }
+            users.forEach { it.join() }
+            net.trouble = 0.0
+            delay(30.seconds)
+        }
+
+        /** No counter yet: its version is that of an absent key, which never changes here. */
+        private fun leadership() = LeadershipState.Leader(
+            Term(1),
+            Revision.ABSENT,
+            LeaseId(1),
+            MonotonicInstant.FOREVER,
+            MonotonicInstant.FOREVER,
+            null,
+            clock.now(),
+        )
+
+        private suspend fun askOnce(leadership: LeadershipState.Leader, choices: Int) {
+            val id = ids.random(random)
+            val node = nodes.random(random)
+            val before = answers.last[id]
+            when (random.nextInt(choices)) {
+                0 -> answers.add(id, before, node.jobService.submit(exampleJob(id)))
+                1, 2 -> answers.add(id, before, node.jobService.show(id))
+                3 -> if (random.nextInt(3) == 0) answers.add(id, before, node.jobService.cancel(id))
+                else -> node.opened[id]?.let { node.complete(leadership, id, it) }
+            }
+        }
+
+        /** Every node tells every user what was told before, and each job is either open or ended. */
+        suspend fun checkAllNodes() {
+            for ((id, phase) in answers.last) {
+                for (node in nodes) answers.add(id, phase, node.jobService.show(id))
+                assertTrue(
+                    state.value(Keys.job(id)) == null || state.value(Keys.terminalRecord(id)) == null,
+                    "$id is open and ended",
+                )
+            }
+        }
+    }
+
     /**
-     * Done, withdrawn, repeated, lost and late: what one user is told once, every node tells every user from then on.
+     * Done, cancelled, repeated, lost and late: what one user is told once, every node tells every user from then on.
      */
     @Test
-    fun `one ending for ever, and no answer older than another`() {
+    fun `a job keeps one terminal state and gets no outdated answer when requests mix and messages are lost`() {
         val endings = HashMap<String, Int>()
         for (seed in 1L..8L) {
             runTest {
-                val random = Random(seed)
-                val clock = SteadyClock { MonotonicInstant(currentTime * 1_000_000) }
-                val state = StateStandIn(clock)
-                val net = LossyNet(backgroundScope, random, state).apply { trouble = 0.0 }
-                val nodes = List(3) { Node(this, net, clock) }
-                delay(1.seconds)
-                // No counter yet: its version is that of an absent key, which never changes here.
-                val leadership = LeadershipState.Leader(
-                    Term(1),
-                    Revision.ABSENT,
-                    LeaseId(1),
-                    MonotonicInstant.FOREVER,
-                    MonotonicInstant.FOREVER,
-                    null,
-                    clock.now(),
-                )
-                net.trouble = 0.2
-                val told = HashMap<JobId, String>()
-                fun hear(id: JobId, before: String?, answer: JobResponse) {
-                    val word = when (answer) {
-                        is JobResponse.Accepted -> answer.status.phase.wireName
-                        is JobResponse.State -> answer.status.phase.wireName
-                        JobResponse.Unknown -> "unknown"
-                        else -> return
-                    }
-                    if (before == "done" ||
-                        before == "withdrawn"
-                    ) {
-                        assertEquals(before, word, "seed $seed: $id went back")
-                    }
-                    if (before != null) assertTrue(word != "unknown", "seed $seed: $id is forgotten")
-                    if (word !=
-                        "unknown"
-                    ) {
-                        told[id] = if (told[id] in setOf("done", "withdrawn")) told.getValue(id) else word
-                    }
-                }
-                val ids = List(12) { JobId("req-$it") }
-                val work = List(10) { worker ->
-                    launch {
-                        repeat(25) {
-                            val id = ids.random(random)
-                            val node = nodes.random(random)
-                            val before = told[id]
-                            when (random.nextInt(if (worker == 0) 5 else 4)) {
-                                0 -> hear(
-                                    id,
-                                    before,
-                                    node.jobService.submit(
-                                        Json.bytes(ClassArchiveTraining.exampleJob(id.text, "array")),
-                                    ),
-                                )
-
-                                1, 2 -> hear(id, before, node.jobService.show(id))
-
-                                3 -> if (random.nextInt(3) == 0) hear(id, before, node.jobService.cancel(id))
-
-                                else -> node.opened[id]?.let { version ->
-                                    val all = CompletedTasks(2).apply {
-                                        add(0)
-                                        add(1)
-                                    }
-                                    node.completionWriter.record(
-                                        leadership,
-                                        listOf(CompletionBatch(id, version, all, listOf(0, 1), account)),
-                                    )
-                                }
-                            }
-                            delay(random.nextLong(400).milliseconds)
-                        }
-                    }
-                }
-                work.forEach { it.join() }
-                net.trouble = 0.0
-                delay(30.seconds)
-                for ((id, word) in told) {
-                    for (node in nodes) hear(id, word, node.jobService.show(id))
-                    endings.merge(told.getValue(id), 1, Int::plus)
-                    assertTrue(
-                        state.value(Keys.job(id)) == null || state.value(Keys.terminalRecord(id)) == null,
-                        "$id is open and ended",
-                    )
-                }
+                val users = Users(this, seed)
+                users.askAtRandom()
+                users.checkAllNodes()
+                users.answers.last.values.forEach { endings.merge(it, 1, Int::plus) }
             }
         }
-        assertTrue(endings.keys.containsAll(setOf("done", "withdrawn")), "too little was tried: $endings")
+        assertTrue(endings.keys.containsAll(TERMINAL), "too little was tried: $endings")
     }
 
     /**
@@ -219,7 +221,7 @@
      * limits.
      */
     @Test
-    fun `a job that nobody submitted is looked up once, until somebody submits it`() = runTest {
+    fun `a job that nobody submitted is read from the store once until somebody submits it`() = runTest {
         val clock = SteadyClock { MonotonicInstant(currentTime * 1_000_000) }
         val state = StateStandIn(clock)
         var reads = 0
@@ -234,12 +236,17 @@
         repeat(50) { assertEquals(JobResponse.Unknown, nodes[0].jobService.show(id)) }
         assertEquals(1, reads)
         assertTrue(
-            nodes[1].jobService.submit(
-                Json.bytes(ClassArchiveTraining.exampleJob(id.text, "array")),
-            ) is JobResponse.Accepted,
+            nodes[1].jobService.submit(exampleJob(id)) is JobResponse.Accepted,
         )
         assertEquals("queued", (nodes[0].jobService.show(id) as JobResponse.State).status.phase.wireName)
         assertEquals("withdrawn", (nodes[1].jobService.cancel(id) as JobResponse.State).status.phase.wireName)
         assertEquals("withdrawn", (nodes[0].jobService.show(id) as JobResponse.State).status.phase.wireName)
     }
+
+    private companion object {
+        val TERMINAL = setOf("done", "withdrawn")
+        val ACCOUNT = JobAccount(TeamName("team"), "class", 2, 0, 10.0, 0.0, null, WallTime(5), lowerBound = false)
+
+        fun exampleJob(id: JobId): ByteArray = Json.bytes(ClassArchiveTraining.exampleJob(id.text, "array"))
+    }
 }
--- a/src/test/kotlin/org/elderhitch/store/StateWatchTest.kt
+++ b/src/test/kotlin/org/elderhitch/store/StateWatchTest.kt
@@ -23,14 +23,14 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What follows from the order in which the state service's answers come in. */
+/** The watch of the state service, with responses that arrive in any order. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class StateWatchTest {
-    private class Asked(val target: String, val answer: CompletableDeferred<Response?> = CompletableDeferred())
+    private class PendingRequest(val target: String, val answer: CompletableDeferred<Response?> = CompletableDeferred())
 
-    /** Answers nothing by itself: the test answers what was asked, in the order that it likes. */
-    private class Held : Transport {
-        val asked = ArrayList<Asked>()
+    /** Leaves all requests unanswered: the test answers them, in the order that it chooses. */
+    private class ManualTransport : Transport {
+        val requests = ArrayList<PendingRequest>()
 
         override suspend fun call(
             to: Address,
@@ -38,7 +38,7 @@
             target: String,
             body: ByteArray?,
             timeout: Duration,
-        ): Response? = Asked(target).also(asked::add).answer.await()
+        ): Response? = PendingRequest(target).also(requests::add).answer.await()
 
         override suspend fun deliver(
             to: Address,
@@ -49,12 +49,12 @@
             timeout: Duration,
         ): Delivery = error("not used")
 
-        fun take(part: String): Asked = asked.first { part in it.target && !it.answer.isCompleted }
+        fun take(part: String): PendingRequest = requests.first { part in it.target && !it.answer.isCompleted }
     }
 
-    private class Heard : StateWatchListener {
+    private class RecordingListener : StateWatchListener {
         val keys = sortedMapOf<String, Long>()
-        val proofs = ArrayList<MonotonicInstant>()
+        val freshTimes = ArrayList<MonotonicInstant>()
 
         override fun snapshot(entries: List<Entry>, revision: Revision) {
             keys.clear()
@@ -62,34 +62,32 @@
         }
 
         override fun changed(changes: List<Change>, revision: Revision) = changes.forEach {
-            if (it is Change.Put) {
-                keys[it.key] =
-                    it.version.number
-            } else {
-                keys.remove(it.key)
+            when (it) {
+                is Change.Put -> keys[it.key] = it.version.number
+                is Change.Drop -> keys.remove(it.key)
             }
         }
 
         override fun freshAsOf(since: MonotonicInstant) {
-            proofs.add(since)
+            freshTimes.add(since)
         }
     }
 
     private fun TestScope.clock() = SteadyClock { MonotonicInstant(currentTime * 1_000_000) }
 
-    private fun TestScope.stateWatch(net: Held, heard: Heard): StateWatch {
+    private fun TestScope.stateWatch(transport: ManualTransport, listener: RecordingListener): StateWatch {
         val clock = clock()
         return StateWatch(
             backgroundScope,
             StateClient(
-                net,
+                transport,
                 Address("state:1"),
                 StateLimits(1000.0, 1000.0, 8192, 8),
                 RequestRateLimiter(clock, 1000.0),
                 RequestRateLimiter(clock, 1000.0),
             ),
             clock,
-            heard,
+            listener,
         )
     }
 
@@ -99,10 +97,10 @@
         "entryMark" to version,
     )
 
-    private fun Asked.changes(revision: Long, vararg events: Map<String, Any?>) =
+    private fun PendingRequest.changes(revision: Long, vararg events: Map<String, Any?>) =
         answer.complete(Response(200, Json.bytes(linkedMapOf("ledgerMark" to revision, "events" to events.toList()))))
 
-    private fun Asked.page(revision: Long, vararg keys: Pair<String, Long>, more: Boolean = false) = answer.complete(
+    private fun PendingRequest.page(revision: Long, vararg keys: Pair<String, Long>, more: Boolean = false) = answer.complete(
         Response(
             200,
             Json.bytes(
@@ -118,104 +116,104 @@
         ),
     )
 
-    private fun Asked.refuse(status: Int) = answer.complete(Response(status, ByteArray(0)))
+    private fun PendingRequest.refuse(status: Int) = answer.complete(Response(status, ByteArray(0)))
 
     /**
-     * Both a blocking watch and a proof are told that their revision is too old, and each read all anew: the slower of
-     * the two, which had begun earlier, went back behind the other.
+     * Both a blocking watch and a freshness check learn that their revision is compacted, and each listed everything
+     * again: the slower of the two, which had begun earlier, went back behind the other.
      */
     @Test
-    fun `a thread that is lost is read anew once, whoever notices`() = runTest {
-        val net = Held()
-        val heard = Heard()
-        val stateWatch = stateWatch(net, heard)
+    fun `the watch lists everything again once when several requests find their revision compacted`() = runTest {
+        val transport = ManualTransport()
+        val listener = RecordingListener()
+        val stateWatch = stateWatch(transport, listener)
         stateWatch.start()
         delay(1.milliseconds)
-        net.take("/store?").page(10, "v/a/job/req-1" to 5)
+        transport.take("/store?").page(10, "v/a/job/req-1" to 5)
         delay(1.milliseconds)
-        val proof = async { stateWatch.checkFreshness() }
+        val check = async { stateWatch.checkFreshness() }
         val other = async { stateWatch.checkFreshness() }
         delay(1.milliseconds)
-        net.take("blockMs=10000").refuse(410)
-        net.take("blockMs=0").refuse(410)
+        transport.take("blockMs=10000").refuse(410)
+        transport.take("blockMs=0").refuse(410)
         delay(1.milliseconds)
-        assertFalse(stateWatch.loaded, "the thread is lost until all has been read")
-        // Asked for at 10, and answered while all is read anew.
-        net.take("blockMs=0").changes(40, put("v/a/job/req-4", 35))
+        assertFalse(stateWatch.loaded, "nothing is loaded until all has been listed")
+        // PendingRequest for at 10, and answered while all is read anew.
+        transport.take("blockMs=0").changes(40, put("v/a/job/req-4", 35))
         assertFalse(other.await())
-        net.take("/store?").page(30, "v/a/job/req-3" to 25)
-        assertFalse(proof.await(), "another read it")
+        transport.take("/store?").page(30, "v/a/job/req-3" to 25)
+        assertFalse(check.await(), "another call listed it")
         delay(1.milliseconds)
-        assertEquals(2, net.asked.count { "/store?" in it.target })
-        assertEquals(setOf("v/a/job/req-3"), heard.keys.keys)
-        net.take("blockMs=10000").also {
+        assertEquals(2, transport.requests.count { "/store?" in it.target })
+        assertEquals(setOf("v/a/job/req-3"), listener.keys.keys)
+        transport.take("blockMs=10000").also {
             assertTrue("after=30" in it.target, it.target)
         }.changes(40, put("v/a/job/req-4", 35), put("v/a/job/req-5", 31))
         delay(1.milliseconds)
-        assertEquals(setOf("v/a/job/req-3", "v/a/job/req-4", "v/a/job/req-5"), heard.keys.keys)
+        assertEquals(setOf("v/a/job/req-3", "v/a/job/req-4", "v/a/job/req-5"), listener.keys.keys)
     }
 
     /**
-     * The answers to a request that was sent before all was read anew begin where that request did: what lies before is
-     * not in them.
+     * The response to a request that was sent before everything was listed again begins where that request did: what
+     * lies before is not in it.
      */
     @Test
-    fun `an answer to what was asked after a later revision joins nothing that was read as of an earlier one`() =
+    fun `the watch drops a response when it continues a later revision than the one that was listed since`() =
         runTest {
-            val net = Held()
-            val heard = Heard()
-            val stateWatch = stateWatch(net, heard)
+            val transport = ManualTransport()
+            val listener = RecordingListener()
+            val stateWatch = stateWatch(transport, listener)
             stateWatch.start()
             delay(1.milliseconds)
-            net.take("/store?").page(50)
+            transport.take("/store?").page(50)
             delay(1.milliseconds)
             val late = async { stateWatch.checkFreshness() }
             delay(1.milliseconds)
-            net.take("blockMs=10000").refuse(410)
+            transport.take("blockMs=10000").refuse(410)
             delay(1.milliseconds)
-            // A reload in two pages; the first is of an earlier state than the answer that is out was asked for (a
-            // service restored from a copy, or a mend of ours gone wrong).
-            net.take("/store?").page(40, "v/a/job/req-1" to 30, more = true)
+            // A listing in two pages; the first is of an earlier state than the pending request continues (a service
+            // restored from a backup, or a fault of the reload).
+            transport.take("/store?").page(40, "v/a/job/req-1" to 30, more = true)
             delay(1.milliseconds)
-            net.take("after=v/a/job/req-1").page(45, "v/a/job/req-9" to 44)
+            transport.take("after=v/a/job/req-1").page(45, "v/a/job/req-9" to 44)
             delay(1.milliseconds)
-            net.take("blockMs=0").changes(60, put("v/a/job/req-6", 55))
+            transport.take("blockMs=0").changes(60, put("v/a/job/req-6", 55))
             assertFalse(late.await())
-            assertEquals(setOf("v/a/job/req-1", "v/a/job/req-9"), heard.keys.keys)
+            assertEquals(setOf("v/a/job/req-1", "v/a/job/req-9"), listener.keys.keys)
         }
 
     @Test
-    fun `a proof counts from when its request was sent, and only if the answer is whole and not older than known`() =
+    fun `a freshness check counts from its sending when the response is whole and not older than known`() =
         runTest {
-            val net = Held()
-            val heard = Heard()
-            val stateWatch = stateWatch(net, heard)
+            val transport = ManualTransport()
+            val listener = RecordingListener()
+            val stateWatch = stateWatch(transport, listener)
             stateWatch.start()
             delay(1.milliseconds)
-            net.take("/store?").page(10)
+            transport.take("/store?").page(10)
             delay(1.milliseconds)
-            heard.proofs.clear()
-            suspend fun proof(after: Duration, answer: Asked.() -> Unit): Boolean {
-                val told = async { stateWatch.checkFreshness() }
+            listener.freshTimes.clear()
+            suspend fun check(after: Duration, answer: PendingRequest.() -> Unit): Boolean {
+                val check = async { stateWatch.checkFreshness() }
                 delay(after)
-                net.take("blockMs=0").answer()
-                return told.await()
+                transport.take("blockMs=0").answer()
+                return check.await()
             }
             val sent = clock().now()
-            assertTrue(proof(700.milliseconds) { changes(12) })
-            assertEquals(listOf(sent), heard.proofs)
-            assertFalse(proof(1.milliseconds) { changes(11) }, "older than what was known when it was asked")
+            assertTrue(check(700.milliseconds) { changes(12) })
+            assertEquals(listOf(sent), listener.freshTimes)
+            assertFalse(check(1.milliseconds) { changes(11) }, "older than what was known when it was asked")
             assertFalse(
-                proof(1.milliseconds) {
+                check(1.milliseconds) {
                     answer.complete(Response(200, "{\"ledgerMark\":13,\"events\":[{\"put\":".encodeToByteArray()))
                 },
                 "cut short",
             )
-            assertFalse(proof(1.milliseconds) { refuse(503) })
-            assertFalse(proof(1.milliseconds) { answer.complete(null) })
-            assertEquals(1, heard.proofs.size)
+            assertFalse(check(1.milliseconds) { refuse(503) })
+            assertFalse(check(1.milliseconds) { answer.complete(null) })
+            assertEquals(1, listener.freshTimes.size)
             val again = clock().now()
-            assertTrue(proof(3.seconds) { changes(12) })
-            assertEquals(listOf(sent, again), heard.proofs)
+            assertTrue(check(3.seconds) { changes(12) })
+            assertEquals(listOf(sent, again), listener.freshTimes)
         }
 }
