--- a/src/main/kotlin/org/elderhitch/lab/Storms.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Storms.kt
@@ -20,10 +20,10 @@
         val schedules = given?.let(::listOf) ?: List(count) { n -> drawn(seed + n).copy(shape = shape) }
         val outcomes = schedules.map { schedule ->
             StormLab(schedule, share).run().also {
+                val troubles = schedule.troubles.size
                 progress(
-                    "seed=${schedule.seed} machines=${schedule.machines} troubles=${schedule.troubles.size} ${it.verdict} ${Json.text(
-                        it.figures,
-                    )}",
+                    "seed=${schedule.seed} machines=${schedule.machines} troubles=$troubles ${it.verdict} " +
+                        Json.text(it.figures),
                 )
             }
         }
@@ -54,7 +54,7 @@
     }
 
     private fun drawn(seed: Long): Schedule = when (draw) {
-        Draw.USUAL -> Schedule.of(seed, machines, span, StormLab.leaseOf(seed))
+        Draw.USUAL -> ScheduleDraw.of(seed, machines, span, StormLab.leaseOf(seed))
         Draw.ENCOUNTERS -> FaultScenarios.draw(seed, machines, span, StormLab.leaseOf(seed))
     }
 
--- a/src/test/kotlin/org/elderhitch/lab/StormTest.kt
+++ b/src/test/kotlin/org/elderhitch/lab/StormTest.kt
@@ -11,7 +11,7 @@
 
 class StormTest {
     private fun drawn(seed: Long, machines: Int = 100) =
-        Schedule.draw(seed, machines, 180.seconds, StormLab.leaseOf(seed))
+        ScheduleDraw.overlapping(seed, machines, 180.seconds, StormLab.leaseOf(seed))
 
     @Test
     fun `schedules are the same for the same seed, of all kinds, and read back as written`() {
@@ -38,8 +38,8 @@
     fun `the schedules of odd seeds are meetings of troubles that overlap or follow within seconds, of all kinds`() {
         val kinds = HashSet<Kind>()
         for (seed in 1L..299L step 2) {
-            val schedule = Schedule.of(seed, 100, 180.seconds, 17.5.seconds)
-            assertEquals(schedule, Schedule.meetings(seed, 100, 180.seconds, 17.5.seconds))
+            val schedule = ScheduleDraw.of(seed, 100, 180.seconds, 17.5.seconds)
+            assertEquals(schedule, ScheduleDraw.meetings(seed, 100, 180.seconds, 17.5.seconds))
             assertTrue(schedule.troubles.size >= 2)
             for (t in schedule.troubles) {
                 assertTrue(
@@ -53,7 +53,7 @@
             val read = Schedule.decode(schedule.encode().encodeToByteArray())
             assertEquals(schedule.troubles.map { it.kind to it.from }, read.troubles.map { it.kind to it.from })
             kinds.addAll(schedule.troubles.map { it.kind })
-            assertEquals(drawn(seed + 1), Schedule.of(seed + 1, 100, 180.seconds, StormLab.leaseOf(seed + 1)))
+            assertEquals(drawn(seed + 1), ScheduleDraw.of(seed + 1, 100, 180.seconds, StormLab.leaseOf(seed + 1)))
         }
         assertTrue(
             kinds.containsAll(
@@ -75,7 +75,7 @@
     }
 
     @Test
-    fun `encounters are the same for the same seed, of all kinds of the operators' second page, and read back as written`() {
+    fun `encounters are the same for the same seed, of all kinds of the second page, and read back as written`() {
         val kinds = HashSet<Kind>()
         for (seed in 1L..200L) {
             val schedule = FaultScenarios.draw(seed, 100, 180.seconds, 17.5.seconds)
