--- a/src/main/kotlin/org/elderhitch/lab/FaultPlayer.kt
+++ b/src/main/kotlin/org/elderhitch/lab/FaultPlayer.kt
@@ -11,11 +11,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Carries out the troubles of a schedule: each begins when it is played, and ends before [play] returns. */
-internal class FaultPlayer(
-    seed: Long,
-    private val world: SimulatedCluster,
-    private val users: SimulatedUsers,
-) {
+internal class FaultPlayer(seed: Long, private val world: SimulatedCluster, private val users: SimulatedUsers) {
     private val log = LoggerFactory.getLogger("elderhitch.lab")
     private val random = Random(seed xor SALT)
     private val network = world.network
--- a/src/main/kotlin/org/elderhitch/lab/MeetingDraw.kt
+++ b/src/main/kotlin/org/elderhitch/lab/MeetingDraw.kt
@@ -28,13 +28,8 @@
     private fun some(from: Double, to: Double): Duration =
         (from + random.nextDouble() * (to - from)).seconds.inWholeMilliseconds.milliseconds
 
-    private fun next(
-        kind: Kind,
-        after: Duration,
-        lasts: Duration,
-        share: Double = 0.0,
-        from: String = "all",
-    ) = Trouble(kind, at + after, lasts, share, Trouble.LEADER, from, CutMode.entries.random(random))
+    private fun next(kind: Kind, after: Duration, lasts: Duration, share: Double = 0.0, from: String = "all") =
+        Trouble(kind, at + after, lasts, share, Trouble.LEADER, from, CutMode.entries.random(random))
 
     /** A leader ends while machines can't be reached, or hear nothing; once more before they are back. */
     private fun unreachableMachines() = listOf(
--- a/src/main/kotlin/org/elderhitch/lab/StormLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/StormLab.kt
@@ -197,11 +197,7 @@
             ?: tableDiffers(really, believed)
     }
 
-    private fun serviceMissing(
-        users: SimulatedUsers,
-        rules: InvariantChecker,
-        really: Map<String, String>,
-    ): String? {
+    private fun serviceMissing(users: SimulatedUsers, rules: InvariantChecker, really: Map<String, String>): String? {
         for (facts in users.services) {
             if (rules.finalOf(facts.id) != null || users.isWithdrawing(facts.id)) continue
             for (n in 0 until facts.tasks) {
--- a/src/main/kotlin/org/elderhitch/placement/CandidateIndex.kt
+++ b/src/main/kotlin/org/elderhitch/placement/CandidateIndex.kt
@@ -8,11 +8,7 @@
  * are too full for any pending task are left out from the start, or dropped when they fill up.
  */
 internal class CandidateIndex(input: CycleInput, scarcity: ScarceCapacity, private val scorer: MachineScorer) {
-    private class Candidate(
-        val machine: RemainingCapacity,
-        val penaltySeconds: Double,
-        val serviceAffinity: Double,
-    )
+    private class Candidate(val machine: RemainingCapacity, val penaltySeconds: Double, val serviceAffinity: Double)
 
     /** A machine with less free resources than that is of no use to any task of this scheduling cycle. */
     private val smallestRequest = input.smallestRequest()
--- a/src/main/kotlin/org/elderhitch/placement/ScarceCapacity.kt
+++ b/src/main/kotlin/org/elderhitch/placement/ScarceCapacity.kt
@@ -128,11 +128,7 @@
     }
 
     /** A machine that may be reserved; [freeAt]: when the group's smallest request fits on it. */
-    private class ReservationChoice(
-        val machine: MachineView,
-        val freeAt: MonotonicInstant,
-        val resources: Resources,
-    )
+    private class ReservationChoice(val machine: MachineView, val freeAt: MonotonicInstant, val resources: Resources)
 
     /** Reserves machines for the group, those first that are free soonest and then those with the least capacity. */
     private fun reserve(group: ConfinedGroup) {
--- a/src/main/kotlin/org/elderhitch/quota/QuotaLedger.kt
+++ b/src/main/kotlin/org/elderhitch/quota/QuotaLedger.kt
@@ -53,8 +53,7 @@
     }
 
     /** Whether the team's limit allows the request on top of what it uses. */
-    public fun allows(team: TeamName, request: Resources): Boolean =
-        withinLimit(team, usage(team) + reserved + request)
+    public fun allows(team: TeamName, request: Resources): Boolean = withinLimit(team, usage(team) + reserved + request)
 
     /** Whether the team's limit would allow the request once all its tasks but those of services had completed. */
     public fun allowsBesideServices(team: TeamName, request: Resources): Boolean = withinLimit(
--- a/src/test/kotlin/org/elderhitch/placement/GangPlacementTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/GangPlacementTest.kt
@@ -78,7 +78,8 @@
     /** Gangs of a team at its limit starved beside its arrays: quota that came free went to single tasks. */
     @Test
     fun `quota that comes free is reserved for a gang when that is placed first`() {
-        val gang = job(spec(1, JobKind.GANG, tasks = 2, priority = Priority.HIGH, resources = Resources(40.0, 8.0, 300.0)))
+        val gang =
+            job(spec(1, JobKind.GANG, tasks = 2, priority = Priority.HIGH, resources = Resources(40.0, 8.0, 300.0)))
         val array = job(spec(2, tasks = 50), revision = 2)
         val machines = List(8) { machine("m$it") }
         fun ledger(used: Double, service: Boolean) = quota(24.0).apply { add(team, Resources(0.0, used, 0.0), service) }
