--- a/src/test/kotlin/org/elderhitch/golden/GoldenServicesWireTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenServicesWireTest.kt
@@ -117,7 +117,9 @@
             answer(200, "{\"stalls\":[7]}") to ProvisioningOutcome.Unknown,
             answer(200, "{\"later\":1}") to ProvisioningOutcome.Provisioned(emptyList()),
         )
-        for ((said, outcome) in outcomes) assertEquals(outcome, Service(said).cloud.provision("r-9-4", market, 7) { true })
+        for ((said, outcome) in outcomes) {
+            assertEquals(outcome, Service(said).cloud.provision("r-9-4", market, 7) { true })
+        }
     }
 
     @Test
--- a/src/test/kotlin/org/elderhitch/golden/GoldenStoreNode.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenStoreNode.kt
@@ -24,12 +24,11 @@
 import org.elderhitch.leadership.LeadershipMessage
 import org.elderhitch.leadership.LeadershipTimeouts
 import org.elderhitch.settings.NodeName
-import org.elderhitch.settings.StateLimits
 import org.elderhitch.settings.WorkerTimeouts
 import org.elderhitch.standin.StateStandIn
 import org.elderhitch.store.Keys
 import org.elderhitch.store.RequestRateLimiter
-import org.elderhitch.store.StateClient
+import org.elderhitch.store.TestStateClient
 import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import kotlin.random.Random
@@ -60,19 +59,13 @@
     ): Delivery = Delivery.Answered(call(to, method, target, body, timeout))
 }
 
-/** One node in virtual time that claims the leadership and refreshes the catalog, and the state service it writes to. */
+/** One node in virtual time that claims the leadership and refreshes the catalog, with its state service. */
 @OptIn(ExperimentalCoroutinesApi::class)
 internal class GoldenStoreNode(test: TestScope) {
     private val clock = SteadyClock { MonotonicInstant(test.currentTime * 1_000_000) }
     val state = StateStandIn(clock)
     private val net = Net(state, text("types-full"))
-    private val client = StateClient(
-        net,
-        Address("state:1"),
-        StateLimits(1000.0, 1000.0, 8192, 8),
-        RequestRateLimiter(clock, 1000.0),
-        RequestRateLimiter(clock, 1000.0),
-    )
+    private val client = TestStateClient.of(net, clock)
     val failures = ArrayList<Throwable>()
     private val scope = CoroutineScope(
         test.backgroundScope.coroutineContext + SupervisorJob(test.backgroundScope.coroutineContext[Job]) +
--- a/src/test/kotlin/org/elderhitch/jobs/JobRegistryTest.kt
+++ b/src/test/kotlin/org/elderhitch/jobs/JobRegistryTest.kt
@@ -16,8 +16,8 @@
 import kotlin.test.assertTrue
 
 /**
- * What a node knows about jobs from its own writes, from other controllers and from the state service, in whatever order
- * they report it.
+ * What a node knows about jobs from its own writes, from other controllers and from the state service, in whatever
+ * order they report it.
  */
 class JobRegistryTest {
     private fun spec(id: String): JobSpec =
--- a/src/test/kotlin/org/elderhitch/jobs/JobServiceTest.kt
+++ b/src/test/kotlin/org/elderhitch/jobs/JobServiceTest.kt
@@ -8,12 +8,10 @@
 import kotlinx.coroutines.test.currentTime
 import kotlinx.coroutines.test.runTest
 import org.elderhitch.app.ClassArchiveTraining
-import org.elderhitch.http.Address
 import org.elderhitch.http.Handler
 import org.elderhitch.json.Json
 import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.leadership.Term
-import org.elderhitch.settings.StateLimits
 import org.elderhitch.settings.Team
 import org.elderhitch.settings.TeamName
 import org.elderhitch.standin.StateStandIn
@@ -22,11 +20,10 @@
 import org.elderhitch.store.Keys
 import org.elderhitch.store.LeaseId
 import org.elderhitch.store.LossyNet
-import org.elderhitch.store.RequestRateLimiter
 import org.elderhitch.store.Revision
-import org.elderhitch.store.StateClient
 import org.elderhitch.store.StateWatch
 import org.elderhitch.store.StateWatchListener
+import org.elderhitch.store.TestStateClient
 import org.elderhitch.store.Write
 import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
@@ -41,15 +38,8 @@
 @OptIn(ExperimentalCoroutinesApi::class)
 class JobServiceTest {
     private class Node(test: TestScope, net: LossyNet, clock: SteadyClock) {
-        private val limits = StateLimits(1000.0, 1000.0, 8192, 8)
-        private val client =
-            StateClient(
-                net,
-                Address("state:1"),
-                limits,
-                RequestRateLimiter(clock, 1000.0),
-                RequestRateLimiter(clock, 1000.0),
-            )
+        private val limits = TestStateClient.LIMITS
+        private val client = TestStateClient.of(net, clock)
         val opened = HashMap<JobId, Revision>()
         private val jobRegistry = JobRegistry(test.backgroundScope) {
             if (it is JobEvent.Opened) opened[it.spec.id] = it.version
@@ -93,8 +83,8 @@
     }
 
     /**
-     * Seen in `lab drmaa`: a batch was made of a job of which one task was missing; that task completed before the batch
-     * was recorded, and the job ended for ever without an account.
+     * Seen in `lab drmaa`: a batch was made of a job of which one task was missing; that task completed before the
+     * batch was recorded, and the job ended for ever without an account.
      */
     @Test
     fun `a job ends with the next batch when its last task completes while a part of it is being recorded`() = runTest {
--- a/src/test/kotlin/org/elderhitch/store/StateWatchTest.kt
+++ b/src/test/kotlin/org/elderhitch/store/StateWatchTest.kt
@@ -12,7 +12,6 @@
 import org.elderhitch.http.Response
 import org.elderhitch.http.Transport
 import org.elderhitch.json.Json
-import org.elderhitch.settings.StateLimits
 import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import kotlin.test.Test
@@ -77,18 +76,7 @@
 
     private fun TestScope.stateWatch(transport: ManualTransport, listener: RecordingListener): StateWatch {
         val clock = clock()
-        return StateWatch(
-            backgroundScope,
-            StateClient(
-                transport,
-                Address("state:1"),
-                StateLimits(1000.0, 1000.0, 8192, 8),
-                RequestRateLimiter(clock, 1000.0),
-                RequestRateLimiter(clock, 1000.0),
-            ),
-            clock,
-            listener,
-        )
+        return StateWatch(backgroundScope, TestStateClient.of(transport, clock), clock, listener)
     }
 
     private fun put(key: String, version: Long) = linkedMapOf(
@@ -100,21 +88,13 @@
     private fun PendingRequest.changes(revision: Long, vararg events: Map<String, Any?>) =
         answer.complete(Response(200, Json.bytes(linkedMapOf("ledgerMark" to revision, "events" to events.toList()))))
 
-    private fun PendingRequest.page(revision: Long, vararg keys: Pair<String, Long>, more: Boolean = false) = answer.complete(
-        Response(
-            200,
-            Json.bytes(
-                linkedMapOf(
-                    "entries" to
-                        keys.map {
-                            linkedMapOf("k" to it.first, "value" to emptyMap<String, Any?>(), "entryMark" to it.second)
-                        },
-                    "more" to more,
-                    "ledgerMark" to revision,
-                ),
-            ),
-        ),
-    )
+    private fun PendingRequest.page(revision: Long, vararg keys: Pair<String, Long>, more: Boolean = false): Boolean {
+        val entries = keys.map { (key, version) ->
+            linkedMapOf("k" to key, "value" to emptyMap<String, Any?>(), "entryMark" to version)
+        }
+        val page = linkedMapOf("entries" to entries, "more" to more, "ledgerMark" to revision)
+        return answer.complete(Response(200, Json.bytes(page)))
+    }
 
     private fun PendingRequest.refuse(status: Int) = answer.complete(Response(status, ByteArray(0)))
 
--- /dev/null
+++ b/src/test/kotlin/org/elderhitch/store/TestStateClient.kt
@@ -0,0 +1,20 @@
+package org.elderhitch.store
+
+import org.elderhitch.http.Address
+import org.elderhitch.http.Transport
+import org.elderhitch.settings.StateLimits
+import org.elderhitch.time.SteadyClock
+
+/** Clients of a state service whose rate limits hold up no test. */
+internal object TestStateClient {
+    private const val REQUESTS_PER_SECOND = 1000.0
+    val LIMITS = StateLimits(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND, valueBytes = 8192, txnOps = 8)
+
+    fun of(transport: Transport, clock: SteadyClock): StateClient = StateClient(
+        transport,
+        Address("state:1"),
+        LIMITS,
+        RequestRateLimiter(clock, REQUESTS_PER_SECOND),
+        RequestRateLimiter(clock, REQUESTS_PER_SECOND),
+    )
+}
