--- a/src/main/kotlin/org/elderhitch/fleet/CloudCallScheduler.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudCallScheduler.kt
@@ -6,7 +6,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Shares the cloud's request rate, [perSecond], fairly between a leader's terminations, lists and provisioning requests.
+ * Shares the cloud's request rate, [perSecond], fairly between a leader's terminations, lists and provisioning
+ * requests.
  *
  * Work waits here rather than in the rate limiter: terminations until they fill a request, so that one whose machine
  * sends a heartbeat meanwhile can be cancelled; provisioning until it can be sent, so that it follows the demand of
