--- a/src/main/kotlin/org/elderhitch/cluster/PeerHeartbeats.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/PeerHeartbeats.kt
@@ -67,15 +67,11 @@
     private fun ownHeartbeat(): PeerHeartbeat {
         val leadershipState = ports.leadershipState()
         val leading = leadershipState is LeadershipState.Leader
-        val term = when (leadershipState) {
-            is LeadershipState.Leader -> leadershipState.term
-            is LeadershipState.Follower -> leadershipState.term
-        }
         val runningTasks = if (leading) ports.runningTasks() else emptyMap()
         return PeerHeartbeat(
             node = self.node.text,
             run = self.incarnation.text,
-            term = term.number,
+            term = leadershipState.term.number,
             leading = leading,
             reachesState = ports.reachesStateService(),
             runningTasks = runningTasks.entries.associate { it.key.text to it.value },
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipState.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipState.kt
@@ -7,13 +7,15 @@
 
 /** This node's role, as far as it knows. Immutable: each change replaces the whole value. */
 public sealed interface LeadershipState {
+    /** Of a leader its own term; of a follower the leader's term, or else the highest term seen. */
+    public val term: Term
+
     /**
      * Another node leads, or nobody does.
      *
      * @property leader the leader as stored in the state service; null: none is known.
-     * @property term the leader's term, or else the highest term seen.
      */
-    public data class Follower(val leader: NodeName?, val term: Term) : LeadershipState
+    public data class Follower(val leader: NodeName?, override val term: Term) : LeadershipState
 
     /**
      * This node holds the leader's lease.
@@ -26,7 +28,7 @@
      * @property claimedAt when this node learned that its claim had succeeded.
      */
     public data class Leader(
-        val term: Term,
+        override val term: Term,
         val termRevision: Revision,
         val lease: LeaseId,
         val commandWindowEnd: MonotonicInstant,
