--- a/src/main/kotlin/org/elderhitch/store/StateCodec.kt
+++ b/src/main/kotlin/org/elderhitch/store/StateCodec.kt
@@ -58,8 +58,7 @@
 
     fun decodeLease(body: ByteArray): LeaseId = LeaseId(Json.parseObject(body).long(LEASE))
 
-    private fun entry(from: JsonObject): Entry =
-        Entry(from.string(KEY), from.obj(VALUE), Revision(from.long(VERSION)))
+    private fun entry(from: JsonObject): Entry = Entry(from.string(KEY), from.obj(VALUE), Revision(from.long(VERSION)))
 
     private fun change(from: JsonObject): Change {
         val version = Revision(from.long(VERSION))
--- a/src/test/kotlin/org/elderhitch/store/StateWatchTest.kt
+++ b/src/test/kotlin/org/elderhitch/store/StateWatchTest.kt
@@ -138,62 +138,60 @@
      * lies before is not in it.
      */
     @Test
-    fun `the watch drops a response when it continues a later revision than the one that was listed since`() =
-        runTest {
-            val transport = ManualTransport()
-            val listener = RecordingListener()
-            val stateWatch = stateWatch(transport, listener)
-            stateWatch.start()
-            delay(1.milliseconds)
-            transport.take("/store?").page(50)
-            delay(1.milliseconds)
-            val late = async { stateWatch.checkFreshness() }
-            delay(1.milliseconds)
-            transport.take("blockMs=10000").refuse(410)
-            delay(1.milliseconds)
-            // A listing in two pages; the first is of an earlier state than the pending request continues (a service
-            // restored from a backup, or a fault of the reload).
-            transport.take("/store?").page(40, "v/a/job/req-1" to 30, more = true)
-            delay(1.milliseconds)
-            transport.take("after=v/a/job/req-1").page(45, "v/a/job/req-9" to 44)
-            delay(1.milliseconds)
-            transport.take("blockMs=0").changes(60, put("v/a/job/req-6", 55))
-            assertFalse(late.await())
-            assertEquals(setOf("v/a/job/req-1", "v/a/job/req-9"), listener.keys.keys)
-        }
+    fun `the watch drops a response when it continues a later revision than the one that was listed since`() = runTest {
+        val transport = ManualTransport()
+        val listener = RecordingListener()
+        val stateWatch = stateWatch(transport, listener)
+        stateWatch.start()
+        delay(1.milliseconds)
+        transport.take("/store?").page(50)
+        delay(1.milliseconds)
+        val late = async { stateWatch.checkFreshness() }
+        delay(1.milliseconds)
+        transport.take("blockMs=10000").refuse(410)
+        delay(1.milliseconds)
+        // A listing in two pages; the first is of an earlier state than the pending request continues (a service
+        // restored from a backup, or a fault of the reload).
+        transport.take("/store?").page(40, "v/a/job/req-1" to 30, more = true)
+        delay(1.milliseconds)
+        transport.take("after=v/a/job/req-1").page(45, "v/a/job/req-9" to 44)
+        delay(1.milliseconds)
+        transport.take("blockMs=0").changes(60, put("v/a/job/req-6", 55))
+        assertFalse(late.await())
+        assertEquals(setOf("v/a/job/req-1", "v/a/job/req-9"), listener.keys.keys)
+    }
 
     @Test
-    fun `a freshness check counts from its sending when the response is whole and not older than known`() =
-        runTest {
-            val transport = ManualTransport()
-            val listener = RecordingListener()
-            val stateWatch = stateWatch(transport, listener)
-            stateWatch.start()
-            delay(1.milliseconds)
-            transport.take("/store?").page(10)
-            delay(1.milliseconds)
-            listener.freshTimes.clear()
-            suspend fun check(after: Duration, answer: PendingRequest.() -> Unit): Boolean {
-                val check = async { stateWatch.checkFreshness() }
-                delay(after)
-                transport.take("blockMs=0").answer()
-                return check.await()
-            }
-            val sent = clock().now()
-            assertTrue(check(700.milliseconds) { changes(12) })
-            assertEquals(listOf(sent), listener.freshTimes)
-            assertFalse(check(1.milliseconds) { changes(11) }, "older than what was known when it was asked")
-            assertFalse(
-                check(1.milliseconds) {
-                    answer.complete(Response(200, "{\"ledgerMark\":13,\"events\":[{\"put\":".encodeToByteArray()))
-                },
-                "cut short",
-            )
-            assertFalse(check(1.milliseconds) { refuse(503) })
-            assertFalse(check(1.milliseconds) { answer.complete(null) })
-            assertEquals(1, listener.freshTimes.size)
-            val again = clock().now()
-            assertTrue(check(3.seconds) { changes(12) })
-            assertEquals(listOf(sent, again), listener.freshTimes)
+    fun `a freshness check counts from its sending when the response is whole and not older than known`() = runTest {
+        val transport = ManualTransport()
+        val listener = RecordingListener()
+        val stateWatch = stateWatch(transport, listener)
+        stateWatch.start()
+        delay(1.milliseconds)
+        transport.take("/store?").page(10)
+        delay(1.milliseconds)
+        listener.freshTimes.clear()
+        suspend fun check(after: Duration, answer: PendingRequest.() -> Unit): Boolean {
+            val check = async { stateWatch.checkFreshness() }
+            delay(after)
+            transport.take("blockMs=0").answer()
+            return check.await()
         }
+        val sent = clock().now()
+        assertTrue(check(700.milliseconds) { changes(12) })
+        assertEquals(listOf(sent), listener.freshTimes)
+        assertFalse(check(1.milliseconds) { changes(11) }, "older than what was known when it was asked")
+        assertFalse(
+            check(1.milliseconds) {
+                answer.complete(Response(200, "{\"ledgerMark\":13,\"events\":[{\"put\":".encodeToByteArray()))
+            },
+            "cut short",
+        )
+        assertFalse(check(1.milliseconds) { refuse(503) })
+        assertFalse(check(1.milliseconds) { answer.complete(null) })
+        assertEquals(1, listener.freshTimes.size)
+        val again = clock().now()
+        assertTrue(check(3.seconds) { changes(12) })
+        assertEquals(listOf(sent, again), listener.freshTimes)
+    }
 }
