--- a/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
@@ -37,8 +37,8 @@
 
     /**
      * When this term last answered a heartbeat of a machine that did not know the term yet. Such an answer renews the
-     * lease of what an earlier term started, so [earlierLeasesEnd] does not hold for these machines. Without this, tasks
-     * were started anew whose machine had come back just before.
+     * lease of what an earlier term started, so [earlierLeasesEnd] does not hold for these machines. Without this,
+     * tasks were started anew whose machine had come back just before.
      */
     private val renewedAt = HashMap<MachineId, MonotonicInstant>()
 
--- a/src/main/kotlin/org/elderhitch/recovery/TaskReconciler.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/TaskReconciler.kt
@@ -93,8 +93,8 @@
 
     private fun reconcile(worker: WorkerState, job: JobState, task: TaskStatus) {
         val local = worker.placements[task.task]
-        // Two attempts of a task can't be on one machine, so the one in the table is not there, and a copy elsewhere may
-        // take its place.
+        // Two attempts of a task can't be on one machine, so the one in the table is not there, and a copy elsewhere
+        // may take its place.
         if (local != null && local.attempt != task.attempt && task.phase != TaskPhase.EXITED) table.remove(job, local)
         val remote = job.placements[task.task.index]?.takeIf { it.worker !== worker }
         val reported = compare(job, task, local, remote)
@@ -128,7 +128,7 @@
             },
         )
 
-    /** Carries out the verdict of [rule]. Returns the placement of the reported copy if it is in the table afterwards. */
+    /** Carries out the verdict of [rule]. Returns the placement of the reported copy; null: it has none afterwards. */
     private fun carryOut(
         rule: TaskReconciliationRule,
         worker: WorkerState,
--- a/src/main/kotlin/org/elderhitch/tasks/MachineRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/MachineRegistry.kt
@@ -9,9 +9,9 @@
 /**
  * The fleet's machines as the leader knows them in its term.
  *
- * A machine is booting from its provisioning until it is cleared, and known until it is gone. A machine is cleared, that
- * is, it may be given tasks, once the state service records that it is up. A machine is gone when the cloud confirms its
- * end; it never returns under the same id.
+ * A machine is booting from its provisioning until it is cleared, and known until it is gone. A machine is cleared,
+ * that is, it may be given tasks, once the state service records that it is up. A machine is gone when the cloud
+ * confirms its end; it never returns under the same id.
  */
 internal class MachineRegistry {
     private val machines = HashMap<MachineId, Machine>()
@@ -81,7 +81,9 @@
     }
 
     private companion object {
-        /** The longest usual boot, as a multiple of the type's boot time (wire protocol, "Controller nodes -> cloud"). */
+        /**
+         * The longest usual boot, as a multiple of the type's boot time (wire protocol, "Controller nodes -> cloud").
+         */
         const val MAX_BOOT_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/org/elderhitch/tasks/Placement.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/Placement.kt
@@ -24,11 +24,11 @@
  *
  * The life of a placement:
  * ```
- *   scheduling cycle ──> ASSIGNED ──sent──> SENT ──listed by the worker──> CONFIRMED ──> removed
- *                           │                 │
- *                           │                 └── missing from a later heartbeat ──> removed
- *                           └── cancelled, or not sent by [sendBy] ──> removed
- *   listed by the worker, not in the table ──> CONFIRMED
+ *   scheduling cycle --> ASSIGNED --sent--> SENT --listed by the worker--> CONFIRMED --> removed
+ *                           |                 |
+ *                           |                 +-- missing from a later heartbeat --> removed
+ *                           +-- cancelled, or not sent by [sendBy] --> removed
+ *   listed by the worker, not in the table --> CONFIRMED
  * ```
  * A stop does not change the state: [stopGrace] is set, and the placement occupies capacity and quota until the worker
  * no longer lists the task, or is known to have lost it. Only [TaskTable] adds and removes placements.
--- a/src/main/kotlin/org/elderhitch/tasks/TaskTable.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/TaskTable.kt
@@ -115,7 +115,7 @@
         return placement
     }
 
-    /** Stops a placement, or removes it at once if it was not sent. A longer [grace] than the current one is ignored. */
+    /** Stops a placement, or removes it at once if it was not sent. A [grace] can only be shortened. */
     fun stop(job: JobState, placement: Placement, grace: Duration) {
         if (placement.state == PlacementState.ASSIGNED) {
             remove(job, placement)
--- a/src/test/kotlin/org/elderhitch/app/DelayedHeartbeatsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/DelayedHeartbeatsTest.kt
@@ -11,12 +11,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Reports that tell what was, and arrive where nobody knows better yet (`docs/design/meetings.md`). */
+/** Old heartbeats that reach a leader before newer ones do (`docs/design/meetings.md`). */
 class DelayedHeartbeatsTest {
     /**
-     * Copies of reports are kept until a leader's key is written, and then come to every controller: of earlier
-     * sessions, terms and attempts, of machines that are
-     * gone or were returned, of tasks that have ended since, and with a spot notice.
+     * Copies of heartbeats are held until a leader's key is written, and then delivered to every controller. They name
+     * earlier agent epochs, terms and attempts, machines that are gone or were terminated, tasks that have ended since,
+     * and preemption notices.
      */
     @Test
     fun `old reports reach every controller just as a new leader begins`() = faultScenario(1L..10L) { seed ->
@@ -58,7 +58,7 @@
             val led = assertNotNull(cluster.leader())
             // A node that stays up hears what came to it in an earlier term.
             if (random.nextBoolean()) cluster.crash(led) else cluster.network.refused.add(led)
-            cluster.until("another leads", 30.seconds) { cluster.leader().let { it != null && it != led } }
+            cluster.untilReplaced(led, 30.seconds)
             delay(random.nextInt(0, 2000).milliseconds)
             if (!cluster.isUp(led)) cluster.startNode(led)
             cluster.network.refused.remove(led)
@@ -82,12 +82,15 @@
         cluster.until("intents name what is there", 60.seconds) { named() - there == emptySet<String>() }
     }
 
-    private fun WatchedCluster.named(): Set<String> = cluster.platform.state.keys().filter { it.startsWith("v/a/hire/") }
-        .flatMap { cluster.platform.state.value(it)?.stringsOrNull("stalls").orEmpty() }.toSet()
+    /** The machines that provisioning intents name. */
+    private fun WatchedCluster.named(): Set<String> = cluster.platform.state.keys()
+        .filter { it.startsWith("v/a/hire/") }
+        .flatMap { cluster.platform.state.value(it)?.stringsOrNull("stalls").orEmpty() }
+        .toSet()
 
     /**
-     * A machine nobody knows speaks once, and was returned long ago: it is no sign of life, it is not adopted for good,
-     * and the takeover doesn't wait for a lease that is no more.
+     * One heartbeat arrives of a machine that was terminated long ago. It is no sign of life: the machine is not
+     * adopted for good, and the takeover doesn't wait for its lease.
      */
     @Test
     fun `the old report of a machine that is gone holds up no takeover`() = faultScenario(1L..4L, {
@@ -112,7 +115,7 @@
                 }
             }
         }
-        cluster.until("another leads", 30.seconds) { cluster.leader().let { it != null && it != led } }
+        cluster.untilReplaced(led, 30.seconds)
         cluster.startNode(led)
         val began = cluster.clock.now()
         cluster.until("what ran there runs elsewhere", 60.seconds) { running("req-1") == 6 }
--- a/src/test/kotlin/org/elderhitch/app/FailoverFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/FailoverFaultsTest.kt
@@ -13,17 +13,15 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What happens in the very seconds in which one controller's work changes hands (`docs/design/meetings.md`). */
+/** Faults and user requests within the seconds of a failover (`docs/design/meetings.md`). */
 class FailoverFaultsTest {
-    private fun WatchedCluster.term(): Long = cluster.platform.state.value("v/a/term")?.longOrNull("n") ?: 0
-
-    /** How the work changes hands. */
+    /** What causes the failover. */
     private enum class Change { ROLL, RESIGNATION, CRASH, FREEZE }
 
     /**
-     * One withdrawal at each tenth of a second around the claim, through any node, of jobs whose starts are on their
-     * way: decided, in an answer, or sent to a worker that takes
-     * them in late. With lease delegates where the zones have controllers of their own.
+     * One cancellation at each tenth of a second around the claim, through any node, of jobs whose starts are pending:
+     * decided, in a heartbeat response, or sent to a worker that receives them late. Lease delegates take part where
+     * the zones have controllers of their own.
      */
     @Test
     fun `jobs are withdrawn at each tenth of a second around a change of leader`() = faultScenario(1L..8L, {
@@ -106,8 +104,8 @@
     }
 
     /**
-     * Ten leaders in two minutes, two ended inside an outage of the state service; nothing is lost, nobody forgotten,
-     * and what the first started is what the last finds.
+     * Ten leaders in two minutes, two of which end during an outage of the state service: no job or request is lost,
+     * and the last leader finds the tasks that the first one started.
      */
     @Test
     fun `ten leaders in two minutes, inside an outage too`() = faultScenario(1L..5L) { seed ->
@@ -116,7 +114,9 @@
         untilRunning("req-0", 6)
         val before = term()
         val began = cluster.clock.now()
-        cluster.network.lateCopies = { if (random.nextInt(4) == 0) random.nextInt(2_000, 40_000).milliseconds else null }
+        cluster.network.lateCopies = {
+            if (random.nextInt(4) == 0) random.nextInt(2_000, 40_000).milliseconds else null
+        }
         var submitted = 0
         repeat(10) { n ->
             val led = cluster.leader()
@@ -219,7 +219,7 @@
                 rules.finalOf("req-2") ==
                     "done"
             }
-            // Nobody rents for ever what nobody asked for.
+            // Machines that are not needed are terminated in the end.
             cluster.until("machines without work are returned", 200.seconds) {
                 cluster.platform.cloud.machines().size <= 12
             }
--- a/src/test/kotlin/org/elderhitch/app/FailoverTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/FailoverTest.kt
@@ -137,7 +137,7 @@
         (names - deaf).forEach(::startNode)
         val machines = platform.cloud.machines().map { it.id }
         val tasks = onMachine.keys.toSet()
-        until("another leads", 10.seconds) { leader().let { it != null && it != deaf } }
+        untilReplaced(deaf, 10.seconds)
         delay(15.seconds)
         assertEquals(machines, platform.cloud.machines().map { it.id })
         assertTrue(onMachine.keys.containsAll(tasks))
--- a/src/test/kotlin/org/elderhitch/app/LateTransactionsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/LateTransactionsTest.kt
@@ -14,9 +14,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A transaction of each kind gets no answer, and is carried out 2 to 12 s later, after newer ones of the same
- * controller, or at once, while other nodes
- * read what it wrote (`docs/design/meetings.md`).
+ * Transactions without an answer, of each kind: carried out 2 to 12 s late, after newer ones of the same controller,
+ * or at once, while other nodes read what they wrote (`docs/design/meetings.md`).
  */
 class LateTransactionsTest {
     /**
@@ -89,7 +88,9 @@
                             if (shapeOf(key) == "record" ||
                                 shapeOf(key) == "ending"
                             ) {
-                                cluster.outside.launch { checkReadConsistency(key.substringAfterLast('/'), random, rounds = 1) }
+                                cluster.outside.launch {
+                                    checkReadConsistency(key.substringAfterLast('/'), random, rounds = 1)
+                                }
                             }
                         }
                     }
--- a/src/test/kotlin/org/elderhitch/app/LeaseDelegatesTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/LeaseDelegatesTest.kt
@@ -33,7 +33,7 @@
         // The node in zone b must not lead, or it would hold the zone by itself.
         if (leader() == "n2") {
             crash("n2")
-            until("another leads", 30.seconds) { leader().let { it != null && it != "n2" } }
+            untilReplaced("n2", 30.seconds)
             startNode("n2")
         }
         delay(20.seconds)
--- a/src/test/kotlin/org/elderhitch/app/MassReconnectionTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/MassReconnectionTest.kt
@@ -11,14 +11,13 @@
 
 /** Many machines that come back at once: after a cut longer than a lease, or with another list than the leader has. */
 class MassReconnectionTest {
-    private fun SimulatedCluster.really(): Map<String, String> =
+    private fun SimulatedCluster.actualHosts(): Map<String, String> =
         platform.workers().flatMap { (machine, worker) -> worker.present().keys.map { it to machine } }.toMap()
 
     /**
-     * Seen on a simulated day at 749 machines: `ran_twice` 259 times (`docs/incidents/sessions-told.md`). The leader
-     * asked machines of a
-     * zone that had come back, gave them tasks, and at its next tick declared those lost by the lease of the session
-     * before.
+     * Regression, `ran_twice` 259 times on a simulated day at 749 machines (`docs/incidents/sessions-told.md`): the
+     * leader probed machines of a zone that had returned, gave them tasks, and at its next tick declared these lost by
+     * the lease of the previous agent epoch.
      */
     @Test
     fun `what a machine is given in a session that it told of stays there`() {
@@ -39,10 +38,9 @@
     }
 
     /**
-     * A hundred machines each send one report that names none of their tasks, and go on running them: the table is
-     * wrong about every one. Each
-     * next report must put it right: no start goes to a machine that has said that it is full, and what was started
-     * twice is stopped.
+     * A hundred machines each send one heartbeat that lists none of their tasks, and go on running them, so that the
+     * table is wrong about each. The next heartbeat must correct it: no start goes to a machine that reports itself
+     * full, and what was started twice is stopped.
      */
     @Test
     fun `a table that contradicts a hundred machines agrees with them within two reports of each`() =
@@ -57,7 +55,7 @@
             until("all have told the truth", 12.seconds) { workers.all { it.truthfulSince != null } }
             until("table and machines agree", 2.seconds) {
                 survey()?.mapKeys { it.key.toString() }?.mapValues { it.value.text } ==
-                    really()
+                    actualHosts()
             }
             assertTrue(clock.now() - began <= 8.seconds, "two reports of each take 7.5 s at most")
             // What was on its way when a machine told the truth may still reach it.
--- a/src/test/kotlin/org/elderhitch/app/OneWayPartitionTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/OneWayPartitionTest.kt
@@ -15,9 +15,8 @@
  */
 class OneWayPartitionTest {
     /**
-     * Each question to it was answered, so it counted as heard, was given new tasks by `/do` and was never returned;
-     * but nothing renewed its lease, and each
-     * session ended with all that it had been given.
+     * Regression: each probe was answered, so the machine counted as alive, was given new tasks at its own address and
+     * was never terminated. But nothing renewed its lease, and all its tasks ended with each agent epoch.
      */
     @Test
     fun `a machine that only answers probes gets nothing new and is terminated`() =
@@ -50,8 +49,8 @@
         }
 
     /**
-     * A takeover can ask them and so is settled at once; what they run goes on until their lease ends, and then
-     * somewhere else.
+     * Probes reach the machines, so the takeover settles at once; what they run goes on until their lease ends, and is
+     * then started elsewhere.
      */
     @Test
     fun `machines that are mute when the leader changes`() = faultScenario(1L..4L) { seed ->
@@ -60,7 +59,9 @@
         untilRunning("req-1", 8)
         untilRunning("req-2", 10)
         val led = assertNotNull(cluster.leader())
-        val some = cluster.platform.workers().keys.sorted().filterIndexed { n, _ -> n % 3 == (seed % 3).toInt() }.toSet()
+        val some = cluster.platform.workers().keys.sorted()
+            .filterIndexed { n, _ -> n % 3 == (seed % 3).toInt() }
+            .toSet()
         cluster.network.mute = some
         delay((seed * 2).seconds)
         cluster.crash(led)
@@ -110,7 +111,7 @@
         untilRunning("req-1", 8)
         if (cluster.leader() == "n2") {
             cluster.crash("n2")
-            cluster.until("another leads", 30.seconds) { cluster.leader().let { it != null && it != "n2" } }
+            cluster.untilReplaced("n2", 30.seconds)
             cluster.startNode("n2")
         }
         delay(15.seconds)
--- a/src/test/kotlin/org/elderhitch/app/OverloadFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/OverloadFaultsTest.kt
@@ -10,13 +10,13 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** More work than room, nobody who leads, and work that may go nowhere else (`docs/design/meetings.md`). */
+/** Overload, a cluster without a leader, and work that is bound to one zone (`docs/design/meetings.md`). */
 class OverloadFaultsTest {
     private val large = mapOf("cores" to 24.0)
 
     /**
-     * Twelve machines, work for thirty, images that take most of a minute: the urgent begins first, and the rest is
-     * served once there is room, largest included.
+     * Twelve machines, work for thirty, and images that take most of a minute to fetch: urgent work starts first, and
+     * the rest, the largest included, once there is capacity.
      */
     @Test
     fun `more work than room, urgent and not, over slow links while a leader and machines are lost`() =
@@ -69,8 +69,8 @@
         }
 
     /**
-     * Every lease ends, by right; then everything is started once, nothing that was withdrawn or done, and whoever asks
-     * is answered.
+     * Every lease ends. Afterwards all open work is started once, cancelled and completed work is not, and all requests
+     * are answered.
      */
     @Test
     fun `all controllers are away for longer than a lease`() = faultScenario(1L..4L) { seed ->
--- a/src/test/kotlin/org/elderhitch/app/QuotaFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/QuotaFaultsTest.kt
@@ -12,16 +12,15 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Teams that use all they may when the leader changes, and machines that can't be asked (`docs/design/meetings.md`).
+ * Teams at their quota when the leader changes while machines are unreachable (`docs/design/meetings.md`).
  */
 class QuotaFaultsTest {
     private val few = mapOf("desk" to "few", "accelerators" to 2.0)
 
     /**
-     * Both teams at their limits, of accelerators and of cores, with more work waiting; jobs are withdrawn whose
-     * machines nobody reaches; the leader changes in those
-     * seconds, twice. What the machines may still run counts for its team until their word, their end or the cloud's
-     * says otherwise.
+     * Both teams are at their quota, of accelerators and of cores, with more work pending. Jobs on unreachable machines
+     * are cancelled, and the leader changes twice meanwhile. What the machines may still run counts towards the quota
+     * until they report, their leases end, or the cloud confirms their termination.
      */
     @Test
     fun `cancellations on unreachable machines keep to quota while the leader changes`() = faultScenario(1L..12L, {
@@ -101,8 +100,8 @@
     }
 
     /**
-     * What two machines may run that nobody can ask, and that can't be returned, counts for the team until their leases
-     * are over, and no longer.
+     * What two machines may run that can be neither probed nor terminated counts towards the quota until their leases
+     * have ended, and no longer.
      */
     @Test
     fun `a team at its limit goes on once a takeover is over though some machines could not be asked`() =
--- a/src/test/kotlin/org/elderhitch/app/ReadConsistencyTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/ReadConsistencyTest.kt
@@ -12,10 +12,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Users who look closely: what one node said, no node may contradict a millisecond later (`docs/design/meetings.md`).
+ * Consistency of reads: no node may contradict, a millisecond later, what another told (`docs/design/meetings.md`).
  */
 class ReadConsistencyTest {
-    /** What happens to one of the nodes while users look. */
+    /** The fault of one node while users poll all of them. */
     private enum class Handicap { NONE, SLOW, FREEZES, RELOADS, BEHIND }
 
     private fun WatchedCluster.handicap(kind: Handicap, node: String, random: Random) {
--- a/src/test/kotlin/org/elderhitch/app/StaleKnowledgeFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/StaleKnowledgeFaultsTest.kt
@@ -13,13 +13,13 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Meetings of troubles in which a leader doesn't know, or can't carry out, what users were told
+ * Overlapping faults in which a leader doesn't know of cancellations that users were told of, or can't carry them out
  * (`docs/design/meetings.md`).
  */
 class StaleKnowledgeFaultsTest {
     /**
-     * The operators' day in small: the leader alone is refused, another node confirms, and then nobody is answered for
-     * longer than `cancel_s`.
+     * The state service refuses the leader alone while another node confirms a cancellation, and then answers nobody
+     * for longer than `cancel_s`.
      */
     @Test
     fun `tasks withdrawn while the leader alone is refused are gone in time through an outage for all`() =
@@ -45,8 +45,8 @@
         }
 
     /**
-     * (a) Renewals say who leads, not what was recorded: without a proof of that a leader kept withdrawn tasks for as
-     * long as its watch was silent.
+     * (a) A renewed lease proves leadership, but not knowledge of what was recorded. Regression: without a freshness
+     * check a leader kept cancelled tasks for as long as its watch was silent.
      */
     @Test
     fun `a leader that renews its lease and hears no changes neither keeps withdrawn tasks nor the lead`() =
@@ -95,7 +95,7 @@
             assertEquals(starts, cluster.startsOf.values.sum(), "nothing of it was started again")
         }
 
-    /** (c) The leader knows that a task should go, its stop is lost, and past its window its answers carried none. */
+    /** (c) A stop is lost. Regression: responses that the leader gave after its lease window contained no stops. */
     @Test
     fun `a stop that a deaf worker did not hear goes with the answers that a leader past its window gives`() =
         faultScenario(1L..4L) { seed ->
@@ -110,15 +110,17 @@
             delay(1.seconds)
             assertEquals(10, running("req-1"), "the stops were lost")
             cluster.network.deaf = emptySet()
-            cluster.until("gone by the answers of a leader that may start nothing", 10.seconds) { running("req-1") == 0 }
+            cluster.until("gone by the answers of a leader that may start nothing", 10.seconds) {
+                running("req-1") == 0
+            }
             delay(cancel)
             cluster.platform.state.down = false
             delay(20.seconds)
         }
 
     /**
-     * (d) Each of two leaders answered for a hold time of its own, and neither with a stop: the first didn't know, the
-     * second answered whom it had not settled.
+     * (d) Each of two leaders answers heartbeats for a grace period of its own without a stop: the first doesn't know
+     * of the cancellation, and the second answers workers that are not accounted for.
      */
     @Test
     fun `a chain of leaders keeps a withdrawn task for no longer than one`() = faultScenario(1L..4L) { seed ->
@@ -144,8 +146,8 @@
     }
 
     /**
-     * (e) What a leader hears of late it has known for a moment only: a lease delegate named in that moment kept its
-     * tasks as if users had just been told.
+     * (e) A leader learns of a cancellation late. Regression: a lease delegate named in that moment kept the tasks as
+     * if users had just been told.
      */
     @Test
     fun `a zone that is cut off when its leader learns of an old withdrawal is kept for no longer than that allows`() =
@@ -163,7 +165,7 @@
             untilRunning("req-1", 8)
             if (cluster.leader() == "n2") {
                 cluster.crash("n2")
-                cluster.until("another leads", 30.seconds) { cluster.leader().let { it != null && it != "n2" } }
+                cluster.untilReplaced("n2", 30.seconds)
                 cluster.startNode("n2")
             }
             delay(20.seconds)
--- a/src/test/kotlin/org/elderhitch/app/SuccessionFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/SuccessionFaultsTest.kt
@@ -15,18 +15,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Meetings of troubles around a change of leader (`docs/design/meetings.md`). */
+/** Overlapping faults around one or more changes of leader (`docs/design/meetings.md`). */
 class SuccessionFaultsTest {
     private val large = mapOf("cores" to 40.0)
 
-    private suspend fun WatchedCluster.replaced(leader: String, limit: Duration = 15.seconds): String {
-        cluster.until("another than $leader leads", limit) { cluster.leader().let { it != null && it != leader } }
-        return assertNotNull(cluster.leader())
-    }
-
-    private fun WatchedCluster.term(): Long = cluster.platform.state.value("v/a/term")?.longOrNull("n") ?: 0
-
-    /** Machines run on and nobody reaches them, or they speak and hear nothing, while two leaders come and go. */
+    /** Machines are unreachable, or send without receiving, while the leader changes twice. */
     @Test
     fun `two successions while machines with long tasks are unreachable or deaf for longer than a lease`() =
         faultScenario(1L..8L) { seed ->
@@ -61,9 +54,9 @@
         }
 
     /**
-     * A machine comes back for one report, shortly before the takeover's longest time is over, and is away again. The
-     * answer renewed the lease of what an
-     * earlier term had started there: at the end of that time the task was started elsewhere while it still ran.
+     * A machine returns for one heartbeat shortly before the takeover's longest time is over, and is cut off again.
+     * Regression: the response renewed the lease of what an earlier term had started there, and at the end of that time
+     * the task was started elsewhere while it still ran.
      */
     @Test
     fun `a machine that was answered once before the takeover ended is not taken for empty`() =
@@ -152,7 +145,7 @@
         cluster.until("services whole", 120.seconds) { running("req-0") == 4 }
     }
 
-    /** The lead goes over and back within a second, in the middle of claims and loads; all end, and one returns. */
+    /** Leadership changes twice within a second, amid claims and loads; then all nodes end, and one returns. */
     @Test
     fun `hand over and back within a second, and all end and one returns`() = faultScenario(1L..10L) { seed ->
         val random = Random(seed)
@@ -288,8 +281,8 @@
         }
 
     /**
-     * Copies of reports arrive from two seconds to far more than a lease later: of earlier sessions and attempts, at
-     * later leaders, around commands' replies.
+     * Copies of heartbeats arrive from two seconds to far more than a lease later, at later leaders and around replies
+     * to commands. They name earlier agent epochs and attempts.
      */
     @Test
     fun `late copies of reports change nothing through takeovers`() = faultScenario(1L..6L) { seed ->
@@ -329,8 +322,8 @@
     }
 
     /**
-     * One task ends long before the others, and the lead changes between, once and twice: done once all are, not before
-     * and not never.
+     * One task ends long before the others, and the leader changes in between, once or twice. The job must be done when
+     * its last task is, neither before nor never.
      */
     @Test
     fun `jobs of few tasks whose ends lie far apart across changes of leader`() = faultScenario(1L..6L) { seed ->
--- a/src/test/kotlin/org/elderhitch/app/WatchedCluster.kt
+++ b/src/test/kotlin/org/elderhitch/app/WatchedCluster.kt
@@ -17,6 +17,7 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.random.Random
 import kotlin.test.assertEquals
+import kotlin.test.assertNotNull
 import kotlin.test.assertTrue
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -24,7 +25,14 @@
 
 /** A simulated cluster whose users and machines are checked against every invariant of the protocol, twice a second. */
 internal class WatchedCluster(val cluster: SimulatedCluster, val cancel: Duration) {
-    val rules = InvariantChecker(cluster.clock, cancel, cluster.limits, cluster::machine, cluster.cpuLimits, cluster::machinesUp)
+    val rules = InvariantChecker(
+        cluster.clock,
+        cancel,
+        cluster.limits,
+        cluster::machine,
+        cluster.cpuLimits,
+        cluster::machinesUp,
+    )
     private val line = cluster.network.transport("user")
 
     /** Every start so far: task and machine. */
@@ -85,7 +93,7 @@
         throw AssertionError("$id was not accepted")
     }
 
-    /** Cancels the job at one node, again and again until it confirms. The checker notes the time of the confirmation. */
+    /** Cancels the job at one node, repeatedly until it confirms. The checker notes the time of the confirmation. */
     suspend fun cancel(id: String, node: String, limit: Duration = 10.seconds) {
         val began = cluster.clock.now()
         while (requestCancellation(id, node) != 200) {
@@ -156,12 +164,22 @@
     /** The machine of each running task of the job. */
     fun hosts(job: String): Map<String, String> = cluster.onMachine.filterKeys { it.startsWith("$job/") }
 
+    /** The number of running tasks of the job. */
     fun running(job: String): Int = hosts(job).size
 
     suspend fun untilRunning(job: String, tasks: Int) = cluster.until("$tasks tasks of $job run", 120.seconds) {
         running(job) == tasks
     }
 
+    /** Waits until another controller than [leader] leads, and returns it. */
+    suspend fun replaced(leader: String, limit: Duration = 15.seconds): String {
+        cluster.untilReplaced(leader, limit)
+        return assertNotNull(cluster.leader())
+    }
+
+    /** The number of the latest term. */
+    fun term(): Long = cluster.platform.state.value("v/a/term")?.longOrNull("n") ?: 0
+
     /** Cuts all links for which [separates] holds. */
     fun cut(mode: CutMode, separates: (String, String) -> Boolean): Cut = Cut(mode, separates).also {
         cluster.network.cuts.add(it)
--- a/src/test/kotlin/org/elderhitch/recovery/ActionLedgerTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/ActionLedgerTest.kt
@@ -72,6 +72,6 @@
         for (n in 0 until 50_000) ledger.recordStart(task(n), begin + 1.milliseconds * (n / 100))
         ledger.recordStop(task(49_999), asked = false, begin + 1.seconds)
         ledger.recordStop(task(100), asked = false, begin + 1.seconds)
-        assertEquals(1L, ledger.needless(NeedlessActionKind.START_STOPPED), "the hundredth is beyond what is remembered")
+        assertEquals(1L, ledger.needless(NeedlessActionKind.START_STOPPED), "the hundredth is not remembered")
     }
 }
--- a/src/test/kotlin/org/elderhitch/recovery/DuplicatePlacementsTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/DuplicatePlacementsTest.kt
@@ -36,14 +36,15 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Copies of one task on several workers: one counts, and the others are stopped and use capacity until they are gone. */
+/** Copies of one task on several workers: one counts, and the others are stopped and use capacity until then. */
 class DuplicatePlacementsTest {
     private val now = MonotonicInstant(0) + 1000.seconds
     private val table = TaskTable({ now }, 120.seconds)
     private val taskReconciler = TaskReconciler(table, FailureAttribution(table), { now }, EventLog({ now }, {}, {}))
     private val job = JobSpec(
-        JobId("req-1"), "class", TeamName("team"), JobKind.ARRAY, Priority.NORMAL, 6, Resources(5.0, 1.0, 27.0), null, null, false,
-        false, true, Image("img"), 1.0, 40.seconds, Duration.ZERO, Duration.ZERO, null,
+        JobId("req-1"), "class", TeamName("team"), JobKind.ARRAY, Priority.NORMAL, 6,
+        Resources(5.0, 1.0, 27.0), null, null, false, false, true,
+        Image("img"), 1.0, 40.seconds, Duration.ZERO, Duration.ZERO, null,
     ).let { JobState(it, Revision(1)) }.also { table.jobs[it.id] = it }
     private val workers =
         List(3) {
@@ -112,7 +113,8 @@
             repeat(40) {
                 val number = random.nextInt(3)
                 val index = random.nextInt(6)
-                if (random.nextInt(3) > 0) actual.getOrPut(number to index) { nextAttempt++ } else actual.remove(number to index)
+                val placed = number to index
+                if (random.nextInt(3) > 0) actual.getOrPut(placed) { nextAttempt++ } else actual.remove(placed)
                 report(
                     workers[number],
                     *actual.filterKeys { it.first == number }
--- a/src/test/kotlin/org/elderhitch/recovery/TakeoverTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/TakeoverTest.kt
@@ -55,7 +55,11 @@
         ),
     )
     private val times = WorkerTimeouts(1.seconds, 11.seconds, 45.seconds, 5.seconds, 41.seconds)
-    private val takeover = Takeover(LeadershipTimeouts.of(times), LeaseTimeouts(times.lease), SteadyClock { now }).apply {
+    private val takeover = Takeover(
+        LeadershipTimeouts.of(times),
+        LeaseTimeouts(times.lease),
+        SteadyClock { now },
+    ).apply {
         val previousLeader = PreviousLeader(NodeName("n0"), Incarnation("x"))
         begin(
             LeadershipState.Leader(
@@ -71,8 +75,9 @@
     }
 
     private fun spec(spotAllowed: Boolean, zone: Zone? = null) = JobSpec(
-        JobId("req-1"), "class", TeamName("team"), JobKind.SERVICE, Priority.PRODUCTION, 2, Resources(4.0, 1.0, 30.0), null, zone, false,
-        false, spotAllowed, Image("img"), 1.0, Duration.ZERO, Duration.ZERO, Duration.ZERO, null,
+        JobId("req-1"), "class", TeamName("team"), JobKind.SERVICE, Priority.PRODUCTION, 2,
+        Resources(4.0, 1.0, 30.0), null, zone, false, false, spotAllowed,
+        Image("img"), 1.0, Duration.ZERO, Duration.ZERO, Duration.ZERO, null,
     )
 
     /** Seen: all services of earlier terms waited four seconds for the word of one spot machine that was gone. */
