--- a/src/main/kotlin/org/elderhitch/placement/CycleInput.kt
+++ b/src/main/kotlin/org/elderhitch/placement/CycleInput.kt
@@ -70,8 +70,8 @@
  *   preempted or reserved for it
  * @property atFault whether it failed so often that the fault is known to be its own
  * @property late whether it missed the first of its objectives, or will
- * @property starved whether none of its tasks has started for long, at its team's limit: its first task is placed before
- *   the next ones of others of the same priority
+ * @property starved whether none of its tasks has started for long, at its team's limit: its first task is placed
+ *   before the next ones of others of the same priority
  */
 public class JobView(
     public val spec: JobSpec,
--- a/src/main/kotlin/org/elderhitch/placement/ScarceCapacity.kt
+++ b/src/main/kotlin/org/elderhitch/placement/ScarceCapacity.kt
@@ -108,7 +108,7 @@
         return group
     }
 
-    /** How long it takes until flexible tasks complete, in seconds: capacity is reserved for what arrives until then. */
+    /** How many seconds it takes until flexible tasks complete: capacity is reserved for what arrives until then. */
     private fun horizonSeconds(group: ConfinedGroup): Double {
         var sum = 0.0
         var flexibleTasks = 0
--- a/src/test/kotlin/org/elderhitch/placement/PreemptionTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/PreemptionTest.kt
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Seen: eight of 800 small jobs were restarted again and again, each time after minutes that no checkpoint had saved. */
+    /** Seen: eight of 800 small jobs were restarted again and again, each time after minutes without a checkpoint. */
     @Test
     fun `tasks that lose least are preempted, and small ones only when large ones do not suffice`() {
         val now = MonotonicInstant(0) + 1000.seconds
