--- a/src/main/kotlin/org/elderhitch/app/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/elderhitch/app/WorkerCommandSender.kt
@@ -30,7 +30,7 @@
     ) {
         scope.launch {
             val outcome = workerClient.send(address, leader.term, agentEpoch, commands) { maySendCommands(leader) }
-            val starts = commands.filterIsInstance<Command.Start>().map { it.task to it.attempt }.toSet()
+            val starts = commands.filterIsInstance<Command.Start>().toSet()
             tellScheduler(SchedulerMessage.CommandsDelivered(leader.term, machine, agentEpoch, starts, outcome))
         }
     }
--- a/src/main/kotlin/org/elderhitch/heartbeat/CommandPlanner.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/CommandPlanner.kt
@@ -146,7 +146,7 @@
             task.cause == ExitCause.DONE &&
             task.task.index !in job.recorded
         // A start that may yet be executed would run a reaped task again.
-        return !unrecorded && (task.task to task.attempt) !in worker.unacknowledgedStarts
+        return !unrecorded && Command.Start(task.task, task.attempt) !in worker.unacknowledgedStarts
     }
 
     private fun addDirectStop(placement: Placement, grace: Duration, commands: MutableList<Command>) {
@@ -158,8 +158,9 @@
     private fun addDirectStart(placement: Placement, now: MonotonicInstant, commands: MutableList<Command>) {
         if (placement.state != PlacementState.ASSIGNED || now < placement.sendFrom || now > placement.sendBy) return
         placement.markSentDirectly()
-        placement.worker.unacknowledgedStarts.add(placement.task to placement.attempt)
-        commands.add(Command.Start(placement.task, placement.attempt))
+        val start = Command.Start(placement.task, placement.attempt)
+        placement.worker.unacknowledgedStarts.add(start)
+        commands.add(start)
     }
 
     private fun recordIssued(worker: WorkerState, commands: List<Command>, now: MonotonicInstant) {
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerMessage.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerMessage.kt
@@ -8,11 +8,11 @@
 import org.elderhitch.fleet.Machine
 import org.elderhitch.fleet.MachineId
 import org.elderhitch.fleet.Market
+import org.elderhitch.heartbeat.Command
 import org.elderhitch.heartbeat.CommandOutcome
 import org.elderhitch.heartbeat.Heartbeat
 import org.elderhitch.heartbeat.HeartbeatResponse
 import org.elderhitch.http.Address
-import org.elderhitch.jobs.Attempt
 import org.elderhitch.jobs.HoldKind
 import org.elderhitch.jobs.HoldResult
 import org.elderhitch.jobs.HoldWriteResult
@@ -91,7 +91,7 @@
         val term: Term,
         val machine: MachineId,
         val agentEpoch: Long,
-        val starts: Set<Pair<TaskId, Attempt>>,
+        val starts: Set<Command.Start>,
         val outcome: CommandOutcome,
     ) : WorkerUpdate
 
--- a/src/main/kotlin/org/elderhitch/tasks/WorkerState.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/WorkerState.kt
@@ -1,6 +1,7 @@
 package org.elderhitch.tasks
 
 import org.elderhitch.fleet.MachineId
+import org.elderhitch.heartbeat.Command
 import org.elderhitch.heartbeat.HeartbeatSequence
 import org.elderhitch.heartbeat.LeaseTimeouts
 import org.elderhitch.heartbeat.LeaseView
@@ -8,7 +9,6 @@
 import org.elderhitch.heartbeat.TaskPhase
 import org.elderhitch.heartbeat.TaskStatus
 import org.elderhitch.http.Address
-import org.elderhitch.jobs.Attempt
 import org.elderhitch.jobs.Image
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.MachineType
@@ -63,7 +63,7 @@
     var unreachable: Boolean = false
 
     /** Starts sent to the worker's own address without an answer: each may be executed yet, or once more. */
-    val unacknowledgedStarts: HashSet<Pair<TaskId, Attempt>> = HashSet()
+    val unacknowledgedStarts: HashSet<Command.Start> = HashSet()
 
     // ---- tasks ----
 
