--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -283,11 +283,13 @@
 
         override fun previousLeaderEnded(term: Term) = scheduler.tell(SchedulerMessage.PreviousLeaderEnded(term))
 
-        override fun previousLeadersStopped(term: Term) = scheduler.tell(SchedulerMessage.PreviousLeadersStopped(term))
+        override fun previousLeadersStopped(term: Term) =
+            scheduler.tell(SchedulerMessage.PreviousLeadersStopped(term))
 
         override suspend fun grantDelegation(node: NodeName): DelegationOffer? = leaderQueries.grantDelegation(node)
 
-        override fun delegationGranted(grant: DelegationGrant) = scheduler.tell(SchedulerMessage.DelegationGranted(grant))
+        override fun delegationGranted(grant: DelegationGrant) =
+            scheduler.tell(SchedulerMessage.DelegationGranted(grant))
 
         override val longestDelegation: Duration = timeouts.commandWindow + timeouts.answerGracePeriod
 
--- a/src/main/kotlin/org/elderhitch/app/ControllerStatus.kt
+++ b/src/main/kotlin/org/elderhitch/app/ControllerStatus.kt
@@ -25,7 +25,7 @@
             "run" to incarnation.text,
             "leading" to (state is LeadershipState.Leader),
             "leader" to leaderName(state),
-            "term" to term(state),
+            "term" to state.term.number,
             "reaches_state" to connection.isReachable(),
             "features" to features.status(),
             "orders" to actionCounts(),
@@ -37,9 +37,4 @@
         is LeadershipState.Leader -> node.text
         is LeadershipState.Follower -> state.leader?.text
     }
-
-    private fun term(state: LeadershipState): Long = when (state) {
-        is LeadershipState.Leader -> state.term.number
-        is LeadershipState.Follower -> state.term.number
-    }
 }
--- a/src/main/kotlin/org/elderhitch/app/SchedulerStateWriter.kt
+++ b/src/main/kotlin/org/elderhitch/app/SchedulerStateWriter.kt
@@ -76,7 +76,13 @@
      * Records a hold in place of revision [replaces] of its key. Each attempt sends [SchedulerMessage.HoldWritten]; the
      * scheduler starts no task of the job until the result is known, so an unknown one is retried without limit.
      */
-    fun writeHold(leader: LeadershipState.Leader, job: JobId, version: Revision, replaces: Revision, hold: JobHold) {
+    fun writeHold(
+        leader: LeadershipState.Leader,
+        job: JobId,
+        version: Revision,
+        replaces: Revision,
+        hold: JobHold,
+    ) {
         scope.launch {
             var unknownBefore = false
             while (true) {
--- a/src/main/kotlin/org/elderhitch/app/StateConnection.kt
+++ b/src/main/kotlin/org/elderhitch/app/StateConnection.kt
@@ -12,11 +12,7 @@
  * This controller's connection to the state service: the client, this controller's share of the request rates that all
  * controllers share, and whether the service answers.
  */
-internal class StateConnection(
-    private val settings: Settings,
-    transport: Transport,
-    private val clock: SteadyClock,
-) {
+internal class StateConnection(private val settings: Settings, transport: Transport, private val clock: SteadyClock) {
     private val requests = RequestRateLimiter(clock, rateShare(settings.stateLimits.requestsPerS, FOLLOWER_SHARE))
     private val writes = RequestRateLimiter(clock, rateShare(settings.stateLimits.writesPerS, FOLLOWER_SHARE))
     private var answeredAt = MonotonicInstant.NEVER
--- a/src/main/kotlin/org/elderhitch/http/HttpServer.kt
+++ b/src/main/kotlin/org/elderhitch/http/HttpServer.kt
@@ -140,7 +140,7 @@
 
     private suspend fun send(channel: AsynchronousSocketChannel, response: Response, keepAlive: Boolean) {
         val head = StringBuilder(HEAD_SIZE)
-            .append("HTTP/1.1 ").append(response.status).append(' ').append(reason(response.status)).append("\r\n")
+            .append("HTTP/1.1 ").append(response.status).append(' ').append(HttpStatus.reasonPhrase(response.status)).append("\r\n")
             .append("Content-Type: ").append(response.contentType).append("\r\n")
             .append("Content-Length: ").append(response.body.size).append("\r\n")
         for ((name, value) in response.headers) head.append(name).append(": ").append(value).append("\r\n")
@@ -180,20 +180,5 @@
             if (request.method == method) return serve()
             return refusal(WRONG_METHOD, "only $method").let { Response(it.status, it.body, mapOf("Allow" to method)) }
         }
-
-        internal fun reason(status: Int): String = when (status) {
-            200 -> "OK"
-            201 -> "Created"
-            400 -> "Bad Request"
-            404 -> "Not Found"
-            405 -> "Method Not Allowed"
-            409 -> "Conflict"
-            421 -> "Misdirected Request"
-            422 -> "Unprocessable Content"
-            429 -> "Too Many Requests"
-            431 -> "Request Header Fields Too Large"
-            503 -> "Service Unavailable"
-            else -> "Status"
-        }
     }
 }
--- a/src/main/kotlin/org/elderhitch/json/Json.kt
+++ b/src/main/kotlin/org/elderhitch/json/Json.kt
@@ -10,7 +10,7 @@
 import java.math.BigInteger
 
 /** The text is not JSON, or not of the form that its reader needs. The message is fit for the sender. */
-public class MalformedJson(message: String) : Exception(message)
+public class MalformedJson(message: String, cause: Throwable? = null) : Exception(message, cause)
 
 /**
  * JSON values as plain maps, lists, strings, numbers and booleans over Jackson's streaming parser. The data binding
@@ -30,9 +30,9 @@
             value
         }
     } catch (e: JsonProcessingException) {
-        throw MalformedJson("not JSON: ${e.originalMessage.lineSequence().first()}")
+        throw MalformedJson("not JSON: ${e.originalMessage.lineSequence().first()}", e)
     } catch (e: java.io.IOException) {
-        throw MalformedJson("not JSON: ${e.message}")
+        throw MalformedJson("not JSON: ${e.message}", e)
     }
 
     public fun parseObject(bytes: ByteArray): JsonObject {
--- a/src/main/kotlin/org/elderhitch/settings/Settings.kt
+++ b/src/main/kotlin/org/elderhitch/settings/Settings.kt
@@ -58,8 +58,7 @@
     val instantClasses: Set<String>
         get() = objectives.filter(::isInstant).map { it.jobClass }.toSet()
 
-    private fun isInstant(objective: Objective): Boolean =
-        objective.kind == OBJECTIVE_START &&
+    private fun isInstant(objective: Objective): Boolean = objective.kind == OBJECTIVE_START &&
             objective.within != null &&
             objective.within < workers.heartbeatInterval * 2 + SAVE_AND_CYCLE
 
