--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -23,6 +23,7 @@
 import org.elderhitch.http.Request
 import org.elderhitch.http.Response
 import org.elderhitch.http.Transport
+import org.elderhitch.jobs.ClassRules
 import org.elderhitch.jobs.Admission
 import org.elderhitch.jobs.CompletionWriter
 import org.elderhitch.jobs.Footprint
@@ -43,6 +44,7 @@
 import org.elderhitch.leadership.LeadershipTimeouts
 import org.elderhitch.leadership.Term
 import org.elderhitch.scheduler.SchedulerActor
+import org.elderhitch.scheduler.SchedulerConfiguration
 import org.elderhitch.scheduler.SchedulerMessage
 import org.elderhitch.settings.NodeName
 import org.elderhitch.settings.Settings
@@ -192,23 +194,27 @@
     private fun createScheduler(features: Features, onCycle: (looks: Long) -> Unit, policy: FleetPolicy) =
         SchedulerActor(
             scope,
-            timeouts,
-            settings.workers,
-            settings.teams,
-            settings.objectives,
-            settings.node,
-            settings.nodeZones,
+            schedulerConfiguration(features.rules, policy),
             clock,
-            schedulerWiring,
             wallClock,
-            features.rules,
+            schedulerWiring,
             onCycle,
-            policy.suspectedTerminationShare,
-            settings.cpuShare,
         ) { job ->
             featureSet().jobProvider(job)?.open(job)
         }
 
+    private fun schedulerConfiguration(rules: ClassRules, policy: FleetPolicy) = SchedulerConfiguration(
+        node = settings.node,
+        nodeZones = settings.nodeZones,
+        leadershipTimeouts = timeouts,
+        workerTimeouts = settings.workers,
+        teams = settings.teams,
+        objectives = settings.objectives,
+        classRules = rules,
+        suspectedTerminationShare = policy.suspectedTerminationShare,
+        cpuShare = settings.cpuShare,
+    )
+
     private fun createJobService(features: Features) = JobService(
         jobRegistry,
         stateWatch,
--- a/src/main/kotlin/org/elderhitch/delegates/ZoneDelegates.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/ZoneDelegates.kt
@@ -29,10 +29,12 @@
     private val zoneOf: Map<NodeName, Zone>,
     timeouts: LeadershipTimeouts,
     private val table: TaskTable,
-    private val takeover: Takeover,
-    private val machineRegistry: MachineRegistry,
+    private val currentTakeover: () -> Takeover,
+    private val currentMachines: () -> MachineRegistry,
     private val ports: SchedulerPorts,
 ) {
+    private val takeover: Takeover get() = currentTakeover()
+    private val machineRegistry: MachineRegistry get() = currentMachines()
     private val log = LoggerFactory.getLogger("elderhitch.workers")
     private val rules = DelegationRules(timeouts)
     private val ownZone = zoneOf[self] ?: Zone("")
--- a/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
+++ b/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
@@ -3,12 +3,10 @@
 import org.elderhitch.failuredetection.FailureAttribution
 import org.elderhitch.failuredetection.FailureDetector
 import org.elderhitch.fleet.Catalog
-import org.elderhitch.fleet.Market
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.JobKind
 import org.elderhitch.jobs.JobSpec
 import org.elderhitch.jobs.Resources
-import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.recovery.Takeover
 import org.elderhitch.settings.Team
 import org.elderhitch.settings.TeamName
@@ -18,166 +16,151 @@
 import org.elderhitch.tasks.TaskTable
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.tasks.isGang
-import org.elderhitch.time.MonotonicInstant
 
-/** Says, from the leader's own state, why a job stands as it does: one line a reason, the one that decides first. */
+/**
+ * Explains to a user, from the leader's state, why a job is in its present state: one line for each reason, the
+ * decisive one first.
+ */
 internal class JobExplainer(
     private val table: TaskTable,
-    private val faults: FailureAttribution,
+    private val failureAttribution: FailureAttribution,
     private val takeover: Takeover,
     private val failureDetector: FailureDetector,
     private val machineRegistry: MachineRegistry,
     private val teams: Map<TeamName, Team>,
 ) {
-    /** Null: no such open job in the leader's table. */
-    fun of(
-        leadership: LeadershipState.Leader,
-        id: JobId,
-        catalog: Catalog,
-        refused: Set<Market>,
-        now: MonotonicInstant,
-        tableComplete: Boolean,
-        usable: (WorkerState) -> Boolean,
-    ): List<String>? {
-        if (!tableComplete) return listOf("a takeover: the leader is still reading what is recorded")
+    /** The reasons as lines of text. Null: the leader's table has no such open job. */
+    fun explain(id: JobId, context: ExplanationContext): List<String>? {
+        if (!context.isTableComplete) return listOf("a takeover: the leader is still reading what is recorded")
         val job = table.jobs[id]?.takeUnless { it.isTerminal } ?: return null
         val lines = ArrayList<String>()
         job.hold?.let { lines.add("held (${it.kind.wireName}): ${it.reason}") }
         if (job.holdPending && job.hold == null) lines.add("a hold is being recorded")
-        counts(job, lines)
+        addProgress(job, lines)
         val missing = job.spec.tasks - job.completed.count - job.placements.size
         if (missing <= 0 || job.hold != null || job.holdPending) return lines
-        waits(leadership, job, catalog, refused, now, lines, usable)
+        addLeadershipReasons(job, context, lines)
+        addFailureReasons(job, context, lines)
+        quotaReason(job)?.let(lines::add)
+        addCapacityReasons(job, context, lines)
         return lines
     }
 
-    private fun counts(job: JobState, lines: MutableList<String>) {
-        val phases = job.placements.values.groupingBy { p ->
+    /** How many tasks are in which phase. */
+    private fun addProgress(job: JobState, lines: MutableList<String>) {
+        val phases = job.placements.values.groupingBy { placement ->
             when {
-                p.stopGrace != null -> "stopping"
-                p.state != PlacementState.CONFIRMED -> "sent"
-                else -> p.phase.name.lowercase()
+                placement.stopGrace != null -> "stopping"
+                placement.state != PlacementState.CONFIRMED -> "sent"
+                else -> placement.phase.name.lowercase()
             }
         }.eachCount().toSortedMap()
-        val parts = phases.entries.joinToString("") { ", ${it.value} ${it.key}" }
+        val phaseCounts = phases.entries.joinToString("") { (phase, count) -> ", $count $phase" }
         lines.add(
-            "of ${job.spec.tasks} tasks ${job.completed.count} done$parts; ${job.usage.attempts} starts seen, ${job.usage.lost} lost, in this term",
+            "of ${job.spec.tasks} tasks ${job.completed.count} done$phaseCounts; " +
+                "${job.usage.attempts} starts seen, ${job.usage.lost} lost, in this term",
         )
-        val cut = job.placements.values.count { failureDetector.isPartitioned(it.zone) }
-        if (cut > 0) lines.add("$cut of its tasks are in a zone that is cut off")
+        val cutOff = job.placements.values.count { failureDetector.isPartitioned(it.zone) }
+        if (cutOff > 0) lines.add("$cutOff of its tasks are in a zone that is cut off")
     }
 
-    private fun waits(
-        leadership: LeadershipState.Leader,
-        job: JobState,
-        catalog: Catalog,
-        refused: Set<Market>,
-        now: MonotonicInstant,
-        lines: MutableList<String>,
-        usable: (WorkerState) -> Boolean,
-    ) {
-        val spec = job.spec
-        if (job.version <= leadership.termRevision && takeover.mayRunUnreported(spec, machineRegistry.known, catalog)) {
-            lines.add("waits for a takeover: ${takeover.unaccounted.size} machines that may run it have not reported yet")
+    private fun addLeadershipReasons(job: JobState, context: ExplanationContext, lines: MutableList<String>) {
+        val isOlderThanTerm = job.version <= context.leader.termRevision
+        if (isOlderThanTerm && takeover.mayRunUnreported(job.spec, machineRegistry.known, context.catalog)) {
+            val machines = takeover.unaccounted.size
+            lines.add("waits for a takeover: $machines machines that may run it have not reported yet")
         }
-        if (!leadership.maySendCommands(
-                now,
-            )
-        ) {
+        if (!context.leader.maySendCommands(context.now)) {
             lines.add(
                 "waits for the state service: the leader can't prove that it leads and knows all that is recorded",
             )
         }
-        if (job.notBefore >
-            now
-        ) {
+    }
+
+    private fun addFailureReasons(job: JobState, context: ExplanationContext, lines: MutableList<String>) {
+        if (job.notBefore > context.now) {
+            val retryInS = (job.notBefore - context.now).inWholeSeconds
             lines.add(
-                "at fault: failed on ${job.failedOn.size} machines and runs on none; tried again in ${(job.notBefore - now).inWholeSeconds} s",
+                "at fault: failed on ${job.failedOn.size} machines and runs on none; tried again in $retryInS s",
             )
         }
-        faults.trialLimit(job)?.let {
+        failureAttribution.trialLimit(job)?.let {
             lines.add("failed on ${job.failedOn.size} machines: no more than a few tasks are tried at a time")
         }
-        if (job.isGang &&
-            job.gang.broken
-        ) {
+        if (job.isGang && job.gang.broken) {
             lines.add("the gang broke: waits for its members to exit before the next attempt")
         }
-        limit(job)?.let(lines::add)
-        val fitting = catalog.fitting(spec).map { it.name }.toSet()
-        if (fitting.isEmpty()) {
+    }
+
+    private fun quotaReason(job: JobState): String? {
+        val team = teams[job.spec.team] ?: return "its team is unknown here"
+        var used = Resources.NONE
+        for (other in table.jobs.values) if (other.spec.team == team.name) used += other.spec.resources * other.copies
+        val needed = job.spec.resources * if (job.isGang) job.spec.tasks - job.placements.size else 1
+        val gpus = team.mostGpus?.takeIf { used.gpus + needed.gpus > it }
+        if (gpus != null) return "waits for its team's limit: ${used.gpus} of $gpus GPUs in use, ${needed.gpus} needed"
+        val cpus = team.mostCpus?.takeIf { used.cpus + needed.cpus > it } ?: return null
+        return "waits for its team's limit: ${used.cpus} of $cpus CPUs in use, ${needed.cpus} needed"
+    }
+
+    private fun addCapacityReasons(job: JobState, context: ExplanationContext, lines: MutableList<String>) {
+        val fittingTypes = context.catalog.fitting(job.spec).map { it.name }.toSet()
+        if (fittingTypes.isEmpty()) {
             lines.add("no machine type is known that a task of it fits")
             return
         }
-        confined(spec, catalog, refused)?.let(lines::add)
-        room(job, catalog, fitting, lines, usable)
+        confinementReason(job.spec, context)?.let(lines::add)
+        val allowed = table.workers.values.filter { it.type in fittingTypes && mayUse(job.spec, it) }
+        lines.add(freeCapacityReason(job, allowed, context))
+        val avoided = allowed.count { job.spec.id in it.avoidedBy }
+        if (avoided > 0) lines.add("$avoided machines are left out for a while: it failed or was refused there")
     }
 
-    /** Of work that most machines are too small for: where it may run, and whether more of that is to be had. */
-    private fun confined(spec: JobSpec, catalog: Catalog, refused: Set<Market>): String? {
+    /** Of work that some machine types are too small for: where it may run, and whether more of those can be had. */
+    private fun confinementReason(spec: JobSpec, context: ExplanationContext): String? {
+        val catalog = context.catalog
         val fitting = catalog.fitting(spec)
         if (fitting.size == catalog.types.size) return null
-        val up = table.workers.values.count {
-            spec.permitsMachine(it.type, it.zone, it.spot) &&
-                fitting.any { type -> type.name == it.type }
+        val up = table.workers.values.count { worker ->
+            mayUse(spec, worker) && fitting.any { type -> type.name == worker.type }
         }
-        val more = if (refused.containsAll(catalog.markets(spec))) "none more to be had" else "more can be rented"
-        return "waits for room of ${spec.resources.cpus} CPUs on ${fitting.joinToString(" or ") {
-            it.name.name
-        }}: $up up, $more; others leave them as their tasks end"
+        val isExhausted = context.unavailableMarkets.containsAll(catalog.markets(spec))
+        val more = if (isExhausted) "none more to be had" else "more can be rented"
+        val types = fitting.joinToString(" or ") { it.name.name }
+        return "waits for room of ${spec.resources.cpus} CPUs on $types: $up up, $more; others leave them as their tasks end"
     }
 
-    private fun limit(job: JobState): String? {
-        val team = teams[job.spec.team] ?: return "its team is unknown here"
-        var used = Resources.NONE
-        for (other in table.jobs.values) if (other.spec.team == team.name) used += other.spec.resources * other.copies
-        val atOnce = job.spec.resources * if (job.isGang) job.spec.tasks - job.placements.size else 1
-        val gpus = team.mostGpus?.takeIf { used.gpus + atOnce.gpus > it }
-        if (gpus != null) return "waits for its team's limit: ${used.gpus} of $gpus GPUs in use, ${atOnce.gpus} needed"
-        val cpus = team.mostCpus?.takeIf { used.cpus + atOnce.cpus > it } ?: return null
-        return "waits for its team's limit: ${used.cpus} of $cpus CPUs in use, ${atOnce.cpus} needed"
-    }
-
-    private fun room(
-        job: JobState,
-        catalog: Catalog,
-        fitting: Set<org.elderhitch.jobs.MachineType>,
-        lines: MutableList<String>,
-        usable: (WorkerState) -> Boolean,
-    ) {
+    private fun freeCapacityReason(job: JobState, allowed: List<WorkerState>, context: ExplanationContext): String {
         val spec = job.spec
-        val allowed =
-            table.workers.values.filter { it.type in fitting && spec.permitsMachine(it.type, it.zone, it.spot) }
-        val ready = allowed.filter(usable)
-        val roomy = ready.count { worker -> free(worker, catalog)?.let { spec.resources.fitsIn(it) } ?: false }
+        val usable = allowed.filter(context.isUsable)
+        val withRoom = usable.count { worker ->
+            freeOn(worker, context.catalog)?.let { spec.resources.fitsIn(it) } ?: false
+        }
         val booting = machineRegistry.known.values.count {
-            it.id !in machineRegistry.cleared &&
-                spec.permitsMachine(it.type, it.zone, it.spot)
+            it.id !in machineRegistry.cleared && spec.permitsMachine(it.type, it.zone, it.spot)
         }
-        val what = "${spec.resources.cpus} CPUs, ${spec.resources.gpus} GPUs, ${spec.resources.memoryGb} GB"
-        val place = place(spec)
-        lines.add(
-            if (roomy == 0) {
-                "waits for room: none of ${ready.size} usable machines$place has $what free; $booting are booting"
-            } else {
-                "$roomy of ${ready.size} usable machines$place have $what free; $booting are booting" +
-                    (if (job.isGang) "; a gang starts only when all its tasks fit at once" else "")
-            },
-        )
-        val shunned = allowed.count { spec.id in it.avoidedBy }
-        if (shunned > 0) lines.add("$shunned machines are left out for a while: it failed or was refused there")
+        val need = "${spec.resources.cpus} CPUs, ${spec.resources.gpus} GPUs, ${spec.resources.memoryGb} GB"
+        val constraints = constraints(spec)
+        if (withRoom == 0) {
+            return "waits for room: none of ${usable.size} usable machines$constraints has $need free; " +
+                "$booting are booting"
+        }
+        val gangRule = if (job.isGang) "; a gang starts only when all its tasks fit at once" else ""
+        return "$withRoom of ${usable.size} usable machines$constraints have $need free; $booting are booting$gangRule"
     }
 
-    private fun place(spec: JobSpec): String = buildString {
+    private fun constraints(spec: JobSpec): String = buildString {
         spec.zone?.let { append(" in zone ").append(it) }
         if (!spec.spotAllowed) append(", not spot,")
         if (spec.oneZone) append(", all in one zone,")
         if (spec.kind == JobKind.SERVICE && spec.spread) append(", spread over zones,")
     }
 
-    private fun free(worker: WorkerState, catalog: Catalog): Resources? {
+    private fun mayUse(spec: JobSpec, worker: WorkerState): Boolean = spec.permitsMachine(worker.type, worker.zone, worker.spot)
+
+    private fun freeOn(worker: WorkerState, catalog: Catalog): Resources? {
         var free = catalog.resources(worker.type) ?: return null
-        for (p in worker.placements.values) table.jobs[p.task.job]?.let { free -= it.spec.resources }
+        for (placement in worker.placements.values) table.jobs[placement.task.job]?.let { free -= it.spec.resources }
         return free
     }
 }
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
@@ -44,8 +44,8 @@
 internal class FailureDetector(
     private val settings: FailureDetectionSettings,
     private val table: TaskTable,
-    private val takeover: Takeover,
-    workerProber: WorkerProber,
+    private val currentTakeover: () -> Takeover,
+    currentProber: () -> WorkerProber,
     pauseDetector: PauseDetector,
     private val delegates: ZoneDelegates,
     private val events: EventLog,
@@ -58,8 +58,8 @@
     private val reception = ReceptionTracker(pauseDetector, delegates)
     private val zoneMonitor = ZoneHealthMonitor(settings.timeouts, settings.tick, settings.controllerZones)
     private val resignationRules =
-        ResignationRules(table, takeover, workerProber, reception, rules.timeouts.unresponsive)
-    private val suspicionView = SuspicionView(rules, zoneMonitor, reception, overdueAfter, workerProber)
+        ResignationRules(table, currentTakeover, currentProber, reception, rules.timeouts.unresponsive)
+    private val suspicionView = SuspicionView(rules, zoneMonitor, reception, overdueAfter, currentProber)
     private var terminator = newTerminator()
 
     val partitionedZones: Set<Zone> get() = zoneMonitor.partitionedZones
@@ -70,7 +70,7 @@
 
     private fun newTerminator(): SuspectTerminator {
         val rateLimiter = TerminationRateLimiter(settings.suspectedTerminationShare)
-        return SuspectTerminator(suspicionView, table, takeover, rateLimiter, events, ports)
+        return SuspectTerminator(suspicionView, table, currentTakeover, rateLimiter, events, ports)
     }
 
     /**
@@ -101,7 +101,7 @@
             ports.leadership(LeadershipMessage.Resign(reason))
             return
         }
-        val neverSeen = takeover.unaccounted.filter { it !in table.workers }
+        val neverSeen = currentTakeover().unaccounted.filter { it !in table.workers }
         val suspected = zones.values.sumOf { it.suspected } + neverSeen.size
         for (id in neverSeen) known[id]?.let { zones.getOrPut(it.zone) { ZoneHealth() }.neverSeen++ }
         val mayBePartitioned = now - leadership.claimedAt > suspectAfter
--- a/src/main/kotlin/org/elderhitch/failuredetection/ResignationRules.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/ResignationRules.kt
@@ -14,11 +14,13 @@
  */
 internal class ResignationRules(
     private val table: TaskTable,
-    private val takeover: Takeover,
-    private val workerProber: WorkerProber,
+    private val currentTakeover: () -> Takeover,
+    private val currentProber: () -> WorkerProber,
     private val reception: ReceptionTracker,
     private val patience: Duration,
 ) {
+    private val takeover: Takeover get() = currentTakeover()
+    private val workerProber: WorkerProber get() = currentProber()
     private var lastResignedUnseen = MonotonicInstant.NEVER
 
     /** Why the leader must resign, for the log; absent if it needn't. */
--- a/src/main/kotlin/org/elderhitch/failuredetection/SuspectTerminator.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/SuspectTerminator.kt
@@ -22,11 +22,12 @@
 internal class SuspectTerminator(
     private val view: SuspicionView,
     private val table: TaskTable,
-    private val takeover: Takeover,
+    private val currentTakeover: () -> Takeover,
     private val rateLimiter: TerminationRateLimiter,
     private val events: EventLog,
     private val ports: SchedulerPorts,
 ) {
+    private val takeover: Takeover get() = currentTakeover()
     /** When the termination of machines was last requested that have sent no message in this term. */
     private val neverSeenRequestedAt = HashMap<MachineId, MonotonicInstant>()
 
--- a/src/main/kotlin/org/elderhitch/failuredetection/SuspicionView.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/SuspicionView.kt
@@ -14,8 +14,10 @@
     val zones: ZoneHealthMonitor,
     val reception: ReceptionTracker,
     val overdueAfter: Duration,
-    private val workerProber: WorkerProber,
+    private val currentProber: () -> WorkerProber,
 ) {
+    private val workerProber: WorkerProber get() = currentProber()
+
     /** What is known of the machine apart from its own messages. */
     fun machine(id: MachineId, zone: Zone?): SuspectedMachine = SuspectedMachine(
         neverSeen = false,
--- a/src/main/kotlin/org/elderhitch/scheduler/Consolidation.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/Consolidation.kt
@@ -2,6 +2,7 @@
 
 import org.elderhitch.fleet.Catalog
 import org.elderhitch.fleet.MachineId
+import org.elderhitch.fleet.TypeInfo
 import org.elderhitch.heartbeat.TaskPhase
 import org.elderhitch.jobs.JobKind
 import org.elderhitch.jobs.Resources
@@ -16,91 +17,94 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Empties a machine whose few services find room elsewhere: only where each finds its image too, so that it is away for
- * a
- * stop and a start and not for a fetch, and only services that have run for a while.
+ * Drains a machine whose few services fit on other machines. Only services that have run for a while are moved, and
+ * only where another machine has each one's image, so that it is away for a stop and a start and not for a fetch.
  */
 internal class Consolidation(private val table: TaskTable) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
-    private val tried = HashMap<MachineId, MonotonicInstant>()
-    private var nextMove = MonotonicInstant.NEVER
+    private val lastTriedAt = HashMap<MachineId, MonotonicInstant>()
+    private var nextDrainAt = MonotonicInstant.NEVER
 
-    fun newTerm() {
-        tried.clear()
-        nextMove = MonotonicInstant.NEVER
-    }
-
-    fun drain(machine: MachineId, catalog: Catalog, now: MonotonicInstant, usable: (WorkerState) -> Boolean) {
+    /** Drains the machine if all its tasks may be moved and fit on machines that are usable and already in use. */
+    fun drain(machine: MachineId, catalog: Catalog, now: MonotonicInstant, isUsable: (WorkerState) -> Boolean) {
         val worker = table.workers[machine] ?: return
-        if (now < nextMove || tried[machine].let { it != null && now - it < TRY_AGAIN }) return
-        tried[machine] = now
+        if (now < nextDrainAt || wasTriedLately(machine, now)) return
+        lastTriedAt[machine] = now
         val placements = worker.placements.values.toList()
-        if (placements.isEmpty() ||
-            !placements.all { movable(it, now) } ||
-            !allFit(worker, placements, catalog, usable)
-        ) {
-            return
+        if (placements.isEmpty() || !placements.all { isMovable(it, now) }) return
+        val targets = table.workers.values.filter {
+            it !== worker && isUsable(it) && it.placements.isNotEmpty() && !it.spot
         }
-        nextMove = now + BETWEEN_MOVES
-        worker.drainingUntil = now + DRAIN
+        if (!Fitting(targets, catalog).fitsAll(placements)) return
+        nextDrainAt = now + DRAIN_INTERVAL
+        worker.drainingUntil = now + DRAIN_TIME
         log.info("machine drained machine={} tasks={}", machine, placements.size)
-        for (p in placements) table.jobs[p.task.job]?.let { table.stop(it, p, Duration.ZERO) }
+        for (placement in placements) {
+            table.jobs[placement.task.job]?.let { table.stop(it, placement, Duration.ZERO) }
+        }
     }
 
-    private fun movable(placement: Placement, now: MonotonicInstant): Boolean {
+    private fun wasTriedLately(machine: MachineId, now: MonotonicInstant): Boolean =
+        lastTriedAt[machine].let { it != null && now - it < RETRY_INTERVAL }
+
+    private fun isMovable(placement: Placement, now: MonotonicInstant): Boolean {
         val job = table.jobs[placement.task.job] ?: return false
         val since = placement.runningSince ?: return false
-        return job.spec.kind == JobKind.SERVICE &&
-            !job.isTerminal &&
-            placement.stopGrace == null &&
-            placement.phase == TaskPhase.RUNNING &&
-            now - since > SETTLED
+        val isOpenService = job.spec.kind == JobKind.SERVICE && !job.isTerminal
+        val isRunning = placement.stopGrace == null && placement.phase == TaskPhase.RUNNING
+        return isOpenService && isRunning && now - since > MIN_RUN_TIME
     }
 
-    private fun allFit(
-        from: WorkerState,
-        placements: List<Placement>,
-        catalog: Catalog,
-        usable: (WorkerState) -> Boolean,
-    ): Boolean {
-        val free = HashMap<MachineId, Resources>()
-        val zones = HashMap<JobState, MutableMap<Zone, Int>>()
-        val others = table.workers.values.filter { it !== from && usable(it) && it.placements.isNotEmpty() && !it.spot }
-        for (p in placements) {
-            val job = table.jobs[p.task.job] ?: return false
-            val inZones = zones.getOrPut(job) { HashMap(job.zones()) }
-            inZones.merge(p.zone, -1, Int::plus)
-            val target = others.firstOrNull { other ->
-                val type = catalog.types[other.type] ?: return@firstOrNull false
-                val zoneAllows = if (job.spec.oneZone) {
-                    other.zone == p.zone
-                } else {
-                    job.spec.zoneAllows(
-                        inZones,
-                        other.zone,
-                    )
-                }
-                zoneAllows &&
-                    job.spec.permitsMachine(other.type, other.zone, other.spot) &&
-                    job.spec.image in other.cachedImages(type.cacheGb) &&
-                    job.spec.resources.fitsIn(free.getOrPut(other.id) { freeOn(other, type.resources) })
-            } ?: return false
-            inZones.merge(target.zone, 1, Int::plus)
-            free[target.id] = (free[target.id] ?: return false) - job.spec.resources
+    /** A trial placement of services on the [targets], which changes nothing in the table. */
+    private inner class Fitting(private val targets: List<WorkerState>, private val catalog: Catalog) {
+        private val free = HashMap<MachineId, Resources>()
+        private val zones = HashMap<JobState, MutableMap<Zone, Int>>()
+
+        fun fitsAll(placements: List<Placement>): Boolean = placements.all(::fits)
+
+        private fun fits(placement: Placement): Boolean {
+            val job = table.jobs[placement.task.job] ?: return false
+            val otherZones = zones.getOrPut(job) { HashMap(job.zones()) }
+            otherZones.merge(placement.zone, -1, Int::plus)
+            val target = targets.firstOrNull { accepts(it, job, placement.zone, otherZones) } ?: return false
+            otherZones.merge(target.zone, 1, Int::plus)
+            free[target.id] = free.getValue(target.id) - job.spec.resources
+            return true
+        }
+
+        private fun accepts(
+            target: WorkerState,
+            job: JobState,
+            currentZone: Zone,
+            otherZones: Map<Zone, Int>,
+        ): Boolean {
+            val type = catalog.types[target.type] ?: return false
+            val spec = job.spec
+            val zoneAllows =
+                if (spec.oneZone) target.zone == currentZone else spec.zoneAllows(otherZones, target.zone)
+            return zoneAllows &&
+                spec.permitsMachine(target.type, target.zone, target.spot) &&
+                spec.image in target.cachedImages(type.cacheGb) &&
+                spec.resources.fitsIn(free.getOrPut(target.id) { freeOn(target, type) })
         }
-        return true
-    }
 
-    private fun freeOn(worker: WorkerState, has: Resources): Resources =
-        worker.placements.values.fold(has) { left, p -> left - (table.jobs[p.task.job]?.spec?.resources ?: has) }
+        private fun freeOn(worker: WorkerState, type: TypeInfo): Resources =
+            worker.placements.values.fold(type.resources) { left, placement ->
+                left - (table.jobs[placement.task.job]?.spec?.resources ?: type.resources)
+            }
+    }
 
     private companion object {
-        /** A start counts once a task has run for half a minute; and what has run for long runs on for long, mostly. */
-        val SETTLED = 60.seconds
-        val TRY_AGAIN = 10.seconds
+        /** Starts count once a task has run for half a minute; and what has run for long mostly runs on for long. */
+        val MIN_RUN_TIME = 60.seconds
+
+        /** Between attempts to drain the same machine. */
+        val RETRY_INTERVAL = 10.seconds
+
+        /** One machine after the other: each takes some heartbeats to have its tasks started elsewhere. */
+        val DRAIN_INTERVAL = 4.seconds
 
-        /** One machine after the other: each needs a report or two to have its tasks started elsewhere. */
-        val BETWEEN_MOVES = 4.seconds
-        val DRAIN = 20.seconds
+        /** For how long no task is placed on a drained machine. */
+        val DRAIN_TIME = 20.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/DemandReporter.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/DemandReporter.kt
@@ -15,55 +15,60 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
-/** What the table says of machines' use, for those who rent and return them. */
+/**
+ * Reports how machines are used, by the task table, for the decisions to provision and terminate machines.
+ * [suspectAfter]: a worker silent for so long is suspected.
+ */
 internal class DemandReporter(private val table: TaskTable, private val suspectAfter: Duration) {
     /**
-     * Machines that report and may be given tasks. One that has just come up may not, until that is recorded: it counts
-     * as
-     * booting. As a machine of no use it counted for nothing, and others were rented in its place.
+     * Use of the machines that have reported and that may be given tasks ([cleared]). A machine that has just come up
+     * may not until that is recorded, and counts as booting: if it counted as an unused machine, others would be
+     * provisioned in its place.
      */
     fun uses(
         catalog: Catalog,
         now: MonotonicInstant,
         cleared: Set<MachineId>,
-        usable: (WorkerState) -> Boolean,
-    ): List<MachineUse> =
-        table.workers.values.filter { it.reconciled && it.id in cleared }.map { use(it, catalog, now, usable(it)) }
+        isUsable: (WorkerState) -> Boolean,
+    ): List<MachineUse> {
+        val workers = table.workers.values.filter { it.reconciled && it.id in cleared }
+        return workers.map { use(it, catalog, now, isUsable(it)) }
+    }
 
-    fun services(): List<JobSpec> = table.jobs.values.filter {
-        it.spec.kind == JobKind.SERVICE &&
-            !it.isTerminal &&
-            it.hold == null
-    }.map { it.spec }
+    /** Services that are open and not held. */
+    fun services(): List<JobSpec> {
+        val services = table.jobs.values.filter { it.spec.kind == JobKind.SERVICE && !it.isTerminal && it.hold == null }
+        return services.map { it.spec }
+    }
 
-    private fun use(worker: WorkerState, catalog: Catalog, now: MonotonicInstant, usable: Boolean): MachineUse {
+    private fun use(worker: WorkerState, catalog: Catalog, now: MonotonicInstant, isUsable: Boolean): MachineUse {
         var busy = Resources.NONE
         var yielding = Resources.NONE
         var ending = Resources.NONE
         var serving = Resources.NONE
-        val boot = catalog.types[worker.type]?.bootTime ?: Duration.ZERO
-        for (p in worker.placements.values) {
-            val job = table.jobs[p.task.job] ?: continue
+        val bootTime = catalog.types[worker.type]?.bootTime ?: Duration.ZERO
+        for (placement in worker.placements.values) {
+            val job = table.jobs[placement.task.job] ?: continue
             busy += job.spec.resources
             if (job.spec.kind == JobKind.SERVICE) serving += job.spec.resources
             if (job.spec.priority < Priority.PRODUCTION && !job.isGang) yielding += job.spec.resources
-            if (endsWithin(job, p, boot * ENDING_SHARE, now)) ending += job.spec.resources
+            if (endsWithin(job, placement, bootTime * ENDING_SHARE, now)) ending += job.spec.resources
         }
+        // A silent machine isn't idle: it may be cut off, and its tasks count as lost only because its lease is over.
+        val isIdle = now - worker.lastHeartbeatAt <= suspectAfter && worker.isEmpty
         return MachineUse(
             worker.id,
             busy,
             yielding,
             ending,
             serving,
-            usable,
-            // A silent machine isn't idle: it may be cut off, and what it runs is counted as lost only for its lease's
-            // sake.
-            idle = if (now - worker.lastHeartbeatAt <= suspectAfter && worker.isEmpty) now - worker.idleSince else null,
+            isUsable,
+            idle = if (isIdle) now - worker.idleSince else null,
             faulty = worker.faulty,
         )
     }
 
-    /** By the owner's estimate, which is often wrong: a task over it is given as long again as a part of it. */
+    /** By the owner's estimate, which is often wrong: a task is expected to run on for at least a share of it. */
     private fun endsWithin(job: JobState, placement: Placement, span: Duration, now: MonotonicInstant): Boolean {
         if (job.spec.kind == JobKind.SERVICE) return false
         val since = placement.runningSince ?: return false
@@ -72,7 +77,10 @@
     }
 
     private companion object {
+        /** Of the time that a machine takes to boot: what ends within that is free sooner than a new machine. */
         const val ENDING_SHARE = 0.5
+
+        /** Of its estimate: for how much longer a task is expected to run that has exceeded it. */
         const val OVERRUN_SHARE = 0.3
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/EventLog.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/EventLog.kt
@@ -6,63 +6,63 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Log lines of things that happen to many machines at once. In [SPAN] each cause gets one line a machine, and [MOST]
- * lines in all; the
- * rest is counted and told in one line when the span is over. 33,424 lines of one kind on one simulated day cost
- * processor time
- * where it was shortest, and hid all others.
+ * A rate-limited log of events that happen to many machines at once. Within [INTERVAL] each kind of event gets one line
+ * for each machine, and [MAX_LINES] lines in all. The rest is counted, and reported in one line at the interval's end.
+ * Without the limit, 33,424 lines of one kind on one simulated day cost processor time when it was scarcest, and hid
+ * all others.
  */
 internal class EventLog(
     private val clock: SteadyClock,
     private val info: (String) -> Unit,
     private val error: (String) -> Unit,
 ) {
-    private class Span(val began: MonotonicInstant) {
+    private class Interval(val startedAt: MonotonicInstant) {
         val machines = HashSet<MachineId>()
         var withheld = 0
     }
 
-    private val spans = HashMap<String, Span>()
+    /** By kind of event. */
+    private val intervals = HashMap<String, Interval>()
 
-    fun info(cause: String, machine: MachineId, line: () -> String) {
-        if (may(cause, machine)) info(line())
+    /** Logs an event of the given [kind]; [line] is made only if it is logged. */
+    fun info(kind: String, machine: MachineId, line: () -> String) {
+        if (mayLog(kind, machine)) info(line())
     }
 
-    fun error(cause: String, machine: MachineId, line: () -> String) {
-        if (may(cause, machine)) error(line())
+    /** As [info], for what should never happen. */
+    fun error(kind: String, machine: MachineId, line: () -> String) {
+        if (mayLog(kind, machine)) error(line())
     }
 
-    private fun may(cause: String, machine: MachineId): Boolean {
-        val span = spans.getOrPut(cause) { Span(clock.now()) }
-        if (machine !in span.machines && span.machines.size < MOST && clock.now() - span.began <= SPAN) {
-            span.machines.add(machine)
+    private fun mayLog(kind: String, machine: MachineId): Boolean {
+        val interval = intervals.getOrPut(kind) { Interval(clock.now()) }
+        val hasRoom = machine !in interval.machines && interval.machines.size < MAX_LINES
+        if (hasRoom && clock.now() - interval.startedAt <= INTERVAL) {
+            interval.machines.add(machine)
             return true
         }
-        if (clock.now() - span.began > SPAN) {
-            close(cause, span)
-            return may(cause, machine)
+        if (clock.now() - interval.startedAt > INTERVAL) {
+            close(kind, interval)
+            return mayLog(kind, machine)
         }
-        span.withheld++
+        interval.withheld++
         return false
     }
 
-    /** Tells what was withheld in spans that are over. */
+    /** Reports what was withheld in intervals that are over. */
     fun tick() {
         val now = clock.now()
-        spans.filterValues { now - it.began > SPAN }.forEach(::close)
+        intervals.filterValues { now - it.startedAt > INTERVAL }.forEach(::close)
     }
 
-    private fun close(cause: String, span: Span) {
-        spans.remove(cause)
-        if (span.withheld >
-            0
-        ) {
-            info("more of the same event=\"$cause\" count=${span.withheld} in_s=${SPAN.inWholeSeconds}")
-        }
+    private fun close(kind: String, interval: Interval) {
+        intervals.remove(kind)
+        if (interval.withheld == 0) return
+        info("more of the same event=\"$kind\" count=${interval.withheld} in_s=${INTERVAL.inWholeSeconds}")
     }
 
     internal companion object {
-        val SPAN = 10.seconds
-        const val MOST = 100
+        val INTERVAL = 10.seconds
+        const val MAX_LINES = 100
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
@@ -17,76 +17,79 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Holds of jobs. Only the leader knows whether something of a job was started, so it alone decides on one: from that
- * moment on
- * no scheduling cycle starts anything of the job, and the hold is true once it is recorded under this term. If the
- * write came to nothing, the
- * job goes on as before; if that can't be told, it stays held here for as long as the write may yet come through.
+ * Holds of jobs. Only the leader knows whether any task of a job was started, so it alone decides on a hold. From that
+ * moment no scheduling cycle starts a task of the job, and the hold is in force once it is recorded under this term. If
+ * the write fails, the job goes on as before; if its outcome is unknown, the job stays held here for as long as the
+ * write may still come through.
  */
 internal class JobHolds(
     private val table: TaskTable,
     private val rules: ClassRules,
-    private val ports: SchedulerPorts,
+    private val ports: JobRecordPort,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
-    private val waiting = HashMap<JobId, CompletableDeferred<HoldResult>>()
+    private val pendingReplies = HashMap<JobId, CompletableDeferred<HoldResult>>()
+
+    /** Jobs whose recorded hold is a suspension; followed in every role. */
     private val suspended = HashSet<JobId>()
 
     fun newTerm() {
-        waiting.values.forEach { it.complete(HoldResult.NotNow("another term begins")) }
-        waiting.clear()
+        pendingReplies.values.forEach { it.complete(HoldResult.NotNow("another term begins")) }
+        pendingReplies.clear()
         table.jobs.values.forEach { it.holdPending = false }
     }
 
-    /** [mayHide]: whether an unreported task of the job may run on a machine that has not reported yet. */
-    fun ask(
-        leadership: LeadershipState.Leader,
-        id: JobId,
-        kind: HoldKind,
-        reason: String,
-        mayHide: (JobSpec) -> Boolean,
-        reply: CompletableDeferred<HoldResult>,
+    /**
+     * Decides on a requested hold and has it written. [mayRunUnreported]: whether an unreported task of the job may run
+     * on a machine that has not been heard from in this term.
+     */
+    fun request(
+        leader: LeadershipState.Leader,
+        message: SchedulerMessage.HoldJob,
+        mayRunUnreported: (JobSpec) -> Boolean,
     ) {
-        val job = table.jobs[id]?.takeUnless { it.isTerminal }
-        val refusal = when {
-            job == null -> HoldResult.NoSuchJob
-
-            job.hold != null -> HoldResult.Held
-
-            job.holdPending -> HoldResult.NotNow("a hold is being recorded")
-
-            job.version <= leadership.termRevision &&
-                mayHide(
-                    job.spec,
-                ) -> HoldResult.NotNow("a machine that may run it has not reported yet")
-
-            kind == HoldKind.SUSPENDED && !job.spec.takesCheckpoints -> HoldResult.Inconsistent(
-                "its tasks can't save, so stopping them would lose their work",
-            )
-
-            kind == HoldKind.SUSPENDED && job.placements.isEmpty() -> HoldResult.Inconsistent("nothing of it runs")
-
-            kind == HoldKind.USER && job.placements.isNotEmpty() -> HoldResult.Inconsistent(
-                "something of it has been started",
-            )
-
-            else -> null
+        val job = table.jobs[message.id]?.takeUnless { it.isTerminal }
+        if (job == null) {
+            message.reply.complete(HoldResult.NoSuchJob)
+            return
         }
-        if (job == null || refusal != null) {
-            reply.complete(refusal ?: HoldResult.NoSuchJob)
+        val answer = answerWithoutWrite(job, message.kind) {
+            job.version <= leader.termRevision && mayRunUnreported(job.spec)
+        }
+        if (answer != null) {
+            message.reply.complete(answer)
             return
         }
-        waiting[id] = reply
-        begin(leadership, job, JobHold.of(kind, reason))
+        pendingReplies[message.id] = message.reply
+        write(leader, job, JobHold.of(message.kind, message.reason))
+    }
+
+    /** Null: the hold has to be written. */
+    private fun answerWithoutWrite(job: JobState, kind: HoldKind, mayRunUnreported: () -> Boolean): HoldResult? = when {
+        job.hold != null -> HoldResult.Held
+        job.holdPending -> HoldResult.NotNow("a hold is being recorded")
+        mayRunUnreported() -> HoldResult.NotNow("a machine that may run it has not reported yet")
+        kind == HoldKind.SUSPENDED -> suspensionRefusal(job)
+        kind == HoldKind.USER && job.placements.isNotEmpty() ->
+            HoldResult.Inconsistent("something of it has been started")
+        else -> null
+    }
+
+    private fun suspensionRefusal(job: JobState): HoldResult? = when {
+        !job.spec.takesCheckpoints ->
+            HoldResult.Inconsistent("its tasks can't save, so stopping them would lose their work")
+        job.placements.isEmpty() -> HoldResult.Inconsistent("nothing of it runs")
+        else -> null
     }
 
-    private fun begin(leadership: LeadershipState.Leader, job: JobState, hold: JobHold) {
+    private fun write(leader: LeadershipState.Leader, job: JobState, hold: JobHold) {
         job.holdPending = true
-        ports.writeHold(leadership, job.id, job.version, job.storedHold?.version ?: Revision.ABSENT, hold)
+        ports.writeHold(leader, job.id, job.version, job.storedHold?.version ?: Revision.ABSENT, hold)
     }
 
+    /** Takes the [outcome] of writing a hold. */
     fun written(id: JobId, outcome: HoldWriteResult) {
-        val reply = waiting.remove(id)
+        val reply = pendingReplies.remove(id)
         val job = table.jobs[id]
         // An unknown write may still come through: until it is seen, or the term ends, nothing is started.
         if (outcome == HoldWriteResult.NOT_WRITTEN) job?.holdPending = false
@@ -95,64 +98,58 @@
             when (outcome) {
                 HoldWriteResult.WRITTEN -> HoldResult.Held
                 HoldWriteResult.JOB_GONE -> HoldResult.NoSuchJob
-                HoldWriteResult.NOT_WRITTEN, HoldWriteResult.UNKNOWN -> HoldResult.NotNow(
-                    "the state service takes no record now",
-                )
+                HoldWriteResult.NOT_WRITTEN, HoldWriteResult.UNKNOWN ->
+                    HoldResult.NotNow("the state service takes no record now")
             },
         )
     }
 
-    /** The state service's word on a job's hold; null: there is none. */
-    fun heard(leadership: LeadershipState.Leader?, id: JobId, key: JobHold?) {
-        val hold = key?.effective
+    /** Takes what the state service now [stored] as the job's hold; null: none. [leader]: null on a follower. */
+    fun changed(leader: LeadershipState.Leader?, id: JobId, stored: JobHold?) {
+        val hold = stored?.effective
         if (hold?.kind == HoldKind.SUSPENDED) suspended.add(id) else suspended.remove(id)
         val job = table.jobs[id]
         if (job == null) {
-            if (key != null && leadership != null) ports.deleteHold(leadership, id)
+            if (stored != null && leader != null) ports.deleteHold(leader, id)
             return
         }
         if (hold == null) job.usage.forgetFailures()
-        job.storedHold = key
+        job.storedHold = stored
         job.holdPending = false
         table.dirty = true
     }
 
-    /** What is suspended stops with a save; seen in each tick, as a takeover may find tasks of it later. */
+    /** Has the tasks of suspended jobs save and stop. Called at each tick, as a takeover may find such tasks later. */
     fun stopSuspended() {
         for (id in suspended) {
             val job = table.jobs[id]?.takeUnless { it.isTerminal } ?: continue
-            for (p in job.placements.values.toList()) {
-                if (p.stopGrace ==
-                    null
-                ) {
-                    table.stop(job, p, job.spec.checkpointDuration + SAVE_MARGIN)
-                }
+            for (placement in job.placements.values.toList()) {
+                if (placement.stopGrace == null) table.stop(job, placement, job.spec.checkpointDuration + SAVE_MARGIN)
             }
         }
     }
 
-    /** Holds the job if a task of it was started as often as the rule of its class allows. */
-    fun failed(leadership: LeadershipState.Leader, job: JobState, index: Int) {
-        val most = rules.of(job.spec.jobClass).maxAttempts ?: return
-        if (job.hold != null || job.holdPending || job.isTerminal || job.usage.failuresOf(index) < most) return
+    /** Holds the job if its task [index] was started as often as the rule of its class allows. */
+    fun holdIfExhausted(leader: LeadershipState.Leader, job: JobState, index: Int) {
+        val maxAttempts = rules.of(job.spec.jobClass).maxAttempts ?: return
+        val isHeld = job.hold != null || job.holdPending
+        if (isHeld || job.isTerminal || job.usage.failuresOf(index) < maxAttempts) return
         log.info("job held job={} rule=attempts task={} starts={}", job.id, index, job.usage.failuresOf(index))
-        begin(
-            leadership,
-            job,
-            JobHold.of(
-                HoldKind.ATTEMPTS,
-                "class ${job.spec.jobClass} has the rule attempts = $most, and task $index was started so often in vain",
-            ),
-        )
+        val reason = "class ${job.spec.jobClass} has the rule attempts = $maxAttempts, " +
+            "and task $index was started so often in vain"
+        write(leader, job, JobHold.of(HoldKind.ATTEMPTS, reason))
     }
 
+    /** The job has reached its terminal state. */
     fun ended(id: JobId) {
         suspended.remove(id)
     }
 
-    fun counts(job: JobState): Boolean = rules.any && rules.of(job.spec.jobClass).maxAttempts != null
+    /** Whether failures of the job's tasks are counted, because its class limits their attempts. */
+    fun countsFailures(job: JobState): Boolean = rules.any && rules.of(job.spec.jobClass).maxAttempts != null
 
     private companion object {
+        /** Given to a task on top of the time that it takes to save. */
         val SAVE_MARGIN: Duration = 1.seconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobUpdateHandler.kt
@@ -0,0 +1,92 @@
+package org.elderhitch.scheduler
+
+import org.elderhitch.jobs.CompletedTasks
+import org.elderhitch.jobs.HoldResult
+import org.elderhitch.jobs.JobEvent
+import org.elderhitch.leadership.LeadershipMessage
+import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.Placement
+import org.slf4j.LoggerFactory
+
+/** Handles [SchedulerMessage.JobUpdate] and what the task table tells of single tasks. */
+internal class JobUpdateHandler(private val services: SchedulerServices) {
+    private val log = LoggerFactory.getLogger("elderhitch.workers")
+    private val state = services.state
+    private val table = services.table
+    private val clock = services.clock
+    private val ports = services.ports
+    private val holds = services.holds
+
+    fun handle(message: SchedulerMessage.JobUpdate) {
+        when (message) {
+            is SchedulerMessage.JobChanged -> apply(message.event)
+
+            is SchedulerMessage.CompletionsRecorded ->
+                if (state.currentTerm(message.term) != null) services.completions.onRecorded(message.completedTasks)
+
+            is SchedulerMessage.HoldJob -> hold(message)
+
+            is SchedulerMessage.HoldWritten ->
+                if (state.currentTerm(message.term) != null) holds.written(message.id, message.outcome)
+        }
+    }
+
+    /** A task that was seen on a machine is gone from it without having completed. */
+    fun onTaskLost(job: JobState, placement: Placement) {
+        job.usage.recordLoss(job, placement, clock.now(), holds.countsFailures(job))
+        val term = state.currentTerm ?: return
+        // A hold is recorded under its own key beside the job's record, and a provider-owned job has no record.
+        if (holds.countsFailures(job) && !job.providerOwned) {
+            holds.holdIfExhausted(term.leader, job, placement.task.index)
+        }
+    }
+
+    /** A task that this term started has completed. */
+    fun onTaskCompleted(job: JobState, placement: Placement) =
+        services.cycleInputs.completed(job, placement, clock.now())
+
+    private fun apply(event: JobEvent) {
+        if (event !is JobEvent.FreshAsOf) table.dirty = true
+        when (event) {
+            is JobEvent.Opened -> open(event)
+
+            is JobEvent.TasksCompleted -> table.recordCompletions(event)
+
+            is JobEvent.Ended -> table.jobs[event.id]?.let(::end)
+
+            is JobEvent.HoldChanged -> holds.changed(state.currentTerm?.leader, event.id, event.storedHold)
+
+            is JobEvent.FreshAsOf -> {
+                table.freshAsOf = event.since
+                ports.leadership(LeadershipMessage.FreshAsOf(event.since))
+            }
+        }
+    }
+
+    private fun open(event: JobEvent.Opened) {
+        val spec = event.spec
+        log.debug("job opened job={} class={} tasks={} image={}", spec.id, spec.jobClass, spec.tasks, spec.image)
+        services.cycleInputs.opened(spec, clock.now())
+        table.open(event)
+    }
+
+    private fun end(job: JobState) {
+        val leader = state.currentTerm?.leader
+        if (leader != null && job.recorded.count > 0) {
+            val recorded = (0 until job.spec.tasks).filter { it in job.recorded }
+            ports.deleteCompletions(leader, job.id, recorded.map(CompletedTasks::blockOf).toSet())
+        }
+        holds.ended(job.id)
+        if (leader != null && job.storedHold != null) ports.deleteHold(leader, job.id)
+        table.markTerminal(job)
+    }
+
+    private fun hold(message: SchedulerMessage.HoldJob) {
+        val term = state.currentTerm?.takeIf { it.isTableComplete && it.leader.maySendCommands(clock.now()) }
+        if (term == null) {
+            message.reply.complete(HoldResult.NotNow("no leader here that may command"))
+            return
+        }
+        holds.request(term.leader, message, term::mayRunUnreported)
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobViewBuilder.kt
@@ -0,0 +1,137 @@
+package org.elderhitch.scheduler
+
+import org.elderhitch.failuredetection.FailureAttribution
+import org.elderhitch.heartbeat.TaskPhase
+import org.elderhitch.jobs.JobId
+import org.elderhitch.jobs.JobKind
+import org.elderhitch.placement.JobView
+import org.elderhitch.quota.QuotaLedger
+import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.isGang
+import org.elderhitch.time.MonotonicInstant
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.seconds
+
+/** Makes the views of jobs with tasks to place, each with the time by which it should start. */
+internal class JobViewBuilder(
+    private val table: TaskTable,
+    private val failureAttribution: FailureAttribution,
+    private val deadlines: StartDeadlines,
+) {
+    private class WaitingJob(val state: JobState, val view: JobView)
+
+    /** [quota]: what the teams use before anything is placed. */
+    fun build(context: CycleContext, quota: QuotaLedger): List<JobView> {
+        val waiting = table.jobs.values.mapNotNull { job -> view(job, context)?.let { WaitingJob(job, it) } }
+        val views = withDeadlines(waiting, context)
+        return views.flatMap { if (isStarved(it, quota, context.now)) it.withFirstTaskApart() else listOf(it) }
+    }
+
+    private fun view(job: JobState, context: CycleContext): JobView? {
+        if (isBlocked(job, context)) return null
+        val hasRoom = if (job.isGang) mayStartGang(job) else job.placements.size + job.completed.count < job.spec.tasks
+        if (!hasRoom) return null
+        val probes = failureAttribution.trialLimit(job)
+        val limit = if (job.isGang) job.spec.tasks else minOf(MAX_PENDING, probes ?: MAX_PENDING)
+        val pending = pendingTasks(job, limit)
+        if (pending.isEmpty()) return null
+        return JobView(
+            job.spec,
+            job.version,
+            pending,
+            job.zones(),
+            joinAttempt = if (job.isGang && job.placements.isNotEmpty()) job.gang.attempt else null,
+            probe = probes != null,
+            atFault = failureAttribution.isFaulty(job),
+        )
+    }
+
+    private fun isBlocked(job: JobState, context: CycleContext): Boolean {
+        if (job.isTerminal || context.now < job.notBefore || job.completed.all) return true
+        if (job.hold != null || job.holdPending) return true
+        // A task that no heartbeat reports may still run on a silent worker, if its job is older than this term.
+        return job.version <= context.leader.termRevision && context.mayRunUnreported(job.spec)
+    }
+
+    private fun mayStartGang(job: JobState): Boolean {
+        if (job.gang.broken) {
+            stopWaitingMembers(job)
+            if (job.placements.isNotEmpty()) return false
+        }
+        return !job.gang.started && job.placements.values.none { it.stopGrace != null }
+    }
+
+    /** Members of a broken gang that have not started yet would wait in vain. */
+    private fun stopWaitingMembers(job: JobState) {
+        val waiting = job.placements.values.toList().filter { it.phase != TaskPhase.RUNNING }
+        waiting.forEach { table.stop(job, it, Duration.ZERO) }
+    }
+
+    private fun pendingTasks(job: JobState, limit: Int): List<Int> {
+        val pending = ArrayList<Int>()
+        var index = job.completed.firstMissing(0)
+        while (index < job.spec.tasks && pending.size < limit) {
+            if (index !in job.placements) pending.add(index)
+            index = job.completed.firstMissing(index + 1)
+        }
+        return pending
+    }
+
+    private fun withDeadlines(waiting: List<WaitingJob>, context: CycleContext): List<JobView> {
+        val (arrays, whole) = waiting.partition { it.state.spec.kind == JobKind.ARRAY }
+        val weightInUse = weightInUseByClass()
+        val dueTimes = HashMap<JobId, StartDeadline>()
+        for ((jobClass, jobs) in arrays.groupBy { it.state.spec.jobClass }) {
+            val weight = if (isExhausted(jobs, context.cloud)) weightInUse[jobClass] ?: 0.0 else 0.0
+            val queue = jobs.map { deadlines.waitingArray(it.state.spec, it.state.openedAt, it.view.pending.size) }
+            dueTimes += StartDeadlines.schedule(queue, weight, context.now)
+        }
+        for (job in whole) {
+            dueTimes[job.state.id] = deadlines.forWholeJob(job.state.spec, job.state.openedAt, context.now)
+        }
+        return waiting.map { job ->
+            dueTimes.getValue(job.state.id).let { job.view.withDue(it.at, it.late) }
+        }
+    }
+
+    private fun weightInUseByClass(): Map<String, Double> {
+        val weights = HashMap<String, Double>()
+        for (job in table.jobs.values) {
+            if (job.placements.isEmpty()) continue
+            weights.merge(job.spec.jobClass, job.placements.size * job.spec.resources.weight, Double::plus)
+        }
+        return weights
+    }
+
+    /**
+     * Whether no more machines can be provisioned for any of the jobs. Only then is it known that not all of a class
+     * can start in time; otherwise jobs were put off that a booting machine would have taken (seen: the share of a
+     * class that completed within its objective fell from 0.82 to 0.70).
+     */
+    private fun isExhausted(jobs: List<WaitingJob>, cloud: CloudView): Boolean =
+        cloud.unavailableMarkets.isNotEmpty() &&
+            jobs.all { cloud.unavailableMarkets.containsAll(cloud.catalog.markets(it.state.spec)) }
+
+    /**
+     * At a team's limit small jobs are placed before large ones for as long as there are any, so that large ones start
+     * last, or never: after a while, each is let start with one task. Where only machines are short, more of them are
+     * provisioned instead.
+     */
+    private fun isStarved(view: JobView, quota: QuotaLedger, now: MonotonicInstant): Boolean {
+        val job = table.jobs[view.spec.id] ?: return false
+        val isUnconstrained = job.spec.kind == JobKind.ARRAY && !job.spec.spread && !job.spec.oneZone && !view.probe
+        val hasNotBegun = job.placements.isEmpty() && job.completed.count == 0
+        return isUnconstrained &&
+            hasNotBegun &&
+            now - job.openedAt > STARVED_AFTER &&
+            !quota.allows(job.spec.team, job.spec.resources * view.pending.size)
+    }
+
+    private companion object {
+        val STARVED_AFTER = 30.seconds
+
+        /** A job of a hundred thousand tasks is placed in parts: no scheduling cycle could start more tasks. */
+        const val MAX_PENDING = 1000
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/scheduler/LeadershipUpdateHandler.kt
@@ -0,0 +1,57 @@
+package org.elderhitch.scheduler
+
+import org.elderhitch.leadership.LeadershipState
+
+/** Handles [SchedulerMessage.LeadershipUpdate]: who leads, the takeover of a new term, and lease delegates. */
+internal class LeadershipUpdateHandler(private val services: SchedulerServices) {
+    private val state = services.state
+    private val table = services.table
+    private val delegates = services.delegates
+
+    fun handle(message: SchedulerMessage.LeadershipUpdate) {
+        when (message) {
+            is SchedulerMessage.LeadershipChanged -> changeLeadership(message.leadershipState)
+
+            is SchedulerMessage.JobsLoaded -> state.currentTerm(message.term)?.let { term ->
+                term.markTableComplete()
+                table.dirty = true
+            }
+
+            is SchedulerMessage.PreviousLeaderEnded ->
+                state.currentTerm(message.term)?.let { it.takeover.previousLeaderEnded = true }
+
+            is SchedulerMessage.PreviousLeadersStopped ->
+                state.currentTerm(message.term)?.takeover?.previousLeadersStopped()
+
+            is SchedulerMessage.RequestDelegation -> requestDelegation(message)
+
+            is SchedulerMessage.DelegationGranted -> delegates.acceptGrant(message.grant)
+        }
+    }
+
+    private fun changeLeadership(next: LeadershipState) {
+        val previousTerm = state.currentTerm
+        state.leadershipState = next
+        when (next) {
+            is LeadershipState.Follower -> delegates.observeTerm(next.term)
+            is LeadershipState.Leader -> if (previousTerm?.number == next.term) previousTerm.renew(next) else begin(next)
+        }
+    }
+
+    /** Begins a term: the parts that outlive terms drop what holds for one of them only. */
+    private fun begin(leader: LeadershipState.Leader) {
+        table.newTerm()
+        delegates.newTerm()
+        services.failureDetector.newTerm()
+        services.holds.newTerm()
+        services.completions.newTerm()
+        state.lastTerm = LeadershipTerm(leader, services)
+    }
+
+    private fun requestDelegation(message: SchedulerMessage.RequestDelegation) {
+        val offer = state.currentTerm?.let { term ->
+            delegates.grantDelegation(term.leader, message.node, term.isTableComplete, services.clock.now())
+        }
+        message.reply.complete(offer)
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/scheduler/MachineViewBuilder.kt
@@ -0,0 +1,113 @@
+package org.elderhitch.scheduler
+
+import org.elderhitch.fleet.Catalog
+import org.elderhitch.fleet.TypeInfo
+import org.elderhitch.heartbeat.TaskPhase
+import org.elderhitch.jobs.Image
+import org.elderhitch.jobs.JobKind
+import org.elderhitch.jobs.JobSpec
+import org.elderhitch.jobs.Priority
+import org.elderhitch.jobs.Resources
+import org.elderhitch.placement.MachineImages
+import org.elderhitch.placement.MachineLoad
+import org.elderhitch.placement.MachineView
+import org.elderhitch.placement.Occupant
+import org.elderhitch.placement.PreemptionCandidate
+import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.Placement
+import org.elderhitch.tasks.PlacementState
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.WorkerState
+import org.elderhitch.tasks.isGang
+import org.elderhitch.time.MonotonicInstant
+import kotlin.time.DurationUnit
+
+/** Makes the views of machines that scheduling cycles decide from. */
+internal class MachineViewBuilder(private val table: TaskTable, private val runTimes: RunTimes) {
+    /** Null: no task can be placed there, as its type or what it runs is not known. */
+    fun build(worker: WorkerState, catalog: Catalog, now: MonotonicInstant): MachineView? {
+        worker.viewedAt = now
+        val type = catalog.types[worker.type] ?: return null
+        // The size of a task whose job is no longer known can't be told: nothing is placed beside it.
+        if (worker.tasks.any { it.phase != TaskPhase.EXITED && it.task.job !in table.jobs }) return null
+        val contents = Contents(worker, type, now)
+        for (placement in worker.placements.values) {
+            table.jobs[placement.task.job]?.let { contents.add(it, placement) }
+        }
+        return contents.toView()
+    }
+
+    /** Sums up the placements on one machine. */
+    private inner class Contents(
+        private val worker: WorkerState,
+        private val type: TypeInfo,
+        private val now: MonotonicInstant,
+    ) {
+        private var free = type.resources
+        private var leaving = Resources.NONE
+        private val preemptible = ArrayList<PreemptionCandidate>()
+        private val occupants = ArrayList<Occupant>()
+        private val fetching = HashMap<Image, Double>()
+        private val cachedBefore = worker.cachedImages(type.cacheGb)
+
+        fun add(job: JobState, placement: Placement) {
+            val spec = job.spec
+            free -= spec.resources
+            occupants.add(Occupant(spec, (placement.runningSince ?: now) + runTimes.expected(spec)))
+            addImage(spec, placement)
+            if (placement.stopGrace != null) {
+                leaving += spec.resources
+            } else if (mayBePreempted(job, placement)) {
+                val unsavedSince = placement.runningSince.takeUnless { spec.takesCheckpoints }
+                preemptible.add(PreemptionCandidate(placement.task, spec.priority, spec.resources, unsavedSince))
+            }
+        }
+
+        /** An image in use is not dropped from the cache; a fetch is given up when the task that needs it goes. */
+        private fun addImage(spec: JobSpec, placement: Placement) {
+            val isPresent = placement.state == PlacementState.CONFIRMED && placement.phase != TaskPhase.FETCHING
+            if (isPresent) {
+                worker.recordImageUse(spec.image, spec.imageGb)
+            } else if (spec.image !in cachedBefore) {
+                fetching.merge(spec.image, remainingFetchGb(placement, spec), ::minOf)
+            }
+        }
+
+        private fun mayBePreempted(job: JobState, placement: Placement): Boolean = !job.isGang &&
+            placement.state == PlacementState.CONFIRMED &&
+            job.spec.priority < Priority.PRODUCTION
+
+        /** How much of its image a task still waits for, if the machine fetches at the stated rate. */
+        private fun remainingFetchGb(placement: Placement, spec: JobSpec): Double {
+            val since = placement.fetchingSince ?: return spec.imageGb
+            val fetched = (now - since).toDouble(DurationUnit.SECONDS) * type.fetchGbPerS
+            return (spec.imageGb - fetched).coerceAtLeast(spec.imageGb * MIN_REMAINING_FETCH)
+        }
+
+        fun toView(): MachineView {
+            val images = MachineImages(worker.cachedImages(type.cacheGb), type.fetchGbPerS, fetching)
+            val isEmpty = worker.placements.isEmpty()
+            val load = MachineLoad(free, leaving, preemptible, serviceWeight(), isEmpty, occupants)
+            return MachineView(
+                worker.id,
+                worker.type,
+                worker.zone,
+                worker.spot,
+                type.resources,
+                images,
+                load,
+                worker.avoidedBy,
+            )
+        }
+
+        private fun serviceWeight(): Double = worker.placements.values.sumOf { placement ->
+            val spec = table.jobs[placement.task.job]?.spec
+            spec?.takeIf { it.kind == JobKind.SERVICE }?.resources?.weight ?: 0.0
+        }
+    }
+
+    private companion object {
+        /** The share of an image that still counts as to be fetched when the fetch should be over. */
+        const val MIN_REMAINING_FETCH = 0.1
+    }
+}
--- a/src/test/kotlin/org/elderhitch/scheduler/CycleInputBuilderTest.kt
+++ b/src/test/kotlin/org/elderhitch/scheduler/CycleInputBuilderTest.kt
@@ -42,42 +42,39 @@
         now,
     )
 
-    private fun open(id: String, tasks: Int): JobState = table.open(
-        JobEvent.Opened(
-            JobCodec.decode(
-                Json.parseObject(
-                    Json.bytes(
-                        ClassArchiveTraining.exampleJob(id, "array") + ("crates" to tasks),
-                    ),
-                ),
-            ),
-            Revision(7),
-        ),
-    )
+    private fun open(id: String, tasks: Int): JobState {
+        val job = ClassArchiveTraining.exampleJob(id, "array") + ("crates" to tasks)
+        val spec = JobCodec.decode(Json.parseObject(Json.bytes(job)))
+        return table.open(JobEvent.Opened(spec, Revision(7)))
+    }
 
-    /** Of each view of a job with tasks to place: how many, and whether it comes first. */
+    /** Of each view of the job: how many tasks are pending, and whether it is starved. */
     private fun views(id: String, mostGpus: Double?): List<Pair<Int, Boolean>> {
         val teams = TeamName("team").let { mapOf(it to Team(it, 0.0, 0.0, null, mostGpus)) }
-        val input = CycleInputBuilder(table, FailureAttribution(table), teams, emptyList())
-            .input(leadership, {
-                false
-            }, Resources.NONE, Catalog.EMPTY, emptyList(), now, rush = false, coming = emptyMap(), refused = emptySet()) {
-                false
-            }
+        val context = CycleContext(
+            leadership,
+            now,
+            CloudView(Catalog.EMPTY),
+            reservations = emptyList(),
+            unreportedResources = Resources.NONE,
+            mayRunUnreported = { false },
+            isUsable = { false },
+        )
+        val input = CycleInputBuilder(table, FailureAttribution(table), teams, emptyList()).build(context)
         return input.jobs.filter { it.spec.id.text == id }.map { it.pending.size to it.starved }
     }
 
     /**
-     * At a limit small jobs came before large ones for as long as there were any; these began after ten minutes (drawn
-     * day 103, simulated machines).
+     * Seen (drawn day 103, simulated machines): at a team's limit, small jobs came before large ones for as long as
+     * there were any, and the large ones started after ten minutes.
      */
     @Test
-    fun `an array that has long waited at its team's limit begins with one task`() {
-        val other = open("req-1", 30)
+    fun `build puts the first task of an array apart when it has waited long at its team's limit`() {
+        val small = open("req-1", 30)
         repeat(9) {
             table.place(
-                other,
-                TaskId(other.id, it),
+                small,
+                TaskId(small.id, it),
                 Attempt(it.toLong()),
                 worker,
                 PlacementState.CONFIRMED,
--- a/src/test/kotlin/org/elderhitch/scheduler/EventLogTest.kt
+++ b/src/test/kotlin/org/elderhitch/scheduler/EventLogTest.kt
@@ -15,7 +15,7 @@
 
     /** Seen: 33,424 lines of one kind in two minutes, each tick for each task of each machine. */
     @Test
-    fun `what happens to 1,500 machines a hundred times over fills a bounded part of the log, and is counted`() {
+    fun `log withholds and counts lines when an event happens to 1500 machines a hundred times`() {
         repeat(100) {
             repeat(1500) { machine ->
                 events.error("task on two machines", MachineId("m$machine")) {
@@ -25,18 +25,17 @@
             now += 300.milliseconds
             events.tick()
         }
-        assertTrue(lines.size <= 3 * (EventLog.MOST + 1), "${lines.size} lines in 30 s")
+        assertTrue(lines.size <= 3 * (EventLog.MAX_LINES + 1), "${lines.size} lines in 30 s")
         now += 11.seconds
         events.tick()
-        val told = lines.count { it.startsWith("task") }
-        val withheld = lines.filter {
-            it.startsWith("more of the same")
-        }.sumOf { it.substringAfter("count=").substringBefore(' ').toInt() }
-        assertEquals(150_000, told + withheld)
+        val logged = lines.count { it.startsWith("task") }
+        val withheld = lines.filter { it.startsWith("more of the same") }
+            .sumOf { it.substringAfter("count=").substringBefore(' ').toInt() }
+        assertEquals(150_000, logged + withheld)
     }
 
     @Test
-    fun `one line a machine and cause, and again when its time is over`() {
+    fun `log writes one line per machine and kind when the interval is not over`() {
         repeat(5) { events.info("start refused", MachineId("m1")) { "refused" } }
         events.info("start refused", MachineId("m2")) { "refused" }
         events.info("worker silent", MachineId("m1")) { "silent" }
--- a/src/test/kotlin/org/elderhitch/scheduler/GangStartTest.kt
+++ b/src/test/kotlin/org/elderhitch/scheduler/GangStartTest.kt
@@ -31,17 +31,26 @@
         TypeInfo(MachineType("g8"), Resources(48.0, 8.0, 288.0), 120.0, 0.5, 15.0, 6.0, 60.seconds, listOf(Zone("a")))
     private val table = TaskTable(SteadyClock { MonotonicInstant(0) }, 120.seconds)
 
-    private fun held(imageGb: Double): Map<TaskId, Duration> {
+    private fun delays(imageGb: Double): Map<TaskId, Duration> {
         val spec = JobSpec(
-            JobId(
-                "req-1",
-            ),
+            JobId("req-1"),
             "class",
-            TeamName(
-                "team",
-            ),
-            JobKind.GANG, Priority.HIGH, 3, Resources(43.0, 8.0, 230.0), null, null, true,
-            false, false, Image("img"), imageGb, 90.seconds, Duration.ZERO, Duration.ZERO, null,
+            TeamName("team"),
+            JobKind.GANG,
+            Priority.HIGH,
+            tasks = 3,
+            Resources(43.0, 8.0, 230.0),
+            null,
+            null,
+            true,
+            false,
+            false,
+            Image("img"),
+            imageGb,
+            90.seconds,
+            Duration.ZERO,
+            Duration.ZERO,
+            null,
         )
         table.jobs[spec.id] = JobState(spec, Revision(1))
         repeat(3) { n ->
@@ -50,20 +59,20 @@
         }
         table.workers.getValue(MachineId("m0")).recordImageUse(spec.image, imageGb)
         val placed = List(3) { PlacementDecision(TaskId(spec.id, it), MachineId("m$it"), null) }
-        return GangStart(30.seconds, table, Catalog(mapOf(type.name to type))).heldBack(placed)
+        return GangStart(30.seconds, table, Catalog(mapOf(type.name to type))).startDelays(placed)
     }
 
     /**
      * Seen: a gang of two, placed six times in 190 s: one machine had the image, the other fetched it for over 30 s.
      */
     @Test
-    fun `a member that has its image doesn't wait longer for the others than it may`() {
-        val late = held(20.0).getValue(TaskId(JobId("req-1"), 0))
-        assertTrue(late + 30.seconds > 60.seconds, "it gives up before the slowest has fetched: $late")
-        assertTrue(late <= 40.seconds, "it is later than the others mostly are: $late")
-        assertEquals(1, held(20.0).size)
+    fun `a member that has its image starts later when the others fetch for longer than it may wait`() {
+        val delay = delays(20.0).getValue(TaskId(JobId("req-1"), 0))
+        assertTrue(delay + 30.seconds > 60.seconds, "the gang gives up before the slowest has fetched: $delay")
+        assertTrue(delay <= 40.seconds, "the member starts later than the others mostly do: $delay")
+        assertEquals(1, delays(20.0).size)
     }
 
     @Test
-    fun `short fetches hold nobody back`() = assertEquals(emptyMap(), held(6.0))
+    fun `no member is delayed when fetches are short`() = assertEquals(emptyMap(), delays(6.0))
 }
