--- a/src/main/kotlin/org/elderhitch/failuredetection/SuspectTerminator.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/SuspectTerminator.kt
@@ -57,11 +57,11 @@
         val waited = now - view.reception.receivingSince(leadership)
         neverSeen.mapNotNullTo(suspects) { judgeNeverSeen(it, known[it]?.zone, waited, now) }
         val allowed = suspects.groupBy { it.zone }.values.flatMap { ofZone -> limitRate(ofZone, known, now) }
-        val (gone, silent) = allowed.partition { it.neverSeen }
-        for (suspect in silent) recordRequest(suspect, now)
-        for (suspect in gone) neverSeenRequestedAt[suspect.id] = now
-        requestTermination(silent, TerminationReason.SUSPECTED)
-        requestTermination(gone, TerminationReason.NEVER_SEEN)
+        val (neverSeenSuspects, seenSuspects) = allowed.partition { it.neverSeen }
+        for (suspect in seenSuspects) recordRequest(suspect, now)
+        for (suspect in neverSeenSuspects) neverSeenRequestedAt[suspect.id] = now
+        requestTermination(seenSuspects, TerminationReason.SUSPECTED)
+        requestTermination(neverSeenSuspects, TerminationReason.NEVER_SEEN)
     }
 
     private fun judgeWorker(worker: WorkerState, leadership: LeadershipState.Leader, now: MonotonicInstant): Suspect? {
--- a/src/main/kotlin/org/elderhitch/heartbeat/Heartbeat.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/Heartbeat.kt
@@ -34,7 +34,7 @@
  *
  * @property sequence orders the worker's messages.
  * @property term the highest term that the worker has seen.
- * @property notice how long until the cloud reclaims a spot machine; absent: it has not announced that.
+ * @property preemptionNotice how long until the cloud reclaims a spot machine; absent: it has not announced that.
  * @property tasks all tasks on the worker, exited ones included until they are reaped.
  */
 public data class Heartbeat(
@@ -45,6 +45,6 @@
     val spot: Boolean,
     val sequence: HeartbeatSequence,
     val term: Term,
-    val notice: Duration?,
+    val preemptionNotice: Duration?,
     val tasks: List<TaskStatus>,
 )
--- a/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatCodec.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatCodec.kt
@@ -79,7 +79,7 @@
             spot = body.boolean(Field.SPOT),
             sequence = HeartbeatSequence(body.count(Field.AGENT_EPOCH), body.count(Field.SEQUENCE_NUMBER)),
             term = Term(body.count(Field.TERM)),
-            notice = body.amountOrNull(Field.PREEMPTION_NOTICE_SECONDS)?.seconds,
+            preemptionNotice = body.amountOrNull(Field.PREEMPTION_NOTICE_SECONDS)?.seconds,
             tasks = body.objects(Field.TASKS).map(::decodeTask),
         )
     }
--- a/src/main/kotlin/org/elderhitch/heartbeat/MessageRecorder.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/MessageRecorder.kt
@@ -78,13 +78,13 @@
     }
 
     private fun recordPreemptionNotice(worker: WorkerState, message: Heartbeat) {
-        if (message.notice != null && worker.preemptionNotice == null) {
+        if (message.preemptionNotice != null && worker.preemptionNotice == null) {
             events.info("spot notice", worker.id) {
-                "spot notice machine=${message.machine} notice_s=${message.notice}"
+                "spot notice machine=${message.machine} notice_s=${message.preemptionNotice}"
             }
             table.dirty = true
         }
-        worker.preemptionNotice = message.notice
+        worker.preemptionNotice = message.preemptionNotice
     }
 
     /** Asks for the record that the machine is up, without which it is given no tasks. */
--- a/src/test/kotlin/org/elderhitch/golden/GoldenWorkerWireTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenWorkerWireTest.kt
@@ -75,7 +75,7 @@
         assertEquals(6, read.sequence.agentEpoch)
         assertEquals(1207, read.sequence.number)
         assertEquals(33, read.term.number)
-        assertEquals(22.5.seconds, read.notice)
+        assertEquals(22.5.seconds, read.preemptionNotice)
         assertEquals(List(12) { "req-0${610 + it}" to it }, read.tasks.map { it.task.job.text to it.task.index })
         assertEquals(List(12) { it + 1L }, read.tasks.map { it.attempt.number })
         val phases = listOf(TaskPhase.FETCHING, TaskPhase.WAITING, TaskPhase.RUNNING, TaskPhase.SAVING)
@@ -102,7 +102,7 @@
             assertEquals("host-000044", read.machine.text)
             assertEquals(false, read.spot)
             assertEquals(0, read.term.number)
-            assertNull(read.notice)
+            assertNull(read.preemptionNotice)
             assertEquals(0, read.tasks.size)
         }
     }
