--- a/src/main/kotlin/org/elderhitch/lab/ScheduleDraw.kt
+++ b/src/main/kotlin/org/elderhitch/lab/ScheduleDraw.kt
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Troubles that meet, as the operators have seen rules broken by them (`docs/design/meetings.md`): one begins
+     * Troubles that meet, as the operators have seen rules broken by them (`docs/design/fault-scenarios.md`): one begins
      * within seconds of the other, or while it lasts.
      *
      * @param lease the time to cancel is 30 s longer
--- a/src/test/kotlin/org/elderhitch/app/DelayedHeartbeatsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/DelayedHeartbeatsTest.kt
@@ -11,7 +11,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Old heartbeats that reach a leader before newer ones do (`docs/design/meetings.md`). */
+/** Old heartbeats that reach a leader before newer ones do (`docs/design/fault-scenarios.md`). */
 class DelayedHeartbeatsTest {
     /**
      * Copies of heartbeats are held until a leader's key is written, and then delivered to every controller. They name
--- a/src/test/kotlin/org/elderhitch/app/FailoverFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/FailoverFaultsTest.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Faults and user requests within the seconds of a failover (`docs/design/meetings.md`). */
+/** Faults and user requests within the seconds of a failover (`docs/design/fault-scenarios.md`). */
 class FailoverFaultsTest {
     /** What causes the failover. */
     private enum class Change { ROLL, RESIGNATION, CRASH, FREEZE }
--- a/src/test/kotlin/org/elderhitch/app/LateTransactionsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/LateTransactionsTest.kt
@@ -15,7 +15,7 @@
 
 /**
  * Transactions without an answer, of each kind: carried out 2 to 12 s late, after newer ones of the same controller,
- * or at once, while other nodes read what they wrote (`docs/design/meetings.md`).
+ * or at once, while other nodes read what they wrote (`docs/design/fault-scenarios.md`).
  */
 class LateTransactionsTest {
     /**
--- a/src/test/kotlin/org/elderhitch/app/OneWayPartitionTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/OneWayPartitionTest.kt
@@ -11,7 +11,7 @@
 
 /**
  * Workers that can't open connections to any controller, while commands and questions to their own addresses reach them
- * (`docs/design/meetings.md`).
+ * (`docs/design/fault-scenarios.md`).
  */
 class OneWayPartitionTest {
     /**
--- a/src/test/kotlin/org/elderhitch/app/OverloadFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/OverloadFaultsTest.kt
@@ -10,7 +10,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Overload, a cluster without a leader, and work that is bound to one zone (`docs/design/meetings.md`). */
+/** Overload, a cluster without a leader, and work that is bound to one zone (`docs/design/fault-scenarios.md`). */
 class OverloadFaultsTest {
     private val large = mapOf("cores" to 24.0)
 
--- a/src/test/kotlin/org/elderhitch/app/QuotaFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/QuotaFaultsTest.kt
@@ -12,7 +12,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Teams at their quota when the leader changes while machines are unreachable (`docs/design/meetings.md`).
+ * Teams at their quota when the leader changes while machines are unreachable (`docs/design/fault-scenarios.md`).
  */
 class QuotaFaultsTest {
     private val few = mapOf("desk" to "few", "accelerators" to 2.0)
--- a/src/test/kotlin/org/elderhitch/app/ReadConsistencyTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/ReadConsistencyTest.kt
@@ -12,7 +12,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Consistency of reads: no node may contradict, a millisecond later, what another told (`docs/design/meetings.md`).
+ * Consistency of reads: no node may contradict, a millisecond later, what another told (`docs/design/fault-scenarios.md`).
  */
 class ReadConsistencyTest {
     /** The fault of one node while users poll all of them. */
--- a/src/test/kotlin/org/elderhitch/app/SmallJobsLoadTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/SmallJobsLoadTest.kt
@@ -10,7 +10,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Jobs of one task, four a second for five minutes, a quarter of them withdrawn (`docs/design/meetings.md`). */
+/** Jobs of one task, four a second for five minutes, a quarter of them withdrawn (`docs/design/fault-scenarios.md`). */
 class SmallJobsLoadTest {
     /** With as many writes as the smallest deployment may make, 25 a second; a crash and an outage in the middle. */
     @Test
--- a/src/test/kotlin/org/elderhitch/app/StaleKnowledgeFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/StaleKnowledgeFaultsTest.kt
@@ -14,7 +14,7 @@
 
 /**
  * Overlapping faults in which a leader doesn't know of cancellations that users were told of, or can't carry them out
- * (`docs/design/meetings.md`).
+ * (`docs/design/fault-scenarios.md`).
  */
 class StaleKnowledgeFaultsTest {
     /**
--- a/src/test/kotlin/org/elderhitch/app/SuccessionFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/SuccessionFaultsTest.kt
@@ -15,7 +15,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Overlapping faults around one or more changes of leader (`docs/design/meetings.md`). */
+/** Overlapping faults around one or more changes of leader (`docs/design/fault-scenarios.md`). */
 class SuccessionFaultsTest {
     private val large = mapOf("cores" to 40.0)
 
--- a/src/test/kotlin/org/elderhitch/lab/StormTest.kt
+++ b/src/test/kotlin/org/elderhitch/lab/StormTest.kt
@@ -173,7 +173,7 @@
     /**
      * Many machines are deaf while half of the jobs are withdrawn, and hear again when nobody may command any more.
      * With stops only inside the window, and the window on the lease alone, it
-     * breaks `ran_cancelled` 15 times (`docs/design/meetings.md`).
+     * breaks `ran_cancelled` 15 times (`docs/design/fault-scenarios.md`).
      */
     @Test
     fun `a storm of stops that are lost before an outage`() = holds(
