--- a/src/main/kotlin/org/elderhitch/lab/DrmaaLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/DrmaaLab.kt
@@ -84,57 +84,36 @@
     /** Lower bounds are compared as such: what a takeover did not see is not the same in two runs. */
     private fun alike(job: MixJob, a: TerminalRecord?, b: TerminalRecord?): Boolean {
         if (a == null || b == null) return false
-        val (one, two) = (a.account ?: return false) to (b.account ?: return false)
+        val one = a.account ?: return false
+        val two = b.account ?: return false
         if (a.state == TerminalState.DONE && (a.done != b.done || a.done != job.tasks)) return false
-        if (one.team != two.team ||
-            one.lowerBound.not() &&
-            one.attempts < a.done ||
-            two.lowerBound.not() &&
-            two.attempts < b.done
-        ) {
-            return false
-        }
-        if (a.state != TerminalState.DONE || !exact(one) || !exact(two)) return true
-        return one.attempts == two.attempts &&
-            Math.abs(one.usefulSeconds - two.usefulSeconds) <= job.tasks * REPORT_SLACK_S
+        if (one.team != two.team || missesStarts(one, a) || missesStarts(two, b)) return false
+        val comparable = a.state == TerminalState.DONE && exact(one) && exact(two)
+        return !comparable || sameUse(job, one, two)
     }
 
+    /** An account that claims to be whole, with fewer starts than tasks that completed. */
+    private fun missesStarts(account: JobAccount, record: TerminalRecord): Boolean =
+        !account.lowerBound && account.attempts < record.done
+
+    /** As many starts, and the same useful time but for what reports may miss. */
+    private fun sameUse(job: MixJob, one: JobAccount, two: JobAccount): Boolean = one.attempts == two.attempts &&
+        Math.abs(one.usefulSeconds - two.usefulSeconds) <= job.tasks * REPORT_SLACK_S
+
     private fun exact(account: JobAccount): Boolean = !account.lowerBound && account.lost == 0L
 
     private fun path(mix: List<MixJob>, drmaa: Boolean): Pair<List<MixOutcome>, Long> {
         val time = VirtualTime()
         return time.run {
-            val features = if (drmaa) {
-                Features(
-                    ClassRules.NONE,
-                    listOf(
-                        FeatureFactory {
-                            Drmaa(settings, it)
-                        },
-                    ),
-                )
-            } else {
-                Features.NONE
-            }
             val world =
                 SimulatedCluster(
                     this,
                     time.clock,
-                    WorldSettings(seed = seed, features = features, requestsPerS = 300.0, writesPerS = 60.0),
+                    WorldSettings(seed = seed, features = featuresOf(drmaa), requestsPerS = 300.0, writesPerS = 60.0),
                 )
-            world.platform.state.onPut =
-                { key ->
-                    (Keys.parse(key) as? StoredKey.TerminalRecord)?.let { endedAt[it.id.text] = world.clock.now() }
-                }
-            val failing = mix.filter { it.failures > 0 }.associate { it.number to it.failures }
+            recordEnds(world)
             val runner = if (drmaa) DrmaaRunner(world, mix) else NativeRunner(world, mix)
-            world.failing =
-                { task, _ ->
-                    runner.numberOf(task.substringBeforeLast('/'))?.let { n -> failing[n] }.let {
-                        it != null &&
-                            (world.startsOf[task] ?: 0) <= it
-                    }
-                }
+            failAsMixed(world, mix, runner)
             delay(SETTLE)
             launch { watchQuota(world) }
             launch { troubles(world) }
@@ -150,6 +129,27 @@
         }
     }
 
+    private fun featuresOf(drmaa: Boolean): Features =
+        if (drmaa) Features(ClassRules.NONE, listOf(FeatureFactory { Drmaa(settings, it) })) else Features.NONE
+
+    /** Notes when each job's end is recorded. */
+    private fun recordEnds(world: SimulatedCluster) {
+        world.platform.state.onPut =
+            { key ->
+                (Keys.parse(key) as? StoredKey.TerminalRecord)?.let { endedAt[it.id.text] = world.clock.now() }
+            }
+    }
+
+    /** Each task of a job fails as often as the mix says. */
+    private fun failAsMixed(world: SimulatedCluster, mix: List<MixJob>, runner: Runner) {
+        val failing = mix.filter { it.failures > 0 }.associate { it.number to it.failures }
+        world.failing =
+            { task, _ ->
+                val failures = runner.numberOf(task.substringBeforeLast('/'))?.let { failing[it] }
+                failures != null && (world.startsOf[task] ?: 0) <= failures
+            }
+    }
+
     private suspend fun watchQuota(world: SimulatedCluster) {
         while (true) {
             val used = world.onMachine.size * MixJob.GPUS
--- a/src/main/kotlin/org/elderhitch/lab/InvariantChecker.kt
+++ b/src/main/kotlin/org/elderhitch/lab/InvariantChecker.kt
@@ -57,6 +57,12 @@
         val zones = HashMap<String, Int>()
         var failingSince: MonotonicInstant? = null
         var waitingSince: MonotonicInstant? = null
+
+        /** Whether it is accepted, and neither over nor asked to be withdrawn. */
+        val isOpen: Boolean get() = accepted != null && final == null && asked == null
+
+        /** Whether its user had been told of its acceptance before [instant]. */
+        fun acceptedBefore(instant: MonotonicInstant): Boolean = accepted.let { it != null && it < instant }
     }
 
     /** What a team's tasks, or a machine's, use. */
@@ -104,49 +110,58 @@
         if (there.isNotEmpty()) broke("ran_twice", "$task runs on ${there.first()} and is started on $machine")
         there.add(machine)
         val job = historyOf(task) ?: return
-        val host = machineOf(machine)
         val facts = job.facts
+        val host = machineOf(machine)
         if (job.begun == null) job.begun = clock.now()
-        if (host != null) {
-            val elsewhere = facts.oneZone && job.zones.any { (zone, count) -> zone != host.zone && count > 0 }
-            if (host.spot && !facts.spotAllowed || facts.zone.let { it != null && it != host.zone } || elsewhere) {
-                broke("wrong_place", "$task on $machine in ${host.zone}, spot ${host.spot}")
-            }
-            if (facts.types.let { it != null && host.type !in it }) {
-                broke("wrong_place", "$task on $machine, a ${host.type}")
-            }
-            val there = job.zones.merge(host.zone, 1, Int::plus) ?: 1
-            if (facts.spread && there > (facts.tasks + 1) / 2) {
-                broke(
-                    "wrong_place",
-                    "$task in ${host.zone} is one of $there there, of ${facts.tasks} that are to be spread",
-                )
-            }
-        }
+        if (host != null) checkPlace(task, machine, job, host)
         val inUse = used.getOrPut(facts.team) { Use() }
         inUse.add(facts, 1)
         load.getOrPut(machine) { Use() }.add(facts, 1)
-        if (exceeds(
-                inUse.accelerators,
-                limits[facts.team],
-            )
-        ) {
-            broke("quota", "${facts.team} uses ${inUse.accelerators} accelerators after the start of $task")
+        checkQuota(task, facts.team, inUse)
+        job.cancelled?.let { told -> checkWithdrawnStart(task, machine, told) }
+    }
+
+    /** Counts a task that starts on [host] in its zone, and checks that its job may have it there. */
+    private fun checkPlace(task: String, machine: String, job: History, host: StandInMachine) {
+        val facts = job.facts
+        val apart = facts.oneZone && job.zones.any { (zone, count) -> zone != host.zone && count > 0 }
+        val unwantedSpot = host.spot && !facts.spotAllowed
+        val wrongZone = facts.zone.let { it != null && it != host.zone }
+        if (unwantedSpot || wrongZone || apart) {
+            broke("wrong_place", "$task on $machine in ${host.zone}, spot ${host.spot}")
+        }
+        if (facts.types.let { it != null && host.type !in it }) {
+            broke("wrong_place", "$task on $machine, a ${host.type}")
+        }
+        countInZone(task, job, host.zone)
+    }
+
+    /** Counts a task that starts in [zone], and checks the spread that its job asks for. */
+    private fun countInZone(task: String, job: History, zone: String) {
+        val facts = job.facts
+        val there = job.zones.merge(zone, 1, Int::plus) ?: 1
+        if (facts.spread && there > (facts.tasks + 1) / 2) {
+            broke("wrong_place", "$task in $zone is one of $there there, of ${facts.tasks} that are to be spread")
         }
-        if (exceeds(
-                inUse.cores,
-                cpuLimits[facts.team],
-            )
-        ) {
-            broke("quota", "${facts.team} uses ${inUse.cores} cores after the start of $task")
+    }
+
+    /** Checks what a team uses after the start of [task] against its limits. */
+    private fun checkQuota(task: String, team: String, inUse: Use) {
+        if (exceeds(inUse.accelerators, limits[team])) {
+            broke("quota", "$team uses ${inUse.accelerators} accelerators after the start of $task")
         }
-        job.cancelled?.let { told ->
-            startsWithdrawn++
-            latestStart = maxOf(latestStart, clock.now() - told)
-            if (clock.now() - told > cancel) broke("ran_cancelled", "$task starts on $machine")
+        if (exceeds(inUse.cores, cpuLimits[team])) {
+            broke("quota", "$team uses ${inUse.cores} cores after the start of $task")
         }
     }
 
+    /** Counts the start of a task whose job was confirmed as withdrawn when [told], and checks that it's in time. */
+    private fun checkWithdrawnStart(task: String, machine: String, told: MonotonicInstant) {
+        startsWithdrawn++
+        latestStart = maxOf(latestStart, clock.now() - told)
+        if (clock.now() - told > cancel) broke("ran_cancelled", "$task starts on $machine")
+    }
+
     override fun ended(task: String, machine: String) {
         if (where[task]?.remove(machine) != true) return
         val job = historyOf(task) ?: return
@@ -170,31 +185,30 @@
      */
     private fun waitsThoughItFits(job: History): Boolean {
         val facts = job.facts
-        if (job.accepted == null ||
-            job.final != null ||
-            job.asked != null ||
-            facts.gang ||
-            facts.spread ||
-            facts.oneZone
-        ) {
-            return false
-        }
-        val left = (0 until facts.tasks).any { it !in job.completed && where["${facts.id}/$it"].isNullOrEmpty() }
+        val mayWaitForMore = facts.gang || facts.spread || facts.oneZone
+        if (!job.isOpen || mayWaitForMore) return false
+        return hasTaskLeft(job) && allowsOneMore(facts) && machines().any { hasRoom(it, facts) }
+    }
+
+    /** Whether a task of the job is neither completed nor on a machine. */
+    private fun hasTaskLeft(job: History): Boolean =
+        (0 until job.facts.tasks).any { it !in job.completed && where["${job.facts.id}/$it"].isNullOrEmpty() }
+
+    /** Whether the limits of the job's team leave room for one more of its tasks. */
+    private fun allowsOneMore(facts: JobFacts): Boolean {
         val team = used[facts.team] ?: Use()
-        if (!left ||
-            exceeds(team.accelerators + facts.accelerators, limits[facts.team]) ||
-            exceeds(team.cores + facts.cores, cpuLimits[facts.team])
-        ) {
-            return false
-        }
-        return machines().any { host ->
-            val use = load[host.id] ?: Use()
-            (!host.spot || facts.spotAllowed) &&
-                facts.zone.let { it == null || it == host.zone } &&
-                facts.types.let { it == null || host.type in it } &&
-                use.cores + facts.cores <= host.kind.cores + SLACK &&
-                use.accelerators + facts.accelerators <= host.kind.accelerators + SLACK
-        }
+        return !exceeds(team.accelerators + facts.accelerators, limits[facts.team]) &&
+            !exceeds(team.cores + facts.cores, cpuLimits[facts.team])
+    }
+
+    /** Whether a task of the job may be on [host], and fits beside what runs there. */
+    private fun hasRoom(host: StandInMachine, facts: JobFacts): Boolean {
+        val use = load[host.id] ?: Use()
+        return (!host.spot || facts.spotAllowed) &&
+            facts.zone.let { it == null || it == host.zone } &&
+            facts.types.let { it == null || host.type in it } &&
+            use.cores + facts.cores <= host.kind.cores + SLACK &&
+            use.accelerators + facts.accelerators <= host.kind.accelerators + SLACK
     }
 
     /** Called now and then, for rules that time breaks. */
@@ -231,7 +245,7 @@
             if (job.facts.impossible) broke("accepted_impossible", "$id can't run, or lacks a field, and got $status")
             job.accepted = job.accepted ?: clock.now()
             if (word != null) told(id, status, word, asked)
-        } else if ((status == BAD || status == UNPROCESSABLE) && job.accepted.let { it != null && it < asked }) {
+        } else if ((status == BAD || status == UNPROCESSABLE) && job.acceptedBefore(asked)) {
             broke("forgotten", "the repeated submission of $id got $status")
         }
     }
@@ -248,8 +262,16 @@
             if (status == OK) broke("invented", "$id, which nobody submitted, is $word")
             return
         }
-        if (status == NOT_FOUND && job.accepted.let { it != null && it < asked }) broke("forgotten", "$id got 404")
+        if (status == NOT_FOUND && job.acceptedBefore(asked)) broke("forgotten", "$id got 404")
         if (status != OK && status != CREATED || word == null) return
+        checkWord(job, word, asked)
+        if (word == "withdrawn" && job.cancelled == null) job.cancelled = clock.now()
+        if (job.final == null && (word == "done" || word == "withdrawn")) job.final = word to clock.now()
+    }
+
+    /** Checks how a job is said to stand against what was said before [asked], and what its tasks did. */
+    private fun checkWord(job: History, word: String, asked: MonotonicInstant) {
+        val id = job.facts.id
         val final = job.final
         if (final != null && final.second < asked && final.first != word) {
             broke("went_back", "$id was ${final.first} and is $word")
@@ -258,8 +280,6 @@
         if (word == "done" && job.completed.size < if (job.facts.gang) 1 else job.facts.tasks) {
             broke("not_done", "$id is done with ${job.completed.size} of ${job.facts.tasks} tasks completed")
         }
-        if (word == "withdrawn" && job.cancelled == null) job.cancelled = clock.now()
-        if (final == null && (word == "done" || word == "withdrawn")) job.final = word to clock.now()
     }
 
     /** Whether a poll for an accepted job was answered at all. */
--- a/src/main/kotlin/org/elderhitch/lab/Lab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Lab.kt
@@ -84,9 +84,12 @@
             "sweep" -> SweepLab(seed, size ?: DEFAULT_POINTS, ::progress).run()
 
             else -> Storms(
-                seed, size ?: DEFAULT_MACHINES, storms, span.seconds, shape, draw, share, shrink,
-                schedule?.let(
-                    ::read,
+                StormOptions(
+                    ScheduleOptions(seed, size ?: DEFAULT_MACHINES, span.seconds, shape, draw),
+                    storms,
+                    share,
+                    shrink,
+                    schedule?.let(::read),
                 ),
                 ::progress,
             ).run()
@@ -104,9 +107,9 @@
     private fun read(path: String): Schedule = try {
         Schedule.decode(File(path).readBytes())
     } catch (e: IOException) {
-        throw CliktError("$path can't be read: ${e.message}", statusCode = USAGE)
+        throw CliktError("$path can't be read: ${e.message}", e, statusCode = USAGE)
     } catch (e: MalformedJson) {
-        throw CliktError("$path: ${e.message}", statusCode = USAGE)
+        throw CliktError("$path: ${e.message}", e, statusCode = USAGE)
     }
 
     private fun progress(line: String) = System.err.println("lab $name: $line")
--- a/src/main/kotlin/org/elderhitch/lab/Network.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Network.kt
@@ -37,6 +37,26 @@
     val over = CompletableDeferred<Unit>()
 }
 
+/** A request on its way from a host; [machine]: the caller is that machine's worker. */
+private class Question(val from: String, val machine: String?, val to: Address, val request: Request) {
+    val host: String = to.host
+
+    /** The host that a cut separates from others: the machine of a worker. */
+    val source: String = machine ?: from
+    val toState: Boolean = host == "state"
+    val isCommit: Boolean = toState && request.path == "/commit"
+    val isWatch: Boolean = toState && request.path == "/watch"
+}
+
+/** A command on its way to a worker's own address, and how long its caller waits for a connection and an answer. */
+private class Command(
+    val from: String,
+    val to: Address,
+    val request: Request,
+    val connect: Duration,
+    val timeout: Duration,
+)
+
 /**
  * The network of a world. Hosts are nodes (`n0`), machines (`host-000001`), `state`, `cloud` and `user`. A request that
  * meets a cut gets no
@@ -150,7 +170,7 @@
             body: ByteArray?,
             connect: Duration,
             timeout: Duration,
-        ): Delivery = toWorker(from, to, request(method, target, body), connect, timeout)
+        ): Delivery = toWorker(Command(from, to, request(method, target, body), connect, timeout))
 
         override suspend fun call(
             to: Address,
@@ -158,45 +178,62 @@
             target: String,
             body: ByteArray?,
             timeout: Duration,
-        ): Response? = withTimeoutOrNull(timeout) { answer(from, machine, to, request(method, target, body)) }
+        ): Response? = withTimeoutOrNull(timeout) { answer(Question(from, machine, to, request(method, target, body))) }
     }
 
     private fun request(method: String, target: String, body: ByteArray?): Request =
         MessageParser.request(Message("$method $target HTTP/1.1", emptyMap(), body ?: ByteArray(0), true), "127.0.0.1")
 
-    private suspend fun answer(from: String, machine: String?, to: Address, request: Request): Response? {
+    private suspend fun answer(question: Question): Response? {
+        val from = question.from
+        val host = question.host
+        val to = question.to
+        val request = question.request
         delay(LATENCY)
-        val host = to.host
-        val source = machine ?: from
-        if (from to host in pairs ||
-            host to from in pairs ||
-            machine in silentWorkers ||
-            machine in mute &&
-            host !in heardByMute
-        ) {
-            delay(Duration.INFINITE)
-        }
+        if (isLost(question)) delay(Duration.INFINITE)
         val handler = handlers[to.text] ?: return null
-        between(source, host)?.let { astrayAt(it, to, handler, request) }
-        if (host == "state" && from in refused) return refusal(request)
+        between(question.source, host)?.let { astrayAt(it, to, handler, request) }
+        if (question.toState && from in refused) return refusal(request)
         if (peersRefuse && from in nodes && host in nodes) return null
-        if (request.path == "/commit" && host == "state") astray(from, handler, request)
-        val late = if (machine != null) slowReports() else Duration.ZERO
-        if (machine != null) lateCopies()?.let { by -> copied(by, to, handler, request) }
-        if (machine != null && keepsCopies()) kept.add(request)
-        if (host == "state" && request.path == "/watch" && forgottenBy.remove(from)) {
-            return HttpServer.refusal(GONE, "too old")
-        }
+        if (question.isCommit) astray(from, handler, request)
+        val late = if (question.machine != null) reported(to, handler, request) else Duration.ZERO
+        if (question.isWatch && forgottenBy.remove(from)) return HttpServer.refusal(GONE, "too old")
         val answer = if (late.isPositive()) handledLate(late, to, handler, request) else handled(host, handler, request)
-        if (machine != null) delay(slowAnswers())
-        if (machine in deaf) delay(Duration.INFINITE)
+        wayBack(question)
+        return answer
+    }
+
+    /** Whether its hosts don't hear each other, other than by a cut. */
+    private fun isLost(question: Question): Boolean {
+        val from = question.from
+        val host = question.host
+        val separated = from to host in pairs || host to from in pairs
+        val muted = question.machine in mute && host !in heardByMute
+        return separated || question.machine in silentWorkers || muted
+    }
+
+    /** Sees to copies of a machine's report; how late the report itself is. */
+    private fun reported(to: Address, handler: Handler, request: Request): Duration {
+        val late = slowReports()
+        lateCopies()?.let { by -> copied(by, to, handler, request) }
+        if (keepsCopies()) kept.add(request)
+        return late
+    }
+
+    /** Takes as long as an answer is on its way; without end, if it is lost. */
+    private suspend fun wayBack(question: Question) {
+        val from = question.from
+        val source = question.source
+        if (question.machine != null) delay(slowAnswers())
+        if (question.machine in deaf) delay(Duration.INFINITE)
         // Of a node that it refuses, open watches wait as during an outage.
-        if (host == "state" && request.path == "/watch") while (from in refused || stateDown()) delay(REFUSED_LOOK)
-        if (host == "state" && from in watchless && request.path == "/watch") delay(Duration.INFINITE)
-        if (host == "state") delay(slowState(request) + slowStateOf(from))
-        between(host, source)?.let { if (it.mode == CutMode.HOLD) it.over.await() else delay(Duration.INFINITE) }
+        if (question.isWatch) while (from in refused || stateDown()) delay(REFUSED_LOOK)
+        if (question.isWatch && from in watchless) delay(Duration.INFINITE)
+        if (question.toState) delay(slowState(question.request) + slowStateOf(from))
+        val cut = between(question.host, source)
+        if (cut?.mode == CutMode.HOLD) cut.over.await()
+        if (cut?.mode == CutMode.RESET) delay(Duration.INFINITE)
         if (source in nodes) onWork(source, "answer")
-        return answer
     }
 
     private suspend fun handled(host: String, handler: Handler, request: Request): Response? {
@@ -263,54 +300,55 @@
     }
 
     /** A command to a worker's own address; its fate may be to be lost on the way back, or to arrive late. */
-    private suspend fun toWorker(
-        from: String,
-        to: Address,
-        request: Request,
-        connect: Duration,
-        timeout: Duration,
-    ): Delivery {
+    private suspend fun toWorker(command: Command): Delivery {
+        val to = command.to
         delay(LATENCY)
-        val cut = between(from, to.host)
-        if (workerAt(to) == null ||
-            to.host in silentWorkers ||
-            from to "workers" in pairs ||
-            cut != null &&
-            (cut.mode == CutMode.RESET || random.nextDouble() >= OPEN_ALREADY)
-        ) {
-            delay(connect)
+        val cut = between(command.from, to.host)
+        if (isUnreachable(command, cut)) {
+            delay(command.connect)
             return Delivery.NotSent
         }
         if (to.host in deaf) {
-            delay(timeout)
+            delay(command.timeout)
             return Delivery.Unknown
         }
         val late = lateCommands()
-        if (late == null && cut == null) {
-            // The machine may hang: then the caller gives up, and the command is carried out when it goes on.
-            val done = CompletableDeferred<Response>()
-            val back = slowReplies()
-            outside.launch {
-                workerAt(to)?.handle(request)?.let {
-                    delay(back)
-                    done.complete(it)
-                }
-            }
-            val answer = withTimeoutOrNull(timeout) { done.await() }
-            between(to.host, from)?.let { delay(timeout) }
-            onWork(from, "answer")
-            return if (answer == null || between(to.host, from) != null) Delivery.Unknown else Delivery.Answered(answer)
-        }
+        if (late == null && cut == null) return executedAtOnce(command)
         outside.launch {
             cut?.over?.await()
             delay(late ?: Duration.ZERO)
             lateOnes++
-            workerAt(to)?.handle(request)
+            workerAt(to)?.handle(command.request)
         }
-        delay(timeout)
+        delay(command.timeout)
         return Delivery.Unknown
     }
 
+    /** Whether no connection to the worker stands or can be made; [cut]: what separates it from its caller. */
+    private fun isUnreachable(command: Command, cut: Cut?): Boolean {
+        val to = command.to
+        if (workerAt(to) == null || to.host in silentWorkers || command.from to "workers" in pairs) return true
+        return cut != null && (cut.mode == CutMode.RESET || random.nextDouble() >= OPEN_ALREADY)
+    }
+
+    /** The machine may hang: then the caller gives up, and the command is carried out when it goes on. */
+    private suspend fun executedAtOnce(command: Command): Delivery {
+        val from = command.from
+        val to = command.to
+        val done = CompletableDeferred<Response>()
+        val back = slowReplies()
+        outside.launch {
+            workerAt(to)?.handle(command.request)?.let {
+                delay(back)
+                done.complete(it)
+            }
+        }
+        val answer = withTimeoutOrNull(command.timeout) { done.await() }
+        between(to.host, from)?.let { delay(command.timeout) }
+        onWork(from, "answer")
+        return if (answer == null || between(to.host, from) != null) Delivery.Unknown else Delivery.Answered(answer)
+    }
+
     private companion object {
         const val BUSY = 503
         const val GONE = 410
--- a/src/main/kotlin/org/elderhitch/lab/SweepLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/SweepLab.kt
@@ -54,7 +54,8 @@
     private val description = Description.parse(
         Json.parseObject(
             """{"params":{"threshold":{"type":"number"},"runs":{"type":"number","default":4}},"at_once":400,
-            "job":{"lotClass":"score","desk":"team","lotKind":"array","urgency":"normal","crates":1,"cores":4.0,"accelerators":0.5,"memGb":8.0,"catchImage":"img-s",
+            "job":{"lotClass":"score","desk":"team","lotKind":"array","urgency":"normal","crates":1,"cores":4.0,"accelerators":0.5,"memGb":8.0,
+            "catchImage":"img-s",
             "pullGb":1.0,"borrowedRigs":true,"haulS":"${'$'}{runs}","tallyS":0.0,"stowS":0.0},
             "points":{"grid":{"threshold":"0 .. ${(points - 1) / DECIMALS} step 0.00001"}}}""".encodeToByteArray(),
         ),
@@ -63,48 +64,8 @@
     fun run(): LabResult {
         val time = VirtualTime()
         return time.run {
-            var sweepOpen = false
-            var ofSweep = 0L
-            var ofSingles = 0L
-            val world = SimulatedCluster(
-                this,
-                time.clock,
-                WorldSettings(
-                    seed,
-                    requestsPerS = 150.0,
-                    writesPerS = 25.0,
-                    mostGpus = 4000.0,
-                    machinesPerZone = 30,
-                    features = Features(
-                        ClassRules.NONE,
-                        listOf(
-                            FeatureFactory {
-                                Sweeps(SweepsSettings(tablePoints = 400), it)
-                            },
-                        ),
-                    ),
-                    onCycle = { looks -> rounds.getOrPut(sweepOpen) { ArrayList() }.add(looks) },
-                ),
-            )
-            world.platform.uploaded =
-                { job ->
-                    SweepId.ofPoint(JobId(job))?.let { (_, point) ->
-                        TaskScript("array", if (isEndless(point)) ENDLESS else RUNS, CORES, ACCELERATORS)
-                    }
-                }
-            val count = { key: String ->
-                if ("sweeps/" in key) ofSweep++
-                if ("req-single-" in key) ofSingles++
-            }
-            world.platform.state.onPut = count
-            world.platform.state.onDrop = count
-            val rules = InvariantChecker(time.clock, 41.seconds, world.limits, world::machine)
-            world.alsoTold = rules
-            for (n in 0 until points) {
-                rules.submits(
-                    JobFacts(id.point(n).text, "team", 1, ACCELERATORS, spotAllowed = true),
-                )
-            }
+            val world = world(this, time)
+            val rules = rulesOf(world, time)
             val others = Others(world)
             launch { others.run(this) }
             delay(WARM_UP)
@@ -113,11 +74,11 @@
             val singleChanges = ofSingles.toDouble() / SINGLES
             sweepOpen = true
             val began = time.clock.now()
-            val accepted = submit(world)
-            val acceptedIn = time.clock.now() - began
-            val changes = ofSweep
+            val acceptance = acceptance(world, began)
             others.calmUntil = time.clock.now()
-            progress("accepted after $acceptedIn with $changes changes: $accepted")
+            progress(
+                "accepted after ${acceptance.took} with ${acceptance.changes} changes: ${acceptance.accepted}",
+            )
             for (n in 0 until points) rules.submitted(id.point(n).text, 200, "queued", began)
             launch { troubles(world) }
             launch { polls(world, rules) }
@@ -127,39 +88,98 @@
             val (without, two) = answers(world, rules)
             delay(CANCEL)
             rules.tick()
-            figures(time, accepted, acceptedIn, changes, ofSweep, singleChanges, others, rules, without, two, ended)
+            figures(time, Measured(acceptance, ofSweep, singleChanges, without, two, ended), others, rules)
         }
     }
 
-    private fun figures(
-        time: VirtualTime,
-        accepted: Boolean,
-        acceptedIn: Duration,
-        changes: Long,
-        allChanges: Long,
-        singleChanges: Double,
-        others: Others,
-        rules: InvariantChecker,
-        without: Int,
-        two: Int,
-        ended: Boolean,
-    ): LabResult {
+    /** Whether the sweep was accepted, how long that took, and how many changes of the state. */
+    private class Acceptance(val accepted: Boolean, val took: Duration, val changes: Long)
+
+    /** What a run came to, from the sweep's acceptance to the last answers about its points. */
+    private class Measured(
+        val acceptance: Acceptance,
+        val allChanges: Long,
+        val singleChanges: Double,
+        val without: Int,
+        val two: Int,
+        val ended: Boolean,
+    )
+
+    private var sweepOpen = false
+
+    /** Changes of the state for the sweep, and for the same points as single jobs. */
+    private var ofSweep = 0L
+    private var ofSingles = 0L
+
+    private fun world(scope: CoroutineScope, time: VirtualTime): SimulatedCluster {
+        val world = SimulatedCluster(
+            scope,
+            time.clock,
+            WorldSettings(
+                seed,
+                requestsPerS = 150.0,
+                writesPerS = 25.0,
+                mostGpus = 4000.0,
+                machinesPerZone = 30,
+                features = Features(
+                    ClassRules.NONE,
+                    listOf(FeatureFactory { Sweeps(SweepsSettings(tablePoints = 400), it) }),
+                ),
+                onCycle = { looks -> rounds.getOrPut(sweepOpen) { ArrayList() }.add(looks) },
+            ),
+        )
+        world.platform.uploaded =
+            { job ->
+                SweepId.ofPoint(JobId(job))?.let { (_, point) ->
+                    TaskScript("array", if (isEndless(point)) ENDLESS else RUNS, CORES, ACCELERATORS)
+                }
+            }
+        val count = { key: String ->
+            if ("sweeps/" in key) ofSweep++
+            if ("req-single-" in key) ofSingles++
+        }
+        world.platform.state.onPut = count
+        world.platform.state.onDrop = count
+        return world
+    }
+
+    /** The rules that the world is held to, which know of every point before it is submitted. */
+    private fun rulesOf(world: SimulatedCluster, time: VirtualTime): InvariantChecker {
+        val rules = InvariantChecker(time.clock, 41.seconds, world.limits, world::machine)
+        world.alsoTold = rules
+        for (n in 0 until points) {
+            rules.submits(
+                JobFacts(id.point(n).text, "team", 1, ACCELERATORS, spotAllowed = true),
+            )
+        }
+        return rules
+    }
+
+    private suspend fun acceptance(world: SimulatedCluster, began: MonotonicInstant): Acceptance {
+        val accepted = submit(world)
+        return Acceptance(accepted, world.clock.now() - began, ofSweep)
+    }
+
+    private fun figures(time: VirtualTime, measured: Measured, others: Others, rules: InvariantChecker): LabResult {
+        val acceptance = measured.acceptance
         val figures = linkedMapOf<String, Any?>(
-            "lab" to "sweep", "seed" to seed, "points" to points, "accepted_s" to acceptedIn.inWholeMilliseconds / MS,
-            "changes_sweep" to changes,
-            "changes_sweep_to_its_end" to allChanges, "changes_single" to (singleChanges * points).toLong(),
+            "lab" to "sweep", "seed" to seed, "points" to points,
+            "accepted_s" to acceptance.took.inWholeMilliseconds / MS,
+            "changes_sweep" to acceptance.changes,
+            "changes_sweep_to_its_end" to measured.allChanges,
+            "changes_single" to (measured.singleChanges * points).toLong(),
             "others_submit_p99_ms" to others.p99(), "bytes_per_open_point" to bytes(),
             "cycle_looks_with" to rounds[true]?.average()?.toLong(),
             "cycle_looks_without" to rounds[false]?.average()?.toLong(),
-            "without_answer" to without, "with_two_answers" to two,
+            "without_answer" to measured.without, "with_two_answers" to measured.two,
             "ran_after_cancel" to rules.broken.count { it.first == "ran_cancelled" },
-            "rules_broken" to rules.broken.size, "ended" to ended, "took_s" to time.nowMs / MS.toLong(),
+            "rules_broken" to rules.broken.size, "ended" to measured.ended, "took_s" to time.nowMs / MS.toLong(),
         )
         rules.broken.take(SHOWN).forEach { progress("rule broken: ${it.first} ${it.second}") }
         val broken = when {
-            !accepted -> "not accepted"
+            !acceptance.accepted -> "not accepted"
 
-            !ended -> "not ended"
+            !measured.ended -> "not ended"
 
             else -> listOf("without_answer", "with_two_answers", "ran_after_cancel", "rules_broken").firstOrNull {
                 figures[it] !=
@@ -167,9 +187,9 @@
             }
                 ?: when {
                     // A single job costs one change to be accepted, and two to end.
-                    changes * CHEAPER > points && points >= CHEAPER * CHEAPER -> "changes_sweep"
+                    acceptance.changes * CHEAPER > points && points >= CHEAPER * CHEAPER -> "changes_sweep"
 
-                    acceptedIn > MOST_ACCEPTED -> "accepted_s"
+                    acceptance.took > MOST_ACCEPTED -> "accepted_s"
 
                     others.p99().let { it == null || it > MOST_OTHERS } -> "others_submit_p99_ms"
 
--- a/src/main/kotlin/org/elderhitch/lab/VirtualTime.kt
+++ b/src/main/kotlin/org/elderhitch/lab/VirtualTime.kt
@@ -62,7 +62,7 @@
             CoroutineScope(SupervisorJob() + this + CoroutineExceptionHandler { _, e -> failure = failure ?: e })
         val result = scope.async { body(scope) }
         while (!result.isCompleted) {
-            val due = queue.poll() ?: throw IllegalStateException("everything waits, and nothing is due")
+            val due = queue.poll() ?: error("everything waits, and nothing is due")
             if (due.cancelled) continue
             nowMs = maxOf(nowMs, due.atMs)
             due.run.run()
