--- a/src/test/kotlin/org/elderhitch/app/OneWayPartitionTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/OneWayPartitionTest.kt
@@ -109,11 +109,7 @@
     }) { seed ->
         submit("req-1", "daemon", 8, 0.0, mapOf("cores" to 24.0, "spread" to true))
         untilRunning("req-1", 8)
-        if (cluster.leader() == "n2") {
-            cluster.crash("n2")
-            cluster.untilReplaced("n2", 30.seconds)
-            cluster.startNode("n2")
-        }
+        ensureFollower("n2")
         delay(15.seconds)
         val there = cluster.platform.workers().keys.filter { cluster.machine(it)?.zone == "b" }.toSet()
         val before = hosts("req-1")
--- a/src/test/kotlin/org/elderhitch/app/StaleKnowledgeFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/StaleKnowledgeFaultsTest.kt
@@ -163,11 +163,7 @@
         }) { seed ->
             submit("req-1", "daemon", 8, 0.0, mapOf("cores" to 40.0, "spread" to true))
             untilRunning("req-1", 8)
-            if (cluster.leader() == "n2") {
-                cluster.crash("n2")
-                cluster.untilReplaced("n2", 30.seconds)
-                cluster.startNode("n2")
-            }
+            ensureFollower("n2")
             delay(20.seconds)
             val leader = assertNotNull(cluster.leader())
             val there = hosts("req-1").values.filter { cluster.machine(it)?.zone == "b" }.toSet()
--- a/src/test/kotlin/org/elderhitch/app/WatchedCluster.kt
+++ b/src/test/kotlin/org/elderhitch/app/WatchedCluster.kt
@@ -177,6 +177,14 @@
         return assertNotNull(cluster.leader())
     }
 
+    /** Restarts [node] if it leads, so that another controller does from here on. */
+    suspend fun ensureFollower(node: String) {
+        if (cluster.leader() != node) return
+        cluster.crash(node)
+        cluster.untilReplaced(node, 30.seconds)
+        cluster.startNode(node)
+    }
+
     /** The number of the latest term. */
     fun term(): Long = cluster.platform.state.value("v/a/term")?.longOrNull("n") ?: 0
 
