--- /dev/null
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenClusterTest.kt
@@ -0,0 +1,130 @@
+package org.elderhitch.golden
+
+import kotlinx.serialization.ExperimentalSerializationApi
+import kotlinx.serialization.KSerializer
+import kotlinx.serialization.MissingFieldException
+import kotlinx.serialization.SerializationException
+import kotlinx.serialization.protobuf.ProtoBuf
+import org.elderhitch.cluster.EndingNews
+import org.elderhitch.cluster.Forwarded
+import org.elderhitch.cluster.ForwardedAnswer
+import org.elderhitch.cluster.Hello
+import org.elderhitch.cluster.ToldEnding
+import kotlin.test.Test
+import kotlin.test.assertEquals
+import kotlin.test.assertFailsWith
+import kotlin.test.assertFalse
+import kotlin.test.assertIs
+import kotlin.test.assertTrue
+
+/** The bytes of each message between controllers: two versions run side by side during an update. */
+@OptIn(ExperimentalSerializationApi::class, ExperimentalStdlibApi::class)
+class GoldenClusterTest {
+    private fun hex(name: String) = GoldenFiles.text("cluster/$name.hex")
+
+    private fun <T> read(name: String, of: KSerializer<T>): T =
+        ProtoBuf.decodeFromByteArray(of, hex(name).hexToByteArray())
+
+    /** Decodes the file, and demands that encoding what was read gives the file again. */
+    private fun <T> same(name: String, of: KSerializer<T>): T =
+        read(name, of).also { assertEquals(hex(name), ProtoBuf.encodeToByteArray(of, it).toHexString(), name) }
+
+    private fun <T> failure(bytes: String, of: KSerializer<T>): Exception =
+        assertFailsWith<Exception> { ProtoBuf.decodeFromByteArray(of, bytes.hexToByteArray()) }
+
+    @Test
+    fun `a hello keeps its bytes`() {
+        val full = same("hello-full", Hello.serializer())
+        assertEquals(listOf("n1", "run-1"), listOf(full.node, full.run))
+        assertEquals(42L, full.term)
+        assertTrue(full.leading && full.reachesState)
+        assertEquals(mapOf("req-1" to 300, "req-2" to 0), full.running)
+        assertEquals(listOf(50_000_000L, 4000L), listOf(full.bound, full.delegateMs))
+    }
+
+    @Test
+    fun `a hello without what was added later reads as nothing said`() {
+        val least = same("hello-least", Hello.serializer())
+        assertEquals(listOf("n2", "run-0"), listOf(least.node, least.run))
+        assertEquals(listOf(0L, 0L, 0L), listOf(least.term, least.bound, least.delegateMs))
+        assertFalse(least.leading || least.reachesState)
+        assertEquals(emptyMap(), least.running)
+    }
+
+    @Test
+    fun `a forwarded request keeps its bytes, with and without its sender`() {
+        val full = same("forwarded-full", Forwarded.serializer())
+        assertEquals(listOf("POST", "/work", "10.0.0.7"), listOf(full.method, full.path, full.from))
+        assertEquals("{\"id\":\"req-1\"}", full.body.decodeToString())
+        val least = same("forwarded-least", Forwarded.serializer())
+        assertEquals(listOf("GET", "/work/req-1", ""), listOf(least.method, least.path, least.from))
+        assertEquals(0, least.body.size)
+    }
+
+    @Test
+    fun `a forwarded answer keeps its bytes, with and without headers`() {
+        val full = same("answer-full", ForwardedAnswer.serializer())
+        assertEquals(503, full.status)
+        assertEquals("{}", full.body.decodeToString())
+        assertEquals(mapOf("Retry-After" to "2"), full.headers)
+        val least = same("answer-least", ForwardedAnswer.serializer())
+        assertEquals(200, least.status)
+        assertEquals(0, least.body.size)
+        assertEquals(emptyMap(), least.headers)
+    }
+
+    @Test
+    fun `news of endings keeps its bytes, with and without endings`() {
+        val full = same("news-full", EndingNews.serializer())
+        assertEquals("n1", full.node)
+        assertEquals(listOf("req-1", "req-2"), full.endings.map { it.job })
+        assertEquals(
+            listOf("{\"end\":\"withdrawn\",\"done\":3}", "{\"end\":\"done\",\"done\":1}"),
+            full.endings.map { it.record.decodeToString() },
+        )
+        assertEquals(0, same("news-least", EndingNews.serializer()).endings.size)
+    }
+
+    @Test
+    fun `a told ending keeps its bytes, full and empty`() {
+        val full = same("told-ending", ToldEnding.serializer())
+        assertEquals("req-1", full.job)
+        assertEquals("{\"end\":\"withdrawn\",\"done\":3}", full.record.decodeToString())
+        val empty = same("told-ending-empty", ToldEnding.serializer())
+        assertEquals("", empty.job)
+        assertEquals(0, empty.record.size)
+    }
+
+    @Test
+    fun `fields that are not known here are ignored`() {
+        val read = read("hello-unknown", Hello.serializer())
+        assertEquals(hex("hello-least"), ProtoBuf.encodeToByteArray(Hello.serializer(), read).toHexString())
+    }
+
+    @Test
+    fun `a message that lacks a field names it`() {
+        val failure = assertIs<MissingFieldException>(failure("", Hello.serializer()))
+        assertEquals(listOf("node", "run", "term", "leading", "reachesState"), failure.missingFields)
+    }
+
+    @Test
+    fun `a message that is cut short within a text or a number fails as it always did`() {
+        val hello = hex("hello-full")
+        val short = assertIs<IndexOutOfBoundsException>(failure(hello.take(6), Hello.serializer()))
+        assertEquals("startIndex: 2, endIndex: 4, size: 3", short.message)
+        assertIs<IndexOutOfBoundsException>(failure(hello.take(4), Hello.serializer()))
+        val ends = listOf(
+            failure(hello.take(24), Hello.serializer()),
+            failure(hex("answer-full").take(2), ForwardedAnswer.serializer()),
+            failure("0a", Forwarded.serializer()),
+        )
+        for (end in ends) assertEquals("Unexpected EOF", assertIs<SerializationException>(end).message)
+    }
+
+    @Test
+    fun `a field of a wrong type and a number too long are refused`() {
+        assertIs<SerializationException>(failure("0801", Hello.serializer()))
+        val long = assertIs<SerializationException>(failure("ffffffffffffffffffffff", Hello.serializer()))
+        assertEquals("Input stream is malformed: Varint too long (exceeded 64 bits)", long.message)
+    }
+}
