--- a/src/main/kotlin/org/elderhitch/app/Commands.kt
+++ b/src/main/kotlin/org/elderhitch/app/Commands.kt
@@ -35,14 +35,20 @@
     private val node by option("--node", help = "a controller's client address").default("127.0.0.1:8080")
 
     protected fun ask(method: String, path: String, body: ByteArray? = null) {
-        val address = Address.parse(node) ?: throw CliktError("--node: not an address of the form 127.0.0.1:8080", statusCode = USAGE)
+        val address =
+            Address.parse(node)
+                ?: throw CliktError("--node: not an address of the form 127.0.0.1:8080", statusCode = USAGE)
         val loop = ScheduledThreadPoolExecutor(1) { task -> Thread(task, "loop").apply { isDaemon = true } }
         val response: Response? = runBlocking(loop.asCoroutineDispatcher()) {
             HttpClient(channelGroup(loop), SystemSteadyClock).call(address, method, path, body, TIMEOUT)
         }
         loop.shutdownNow()
         if (response == null) throw CliktError("$node doesn't answer", statusCode = NO_ANSWER)
-        if (response.status >= FIRST_REFUSAL) throw CliktError("${response.status} ${response.body.decodeToString()}", statusCode = REFUSED)
+        if (response.status >=
+            FIRST_REFUSAL
+        ) {
+            throw CliktError("${response.status} ${response.body.decodeToString()}", statusCode = REFUSED)
+        }
         echo(response.body.decodeToString())
     }
 
@@ -110,25 +116,40 @@
 }
 
 internal class StandIns : CoreCliktCommand(name = "stand-ins") {
-    private val config by option("--config", help = "a controller's settings file, whose addresses they take").required()
-
-    private val nodes by option("--nodes", help = "NAME=ADDRESS of each controller that workers report to, between commas; without it, the one of the settings")
+    private val config by option(
+        "--config",
+        help = "a controller's settings file, whose addresses they take",
+    ).required()
+
+    private val nodes by option(
+        "--nodes",
+        help = "NAME=ADDRESS of each controller that workers report to, between commas; without it, the one of the settings",
+    )
 
-    private val uploads by option("--uploads", help = "a folder with descriptions of jobs, as `sweep submit --upload` writes them: what workers fetch")
+    private val uploads by option(
+        "--uploads",
+        help = "a folder with descriptions of jobs, as `sweep submit --upload` writes them: what workers fetch",
+    )
 
-    override fun help(context: Context): String = "Run a state service, a cloud and workers of our own, to try a controller out"
+    override fun help(context: Context): String =
+        "Run a state service, a cloud and workers of our own, to try a controller out"
 
     override fun run(): Unit = Rehearsal.standIns(
         config,
         nodes?.split(',')?.associate {
-            it.substringBefore('=') to (Address.parse(it.substringAfter('=')) ?: throw CliktError("--nodes: \"$it\" is not of the form node-0=127.0.0.1:8080", statusCode = 2))
+            it.substringBefore('=') to
+                (
+                    Address.parse(it.substringAfter('='))
+                        ?: throw CliktError("--nodes: \"$it\" is not of the form node-0=127.0.0.1:8080", statusCode = 2)
+                    )
         },
         uploads?.let(::File),
     )
 }
 
 internal class Rehearse : CoreCliktCommand(name = "rehearse") {
-    override fun help(context: Context): String = "Run a controller against the stand-ins for some seconds; the build makes its class archive so"
+    override fun help(context: Context): String =
+        "Run a controller against the stand-ins for some seconds; the build makes its class archive so"
 
     override fun run(): Unit = Rehearsal.run()
 }
--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -1,14 +1,12 @@
 package org.elderhitch.app
 
-import kotlin.random.Random
-import kotlin.time.Duration
-import kotlin.time.Duration.Companion.milliseconds
-import kotlin.time.Duration.Companion.seconds
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import org.elderhitch.cluster.Cluster
 import org.elderhitch.cluster.ClusterPorts
+import org.elderhitch.delegates.Grant
+import org.elderhitch.delegates.Named
 import org.elderhitch.features.FeatureContext
 import org.elderhitch.features.FeatureSet
 import org.elderhitch.features.Features
@@ -32,8 +30,8 @@
 import org.elderhitch.jobs.JobEvent
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.JobMessage
-import org.elderhitch.jobs.TaskId
 import org.elderhitch.jobs.Recorder
+import org.elderhitch.jobs.TaskId
 import org.elderhitch.leadership.Incarnation
 import org.elderhitch.leadership.Leadership
 import org.elderhitch.leadership.LeadershipMessage
@@ -48,12 +46,14 @@
 import org.elderhitch.time.Moment
 import org.elderhitch.time.SteadyClock
 import org.elderhitch.time.WallClock
-import org.elderhitch.delegates.Grant
-import org.elderhitch.delegates.Named
 import org.elderhitch.workers.Foreman
 import org.elderhitch.workers.ForemanMessage
 import org.elderhitch.workers.MachineId
 import org.elderhitch.workers.WorkerLine
+import kotlin.random.Random
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
 
 /** One controller: its slices, and who tells whom what. Clocks, random numbers and network come from outside. */
 public class Controller(
@@ -82,35 +82,68 @@
     private var acting: Term? = null
     private var orderedOfCloud: Map<String, Any?> = emptyMap()
 
-    private val client = StateClient(transport, settings.state, settings.stateLimits, stateRequests, stateWrites) { answered ->
-        failing = !answered
-        if (answered) lastContact = clock.now()
-    }
+    private val client =
+        StateClient(transport, settings.state, settings.stateLimits, stateRequests, stateWrites) { answered ->
+            failing = !answered
+            if (answered) lastContact = clock.now()
+        }
     private val book: JobBook = JobBook(scope, ::jobEvent)
     private val leadership: Leadership = Leadership(scope, settings.node, incarnation, client, times, clock, random)
-    private val cloud = CloudClient(transport, settings.cloud, RateBudget(clock, settings.cloudLimits.requestsPerS * CloudTurns.USABLE))
+    private val cloud = CloudClient(
+        transport,
+        settings.cloud,
+        RateBudget(
+            clock,
+            settings.cloudLimits.requestsPerS * CloudTurns.USABLE,
+        ),
+    )
     private val wiring: ForemanWiring = ForemanWiring(
-        scope, client, Recorder(client, book, settings.stateLimits.txnOps), book, WorkerLine(transport), leadership, ::featureSet,
+        scope, client,
+        Recorder(
+            client,
+            book,
+            settings.stateLimits.txnOps,
+        ),
+        book, WorkerLine(transport), leadership, ::featureSet,
         settings.stateLimits.valueBytes, ::entitled, ::cutOff, { renter }, { foreman.tell(it) },
     )
     private val foreman: Foreman =
-        Foreman(scope, times, settings.workers, settings.teams, settings.objectives, settings.node, settings.nodeZones, clock, wiring, wall, features.rules, onCycle, policy.silentReturnShare, settings.cpuShare) { featureSet().keeper(it)?.open(it) }
-    private val renter: Renter = Renter(scope, cloud, client, policy, settings.instantClasses, settings.cloudLimits, clock, fleetPorts())
-    private val catalog: CatalogKeeper = CatalogKeeper(scope, cloud, client, settings.stateLimits.valueBytes, { feed.loaded }, ::catalogIs)
-    private val feed: Feed = Feed(scope, client, clock, FeedFan(book, renter, catalog, foreman, leadership, ::featureSet, onUnserved))
-    private val leaderDesk: LeaderDesk = LeaderDesk(foreman, { leadership.tenure.value }) { leader, path, body, timeout -> cluster.atLeader(leader, path, body, timeout) }
+        Foreman(scope, times, settings.workers, settings.teams, settings.objectives, settings.node, settings.nodeZones, clock, wiring, wall, features.rules, onCycle, policy.silentReturnShare, settings.cpuShare) {
+            featureSet().keeper(it)?.open(it)
+        }
+    private val renter: Renter =
+        Renter(scope, cloud, client, policy, settings.instantClasses, settings.cloudLimits, clock, fleetPorts())
+    private val catalog: CatalogKeeper =
+        CatalogKeeper(scope, cloud, client, settings.stateLimits.valueBytes, { feed.loaded }, ::catalogIs)
+    private val feed: Feed =
+        Feed(scope, client, clock, FeedFan(book, renter, catalog, foreman, leadership, ::featureSet, onUnserved))
+    private val leaderDesk: LeaderDesk =
+        LeaderDesk(foreman, {
+            leadership.tenure.value
+        }) { leader, path, body, timeout -> cluster.atLeader(leader, path, body, timeout) }
     private val desk = JobDesk(
         book, feed, client, settings.teams, { catalog.canEverRun(it) }, settings.stateLimits.valueBytes, wall,
-        { leaderDesk.account(it.id) }, features.rules, Admission(bound) { cluster.leastBound() }, { featureSet().keeper(it) },
+        {
+            leaderDesk.account(it.id)
+        }, features.rules, Admission(bound) { cluster.leastBound() }, { featureSet().keeper(it) },
         { id, record -> cluster.tellEnded(id, record) },
     )
-    private val cluster: Cluster = Cluster(scope, settings.node, incarnation, settings.peers, transport, clock, clusterPorts())
+    private val cluster: Cluster =
+        Cluster(scope, settings.node, incarnation, settings.peers, transport, clock, clusterPorts())
     private val features: FeatureSet = FeatureSet(
         features.factories.map {
-            it.make(FeatureContext(scope, settings, clock, wall, random, client, desk, meters, feed::sync, { leadership.tenure.value }, leaderDesk::hold, ::jobEvent, { id: JobId -> wiring.running[id] ?: 0 }, leaderDesk::atFault))
+            it.make(
+                FeatureContext(scope, settings, clock, wall, random, client, desk, meters, feed::sync, {
+                    leadership.tenure.value
+                }, leaderDesk::hold, ::jobEvent, { id: JobId ->
+                    wiring.running[id]
+                        ?: 0
+                }, leaderDesk::atFault),
+            )
         },
     )
-    private val edge: Edge = Edge(desk, foreman, cluster, ::reachesState, { feed.loaded }, meters, this.features, leaderDesk, ::status)
+    private val edge: Edge =
+        Edge(desk, foreman, cluster, ::reachesState, { feed.loaded }, meters, this.features, leaderDesk, ::status)
 
     /** For users, workers and probes. */
     public val clients: Handler get() = edge
@@ -153,7 +186,11 @@
     private fun cutOff(leader: NodeName): Boolean {
         if (cluster.hears(leader)) return false
         val its = settings.nodeZones[leader]
-        if (its != null && its != settings.zone && settings.nodeZones.none { (node, zone) -> zone == its && cluster.hears(node) }) return true
+        if (its != null && its != settings.zone &&
+            settings.nodeZones.none { (node, zone) -> zone == its && cluster.hears(node) }
+        ) {
+            return true
+        }
         val now = clock.now()
         if (lastContact > probedAt && now - lastContact > PROBE_AFTER) {
             probedAt = now
@@ -194,7 +231,11 @@
 
     /** A leader's rights rest on what it knows, which ages: as often as it renews its lease it asks for all that it may lack. */
     private suspend fun prove(leading: Tenure.Leading) {
-        while ((leadership.tenure.value as? Tenure.Leading)?.term == leading.term) delay(if (feed.prove()) times.renewEvery else PROVE_RETRY)
+        while ((leadership.tenure.value as? Tenure.Leading)?.term ==
+            leading.term
+        ) {
+            delay(if (feed.prove()) times.renewEvery else PROVE_RETRY)
+        }
     }
 
     private fun jobEvent(event: JobEvent) {
@@ -208,7 +249,8 @@
     }
 
     private fun entitled(claimed: Tenure.Leading): Boolean =
-        (leadership.tenure.value as? Tenure.Leading)?.let { it.term == claimed.term && it.mayCommand(clock.now()) } ?: false
+        (leadership.tenure.value as? Tenure.Leading)?.let { it.term == claimed.term && it.mayCommand(clock.now()) }
+            ?: false
 
     private fun fleetPorts(): FleetPorts = object : FleetPorts {
         override fun foreman(message: ForemanMessage) = foreman.tell(message)
@@ -243,7 +285,9 @@
 
         override val longestGrant: Duration = times.window + times.hold
 
-        override fun ended(endings: Map<JobId, EndRecord>) = endings.forEach { (id, record) -> book.tell(JobMessage.EndedElsewhere(id, record)) }
+        override fun ended(endings: Map<JobId, EndRecord>) = endings.forEach { (id, record) ->
+            book.tell(JobMessage.EndedElsewhere(id, record))
+        }
 
         override fun leaderCounts(counts: Map<JobId, Int>) = book.tell(JobMessage.Running(counts))
 
--- a/src/main/kotlin/org/elderhitch/app/Daemon.kt
+++ b/src/main/kotlin/org/elderhitch/app/Daemon.kt
@@ -66,21 +66,44 @@
         val scope = scope(loop)
         val group = channelGroup(loop)
         val client = HttpClient(group, SystemSteadyClock)
-        val controller = Controller(scope, settings, policy, client, SystemSteadyClock, SystemWallClock, SecureRandom().asKotlinRandom(), features) { reason ->
-            System.err.println("elderhitch: $reason")
-            exitProcess(EXIT_SETTINGS)
-        }
-        val server = HttpServer(group, scope, SystemSteadyClock, (settings.maxSockets - OUTGOING_SOCKETS).coerceAtLeast(OUTGOING_SOCKETS))
+        val controller =
+            Controller(
+                scope,
+                settings,
+                policy,
+                client,
+                SystemSteadyClock,
+                SystemWallClock,
+                SecureRandom().asKotlinRandom(),
+                features,
+            ) { reason ->
+                System.err.println("elderhitch: $reason")
+                exitProcess(EXIT_SETTINGS)
+            }
+        val server =
+            HttpServer(
+                group,
+                scope,
+                SystemSteadyClock,
+                (settings.maxSockets - OUTGOING_SOCKETS).coerceAtLeast(OUTGOING_SOCKETS),
+            )
         scope.launch {
             try {
                 server.listen(settings.clientListen, controller.clients)
                 server.listen(settings.clusterListen, controller.peers)
             } catch (e: IOException) {
-                System.err.println("elderhitch: can't listen on ${settings.clientListen} or ${settings.clusterListen}: ${e.message}")
+                System.err.println(
+                    "elderhitch: can't listen on ${settings.clientListen} or ${settings.clusterListen}: ${e.message}",
+                )
                 exitProcess(EXIT_SETTINGS)
             }
             controller.start()
-            log.info("node up node={} clients={} cluster={}", settings.node, settings.clientListen, settings.clusterListen)
+            log.info(
+                "node up node={} clients={} cluster={}",
+                settings.node,
+                settings.clientListen,
+                settings.clusterListen,
+            )
         }
     }
 }
--- a/src/main/kotlin/org/elderhitch/app/Edge.kt
+++ b/src/main/kotlin/org/elderhitch/app/Edge.kt
@@ -39,12 +39,24 @@
 
     override suspend fun handle(request: Request): Response = when {
         request.path == "/checkin" -> HttpServer.only("POST", request) { report(request) }
+
         request.path == "/ready" -> HttpServer.only("GET", request) {
-            if (ready()) Response(OK, Json.bytes(mapOf("ready" to true))) else HttpServer.refusal(BUSY, "starting", RETRY)
+            if (ready()) {
+                Response(
+                    OK,
+                    Json.bytes(mapOf("ready" to true)),
+                )
+            } else {
+                HttpServer.refusal(BUSY, "starting", RETRY)
+            }
         }
+
         request.path == "/status" -> HttpServer.only("GET", request) { Response(OK, Json.bytes(status())) }
+
         request.path == "/work" || request.path.startsWith("/work/") -> meters.timed(request) { user(request) }
+
         request.path.startsWith(EXPLAIN) || request.path.startsWith(RELEASE) -> user(request)
+
         // Their clients know all nodes: what this one can't answer isn't handed on.
         else -> features.at(request.path)?.handle(request) ?: HttpServer.refusal(NOT_FOUND, "no such path")
     }
@@ -59,7 +71,10 @@
         foreman.tell(ForemanMessage.ReportIn(report, reply))
         return when (val answer = reply.await()) {
             is ReportAnswer.Accepted -> Response(OK, ReportCodec.encode(answer.term, answer.commands))
-            is ReportAnswer.Elsewhere -> answer.leader?.takeIf(cluster::hears)?.let { Response(MISDIRECTED, Json.bytes(mapOf("auctioneer" to it.text))) }
+
+            is ReportAnswer.Elsewhere -> answer.leader?.takeIf(cluster::hears)?.let {
+                Response(MISDIRECTED, Json.bytes(mapOf("auctioneer" to it.text)))
+            }
                 ?: HttpServer.refusal(BUSY, "no leader known here", RETRY)
         }
     }
@@ -73,8 +88,12 @@
 
     /** Answers without handing the request on to another controller. */
     public suspend fun serveHere(request: Request): Response = when {
-        request.path.startsWith(EXPLAIN) -> HttpServer.only("GET", request) { explain(request.path.removePrefix(EXPLAIN)) }
+        request.path.startsWith(EXPLAIN) -> HttpServer.only("GET", request) {
+            explain(request.path.removePrefix(EXPLAIN))
+        }
+
         request.path.startsWith(RELEASE) -> HttpServer.only("POST", request) { release(request) }
+
         else -> work(request)
     }
 
@@ -86,7 +105,10 @@
         if (shown !is Answer.State && said.isEmpty()) return answer(Answer.Unknown)
         val lines = said + when (val known = if (shown is Answer.State) desk.lookup(id) else null) {
             is Known.Ended -> ended(known.record)
-            is Known.Open -> leader.explain(id) ?: listOf("no leader answers here; nothing new is started until one does")
+
+            is Known.Open -> leader.explain(id)
+                ?: listOf("no leader answers here; nothing new is started until one does")
+
             else -> emptyList()
         }
         val standing = (shown as? Answer.State)?.standing?.word
@@ -110,21 +132,45 @@
         } catch (e: MalformedJson) {
             return HttpServer.refusal(BAD, e.message.orEmpty())
         }
-        if (reason.isBlank() || reason.length > LONGEST_REASON) return HttpServer.refusal(BAD, "reason: empty or over $LONGEST_REASON characters")
+        if (reason.isBlank() ||
+            reason.length > LONGEST_REASON
+        ) {
+            return HttpServer.refusal(BAD, "reason: empty or over $LONGEST_REASON characters")
+        }
         val released = desk.release(id) { it.kind == HoldKind.ATTEMPTS }
-        if (released is Answer.State) log.info("job released job={} from={} reason=\"{}\"", id, request.from, reason.filter { it >= ' ' && it != '"' })
-        return if (released == Answer.Unknown) HttpServer.refusal(NOT_FOUND, "no such job held by a rule") else answer(released)
+        if (released is Answer.State) {
+            log.info(
+                "job released job={} from={} reason=\"{}\"",
+                id,
+                request.from,
+                reason.filter {
+                    it >=
+                        ' ' &&
+                        it != '"'
+                },
+            )
+        }
+        return if (released ==
+            Answer.Unknown
+        ) {
+            HttpServer.refusal(NOT_FOUND, "no such job held by a rule")
+        } else {
+            answer(released)
+        }
     }
 
     private suspend fun work(request: Request): Response {
         val rest = request.path.removePrefix("/work").removePrefix("/")
         return when {
             rest.isEmpty() -> HttpServer.only("POST", request) { answer(desk.submit(request.body)) }
+
             rest.endsWith(WITHDRAW) -> HttpServer.only("POST", request) {
                 val id = JobId.parse(rest.removeSuffix(WITHDRAW))
                 answer(if (id == null) Answer.Unknown else desk.withdraw(id))
             }
+
             '/' in rest -> HttpServer.refusal(NOT_FOUND, "no such path")
+
             else -> HttpServer.only("GET", request) {
                 val id = JobId.parse(rest)
                 answer(if (id == null) Answer.Unknown else desk.show(id))
--- a/src/main/kotlin/org/elderhitch/app/FeedFan.kt
+++ b/src/main/kotlin/org/elderhitch/app/FeedFan.kt
@@ -44,7 +44,9 @@
         book.tell(JobMessage.Changed(changes))
         renter.tell(FleetMessage.Changed(changes))
         features().changed(changes)
-        changes.lastOrNull { it.key == Keys.IMAGES }?.let { change -> (change as? Change.Put)?.let { hinted(it.entry) } }
+        changes.lastOrNull {
+            it.key == Keys.IMAGES
+        }?.let { change -> (change as? Change.Put)?.let { hinted(it.entry) } }
         val last = changes.lastOrNull { it.key == Keys.LEADER } ?: return
         leadership.tell(LeadershipMessage.LeaderSeen((last as? Change.Put)?.entry))
     }
--- a/src/main/kotlin/org/elderhitch/app/ForemanWiring.kt
+++ b/src/main/kotlin/org/elderhitch/app/ForemanWiring.kt
@@ -75,7 +75,11 @@
             for ((keeper, jobs) in finished.filter { it.kept }.groupBy { features().keeper(it.job) }) {
                 kept = kept?.let { before -> keeper?.record(tenure, jobs)?.let { before + it } }
             }
-            if (recorded == null || kept == null) leadership.tell(LeadershipMessage.TermSeen(Term(tenure.term.number + 1)))
+            if (recorded == null ||
+                kept == null
+            ) {
+                leadership.tell(LeadershipMessage.TermSeen(Term(tenure.term.number + 1)))
+            }
             tell(ForemanMessage.Recorded(tenure.term, recorded.orEmpty() + kept.orEmpty()))
         }
     }
@@ -90,8 +94,17 @@
             while (true) {
                 val outcome = when (val written = recorder.hold(tenure, job, version, before, hold)) {
                     is CommitOutcome.Committed -> HoldWrite.WRITTEN
-                    is CommitOutcome.Conflict -> if (Keys.job(job) in written.failed && Keys.TERM !in written.failed) HoldWrite.JOB_GONE else HoldWrite.NOT_WRITTEN
+
+                    is CommitOutcome.Conflict -> if (Keys.job(job) in written.failed &&
+                        Keys.TERM !in written.failed
+                    ) {
+                        HoldWrite.JOB_GONE
+                    } else {
+                        HoldWrite.NOT_WRITTEN
+                    }
+
                     CommitOutcome.Unknown -> HoldWrite.UNKNOWN
+
                     // Says nothing of an earlier try that nobody answered: that one may yet be carried out.
                     CommitOutcome.Refused, CommitOutcome.NoSuchLease -> if (unclear) HoldWrite.UNKNOWN else HoldWrite.NOT_WRITTEN
                 }
@@ -113,15 +126,27 @@
         if (value == lastHint) return
         lastHint = value
         scope.launch {
-            client.commit(listOf(Condition(Keys.TERM, tenure.counter)), listOf(Write.Put(Keys.IMAGES, value)), Purpose.OTHER)
+            client.commit(
+                listOf(Condition(Keys.TERM, tenure.counter)),
+                listOf(Write.Put(Keys.IMAGES, value)),
+                Purpose.OTHER,
+            )
         }
     }
 
     override fun ask(tenure: Tenure.Leading, at: Address, machine: MachineId) {
-        scope.launch { tell(ForemanMessage.Asked(tenure.term, machine, line.ask(at, tenure.term) { entitled(tenure) })) }
+        scope.launch {
+            tell(ForemanMessage.Asked(tenure.term, machine, line.ask(at, tenure.term) { entitled(tenure) }))
+        }
     }
 
-    override fun command(tenure: Tenure.Leading, to: Address, machine: MachineId, session: Long, commands: List<Command>) {
+    override fun command(
+        tenure: Tenure.Leading,
+        to: Address,
+        machine: MachineId,
+        session: Long,
+        commands: List<Command>,
+    ) {
         scope.launch {
             val outcome = line.send(to, tenure.term, session, commands) { entitled(tenure) }
             val starts = commands.filterIsInstance<Command.Start>().map { it.task to it.attempt }.toSet()
--- a/src/main/kotlin/org/elderhitch/app/LeaderDesk.kt
+++ b/src/main/kotlin/org/elderhitch/app/LeaderDesk.kt
@@ -2,6 +2,7 @@
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.withTimeoutOrNull
+import org.elderhitch.delegates.Named
 import org.elderhitch.http.HttpServer
 import org.elderhitch.http.Request
 import org.elderhitch.http.Response
@@ -14,7 +15,6 @@
 import org.elderhitch.json.MalformedJson
 import org.elderhitch.leadership.Tenure
 import org.elderhitch.settings.NodeName
-import org.elderhitch.delegates.Named
 import org.elderhitch.workers.Foreman
 import org.elderhitch.workers.ForemanMessage
 import org.elderhitch.workers.HoldAnswer
@@ -43,12 +43,16 @@
     /** Null: no leader answers. Empty: the leader knows no such open job. */
     public suspend fun explain(id: JobId): List<String>? {
         if (leads()) return here<List<String>?> { ForemanMessage.Explain(id, it) }.orEmpty()
-        return there("explain", mapOf("id" to id.text), PATIENT)?.let { answer -> decoded { answer.stringsOrNull("lines").orEmpty() } }
+        return there("explain", mapOf("id" to id.text), PATIENT)?.let { answer ->
+            decoded { answer.stringsOrNull("lines").orEmpty() }
+        }
     }
 
     public suspend fun hold(id: JobId, kind: HoldKind, reason: String): HoldAnswer {
         if (leads()) return here { ForemanMessage.HoldJob(id, kind, reason, it) }
-        val answer = there("hold", mapOf("id" to id.text, "kind" to kind.name, "why" to reason), LONG) ?: return HoldAnswer.NotNow("no leader answers")
+        val answer =
+            there("hold", mapOf("id" to id.text, "kind" to kind.name, "why" to reason), LONG)
+                ?: return HoldAnswer.NotNow("no leader answers")
         val why = answer.stringOrNull("why").orEmpty()
         return when (answer.stringOrNull("hold")) {
             "held" -> HoldAnswer.Held
@@ -74,7 +78,11 @@
     /** From another node. 503 unless this one leads. */
     public suspend fun handle(request: Request): Response {
         if (!leads()) return HttpServer.refusal(BUSY, "not the leader")
-        if (request.path == "faults") return Response(OK, Json.bytes(mapOf("jobs" to atFault().orEmpty().take(MOST_TOLD).map { it.text })))
+        if (request.path ==
+            "faults"
+        ) {
+            return Response(OK, Json.bytes(mapOf("jobs" to atFault().orEmpty().take(MOST_TOLD).map { it.text })))
+        }
         val body: JsonObject
         val id: JobId
         try {
@@ -85,11 +93,16 @@
         }
         val answer: Map<String, Any?> = when (request.path) {
             "account" -> mapOf("acct" to account(id)?.encode())
+
             "explain" -> mapOf("lines" to explain(id).orEmpty())
+
             "hold" -> {
-                val kind = HoldKind.entries.firstOrNull { it.name == body.stringOrNull("kind") } ?: return HttpServer.refusal(BAD, "kind: unknown")
+                val kind =
+                    HoldKind.entries.firstOrNull { it.name == body.stringOrNull("kind") }
+                        ?: return HttpServer.refusal(BAD, "kind: unknown")
                 encode(hold(id, kind, body.stringOrNull("why").orEmpty()))
             }
+
             else -> return HttpServer.refusal(BAD, "no such question")
         }
         return Response(OK, Json.bytes(answer))
--- a/src/main/kotlin/org/elderhitch/app/Main.kt
+++ b/src/main/kotlin/org/elderhitch/app/Main.kt
@@ -26,6 +26,12 @@
     val words = if (args.firstOrNull() == "--config") arrayOf("serve", *args) else args
     val commands = listOf(Serve(), Submit(), Show(), Withdraw(), Explain(), Release(), Status(), StandIns(), Rehearse())
     // The daemon starts on a small share of a core: it loads nothing of what others may do.
-    val others = if (words.firstOrNull() == "serve") emptyList() else listOf(DrmaaCommand(), TemplateCommand(), SweepCommand(), LabCommand())
+    val others = if (words.firstOrNull() ==
+        "serve"
+    ) {
+        emptyList()
+    } else {
+        listOf(DrmaaCommand(), TemplateCommand(), SweepCommand(), LabCommand())
+    }
     Elderhitch().subcommands(commands + others).main(words)
 }
--- a/src/main/kotlin/org/elderhitch/app/Meters.kt
+++ b/src/main/kotlin/org/elderhitch/app/Meters.kt
@@ -41,8 +41,11 @@
                 "mean_ms" to meter.mean(TimeUnit.MILLISECONDS),
                 "max_ms" to meter.max(TimeUnit.MILLISECONDS),
             )
+
             is Counter -> meter.count()
+
             is Gauge -> meter.value()
+
             else -> null
         }
     }
--- a/src/main/kotlin/org/elderhitch/app/Rehearsal.kt
+++ b/src/main/kotlin/org/elderhitch/app/Rehearsal.kt
@@ -49,7 +49,14 @@
         val loop = Daemon.loop()
         val scope = Daemon.scope(loop)
         val group = channelGroup(loop)
-        val platform = start(settings, scope, HttpClient(group, SystemSteadyClock), HttpServer(group, scope, SystemSteadyClock, SOCKETS), nodes)
+        val platform =
+            start(
+                settings,
+                scope,
+                HttpClient(group, SystemSteadyClock),
+                HttpServer(group, scope, SystemSteadyClock, SOCKETS),
+                nodes,
+            )
         uploads?.let { folder -> platform.uploaded = { job -> uploaded(File(folder, "$job.json")) } }
         log.info("stand-ins up state={} cloud={}", settings.state, settings.cloud)
     }
@@ -65,7 +72,13 @@
         null
     }
 
-    private fun start(settings: Settings, scope: CoroutineScope, client: HttpClient, server: HttpServer, known: Map<String, Address>? = null): StandInPlatform {
+    private fun start(
+        settings: Settings,
+        scope: CoroutineScope,
+        client: HttpClient,
+        server: HttpServer,
+        known: Map<String, Address>? = null,
+    ): StandInPlatform {
         // The settings name the other controllers' cluster addresses only.
         val nodes = known ?: mapOf(settings.node.text to settings.clientListen)
         val platform = StandInPlatform(
@@ -107,7 +120,16 @@
         runBlocking {
             withContext(scope.coroutineContext) {
                 start(settings, scope, client, server)
-                val controller = Controller(scope, settings, FleetPolicy(), client, SystemSteadyClock, SystemWallClock, Random.Default)
+                val controller =
+                    Controller(
+                        scope,
+                        settings,
+                        FleetPolicy(),
+                        client,
+                        SystemSteadyClock,
+                        SystemWallClock,
+                        Random.Default,
+                    )
                 controller.start()
                 server.listen(settings.clientListen, controller.clients)
                 server.listen(settings.clusterListen, controller.peers)
@@ -152,14 +174,33 @@
     private fun exampleSettings(ports: List<Int>): Map<String, Any?> {
         val (clients, cluster, cloud, state, nobody) = ports.map { "127.0.0.1:$it" }
         return linkedMapOf(
-            "node_name" to "rehearsal-0", "zone" to "a", "client_listen" to clients, "cluster_listen" to cluster,
+            "node_name" to "rehearsal-0",
+            "zone" to "a",
+            "client_listen" to clients,
+            "cluster_listen" to cluster,
             // A peer that isn't there: the code that greets it is rehearsed as well.
             "known" to listOf(linkedMapOf("node_name" to "rehearsal-1", "zone" to "b", "address" to nobody)),
             "external" to linkedMapOf("cloud" to cloud, "state" to state),
             "settings" to linkedMapOf(
                 "zones" to listOf("a", "b"),
-                "teams" to listOf(linkedMapOf("name" to "team", "cpus" to 0.0, "cpus_max" to 0.0, "gpus" to 0.0, "gpus_max" to 64.0)),
-                "workers" to linkedMapOf("report_s" to 0.5, "lease_s" to 10.0, "gang_wait_s" to 30.0, "gang_peer_s" to 5.0, "cancel_s" to 40.0),
+                "teams" to
+                    listOf(
+                        linkedMapOf(
+                            "name" to "team",
+                            "cpus" to 0.0,
+                            "cpus_max" to 0.0,
+                            "gpus" to 0.0,
+                            "gpus_max" to 64.0,
+                        ),
+                    ),
+                "workers" to
+                    linkedMapOf(
+                        "report_s" to 0.5,
+                        "lease_s" to 10.0,
+                        "gang_wait_s" to 30.0,
+                        "gang_peer_s" to 5.0,
+                        "cancel_s" to 40.0,
+                    ),
                 "state" to linkedMapOf("rps" to 200.0, "write_rps" to 50.0, "value_kb" to 8.0, "txn_ops" to 8),
                 "cloud" to linkedMapOf("rps" to 10.0, "list_lag_s" to 1.0),
             ),
--- a/src/main/kotlin/org/elderhitch/cluster/Cluster.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/Cluster.kt
@@ -7,6 +7,9 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.protobuf.ProtoBuf
 import kotlinx.serialization.protobuf.ProtoNumber
+import org.elderhitch.delegates.FormerTerms
+import org.elderhitch.delegates.Grant
+import org.elderhitch.delegates.Named
 import org.elderhitch.http.Handler
 import org.elderhitch.http.HttpServer
 import org.elderhitch.http.Request
@@ -23,9 +26,6 @@
 import org.elderhitch.time.Moment
 import org.elderhitch.time.SteadyClock
 import org.elderhitch.time.shortened
-import org.elderhitch.delegates.FormerTerms
-import org.elderhitch.delegates.Grant
-import org.elderhitch.delegates.Named
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -147,7 +147,15 @@
             is Tenure.Following -> tenure.term
         }
         val running = if (leading) ports.running().entries.associate { it.key.text to it.value } else emptyMap()
-        return Hello(self.text, incarnation.text, term.number, leading, ports.reachesState(), running, ports.bound().bytes)
+        return Hello(
+            self.text,
+            incarnation.text,
+            term.number,
+            leading,
+            ports.reachesState(),
+            running,
+            ports.bound().bytes,
+        )
     }
 
     private suspend fun greet(state: PeerState) {
@@ -167,7 +175,13 @@
     private fun named(leader: NodeName, hello: Hello, asked: Moment) {
         val span = hello.delegateMs.milliseconds
         if (hello.node != leader.text || !hello.leading || !span.isPositive() || span > ports.longestGrant) {
-            log.info("lease delegate ignored by={} says={} leading={} for_ms={}", leader, hello.node, hello.leading, hello.delegateMs)
+            log.info(
+                "lease delegate ignored by={} says={} leading={} for_ms={}",
+                leader,
+                hello.node,
+                hello.leading,
+                hello.delegateMs,
+            )
             return
         }
         ports.delegateNamed(Grant(Term(hello.term), leader, asked + span.shortened()))
@@ -186,7 +200,13 @@
         // Kept when it falls silent: it must be able to start again on all that is accepted meanwhile.
         if (hello.bound > 0) state.bound = Footprint(hello.bound)
         ports.termSeen(Term(hello.term))
-        if (hello.leading) ports.leaderCounts(hello.running.mapNotNull { (id, n) -> JobId.parse(id)?.let { it to n } }.toMap())
+        if (hello.leading) {
+            ports.leaderCounts(
+                hello.running.mapNotNull { (id, n) ->
+                    JobId.parse(id)?.let { it to n }
+                }.toMap(),
+            )
+        }
         formerTerms.heard(node, Incarnation(hello.run), Term(hello.term), asked)
         checkFormer()
     }
@@ -209,32 +229,62 @@
                 // Read after the wait: whoever lost the lead meanwhile names nobody.
                 val own = hello()
                 val mine = named?.takeIf { own.leading && own.term == it.term.number }
-                binary(ProtoBuf.encodeToByteArray(Hello.serializer(), own.copy(delegateMs = mine?.span?.inWholeMilliseconds ?: 0)))
+                binary(
+                    ProtoBuf.encodeToByteArray(
+                        Hello.serializer(),
+                        own.copy(
+                            delegateMs =
+                            mine?.span?.inWholeMilliseconds ?: 0,
+                        ),
+                    ),
+                )
             }
         }
+
         EndingTeller.PATH -> {
             val news = decoded(request.body, EndingNews.serializer())
             when {
                 news == null -> HttpServer.refusal(BAD, "no news")
+
                 NodeName(news.node) !in states -> {
                     log.info("ending ignored node={} reason=\"no such controller\"", news.node)
                     HttpServer.refusal(BAD, "no such controller")
                 }
+
                 else -> {
                     ports.ended(endings.heard(news))
                     binary(ByteArray(0))
                 }
             }
         }
+
         "/cluster/forward" -> handedOn(request) { ports.serve(it) }
+
         "/cluster/lead" -> handedOn(request) { ports.lead(it) }
+
         else -> HttpServer.refusal(NOT_FOUND, "no such path")
     }
 
     private suspend fun handedOn(request: Request, serve: suspend (Request) -> Response): Response {
         val forwarded = decoded(request.body, Forwarded.serializer()) ?: return HttpServer.refusal(BAD, "no request")
-        val answer = serve(Request(forwarded.method, forwarded.path, emptyMap(), forwarded.body, forwarded.from.ifEmpty { null }))
-        return binary(ProtoBuf.encodeToByteArray(ForwardedAnswer.serializer(), ForwardedAnswer(answer.status, answer.body, answer.headers)))
+        val answer =
+            serve(
+                Request(
+                    forwarded.method,
+                    forwarded.path,
+                    emptyMap(),
+                    forwarded.body,
+                    forwarded.from.ifEmpty {
+                        null
+                    },
+                ),
+            )
+        return binary(
+            ProtoBuf.encodeToByteArray(
+                ForwardedAnswer.serializer(),
+                ForwardedAnswer(answer.status, answer.body, answer.headers),
+            ),
+        )
     }
 
     /** A withdrawal has been recorded here. */
@@ -250,7 +300,10 @@
     }
 
     private suspend fun handOn(state: PeerState, target: String, request: Request, timeout: Duration): Response? {
-        val body = ProtoBuf.encodeToByteArray(Forwarded.serializer(), Forwarded(request.method, request.path, request.body, request.from.orEmpty()))
+        val body = ProtoBuf.encodeToByteArray(
+            Forwarded.serializer(),
+            Forwarded(request.method, request.path, request.body, request.from.orEmpty()),
+        )
         val answer = transport.call(state.peer.address, "POST", target, body, timeout)
         if (answer == null || answer.status != OK) return null
         val inner = decoded(answer.body, ForwardedAnswer.serializer()) ?: return null
--- a/src/main/kotlin/org/elderhitch/cluster/EndingNews.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/EndingNews.kt
@@ -35,7 +35,12 @@
  * them so, and stops the tasks seconds or a lease sooner. No rule rests on it; whoever misses it learns from the state service.
  */
 @OptIn(ExperimentalSerializationApi::class)
-internal class EndingTeller(private val scope: CoroutineScope, private val self: String, private val peers: List<Peer>, private val transport: Transport) {
+internal class EndingTeller(
+    private val scope: CoroutineScope,
+    private val self: String,
+    private val peers: List<Peer>,
+    private val transport: Transport,
+) {
     private val log = LoggerFactory.getLogger("elderhitch.cluster")
     private var waiting = ArrayList<ToldEnding>()
 
@@ -63,7 +68,14 @@
                 null
             }
             val id = JobId.parse(told.job)
-            if (id == null || record == null) log.info("ending ignored node={} job={} reason=malformed", news.node, id?.text ?: "none") else read[id] = record
+            if (id == null ||
+                record == null
+            ) {
+                log.info("ending ignored node={} job={} reason=malformed", news.node, id?.text ?: "none")
+            } else {
+                read[id] =
+                    record
+            }
         }
         return read
     }
--- a/src/main/kotlin/org/elderhitch/delegates/FormerTerms.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/FormerTerms.kt
@@ -32,7 +32,11 @@
      * Whether the run that led before [leading] has ended: another run of its node answered a question that was sent after the claim. Another run that was heard of
      * *before* may be the one before it: of a node that was cut off from this one while it started anew and led.
      */
-    private fun hasEnded(former: Former, leading: Tenure.Leading): Boolean = runs[former.node].let { it != null && it.of != former.incarnation && it.asked >= leading.claimedAt }
+    private fun hasEnded(former: Former, leading: Tenure.Leading): Boolean = runs[former.node].let {
+        it != null &&
+            it.of != former.incarnation &&
+            it.asked >= leading.claimedAt
+    }
 
     /**
      * Whether the run that led before has ended: whoever reported to it has noticed by now, and tries the next controller. It says nothing of lease delegates. A former
@@ -46,6 +50,7 @@
     /** A run that was started after the claim, of the node that led before, has ended the one that did. */
     public fun allStopped(leading: Tenure.Leading): Boolean = peers.all { peer ->
         val former = leading.former
-        terms[peer].let { it != null && it >= leading.term } || former != null && former.node == peer && hasEnded(former, leading)
+        terms[peer].let { it != null && it >= leading.term } ||
+            former != null && former.node == peer && hasEnded(former, leading)
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Control.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Control.kt
@@ -52,7 +52,11 @@
 
     private suspend fun heldNot(name: JobName): HeldJob? {
         book.look(name.session) { } ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
-        if (desk.show(name.id) == Answer.Unknown) throw Refused(Fault.InvalidJobException, "$name is no job of this session")
+        if (desk.show(name.id) ==
+            Answer.Unknown
+        ) {
+            throw Refused(Fault.InvalidJobException, "$name is no job of this session")
+        }
         return null
     }
 
@@ -62,11 +66,14 @@
                 if (!sync()) throw notNow("the state service doesn't answer")
                 onSubmitted(name, action)
             }
+
             Action.RELEASE -> {
                 if (!held.byUser) throw Refused(action.inconsistent, "$name waits for its start time")
                 submissions.release(name, held)
             }
+
             Action.HOLD -> if (!held.byUser) throw Refused(action.inconsistent, "$name waits for its start time")
+
             Action.SUSPEND, Action.RESUME -> throw Refused(action.inconsistent, "$name has not been submitted yet")
         }
     }
@@ -87,7 +94,16 @@
         val open = desk.lookup(name.id) as? Known.Open
         val rule = open?.hold?.takeIf { it.kind == HoldKind.ATTEMPTS }
         if (rule != null) throw Refused(Fault.DeniedByDrmException, rule.reason)
-        throw Refused(action.inconsistent, if (open == null) "$name has ended" else "$name is not ${if (kind == HoldKind.USER) "on hold" else "suspended"}")
+        throw Refused(
+            action.inconsistent,
+            if (open ==
+                null
+            ) {
+                "$name has ended"
+            } else {
+                "$name is not ${if (kind == HoldKind.USER) "on hold" else "suspended"}"
+            },
+        )
     }
 
     private fun told(name: JobName, answer: Answer) {
@@ -116,8 +132,14 @@
     public suspend fun all(session: SessionName, action: Action, upTo: Map<ClientTag, Int>): Progress {
         if (!sync()) throw notNow("the state service doesn't answer")
         val until = clock.now() + ALL_WITHIN
-        val jobs = book.look(session) { view -> (view.state.openJobs(upTo) + view.heldJobs().filter { it.number <= (upTo[it.tag] ?: -1) }).toList() }
-            ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
+        val jobs =
+            book.look(session) { view ->
+                (
+                    view.state.openJobs(upTo) +
+                        view.heldJobs().filter { it.number <= (upTo[it.tag] ?: -1) }
+                    ).toList()
+            }
+                ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
         var done = 0
         var refused = 0
         for ((n, name) in jobs.withIndex()) {
@@ -127,7 +149,17 @@
                 if (held != null) onHeld(name, held, action) else onSubmitted(name, action)
                 done++
             } catch (e: Refused) {
-                if (e.fault == Fault.DrmCommunicationException) return if (n > 0) Progress(done, jobs.size - n, refused) else throw e
+                if (e.fault ==
+                    Fault.DrmCommunicationException
+                ) {
+                    return if (n >
+                        0
+                    ) {
+                        Progress(done, jobs.size - n, refused)
+                    } else {
+                        throw e
+                    }
+                }
                 // A job to which the action doesn't apply is left as it is.
                 refused++
             }
@@ -145,16 +177,27 @@
         val (held, completed) = book.look(name.session) { it.held(name) to it.state.completed(result) }
             ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
         if (held != null) {
-            return if (!held.byUser) ProgramStatus.SYSTEM_ON_HOLD else if (held.startAt != null) ProgramStatus.USER_SYSTEM_ON_HOLD else ProgramStatus.USER_ON_HOLD
+            return if (!held.byUser) {
+                ProgramStatus.SYSTEM_ON_HOLD
+            } else if (held.startAt !=
+                null
+            ) {
+                ProgramStatus.USER_SYSTEM_ON_HOLD
+            } else {
+                ProgramStatus.USER_ON_HOLD
+            }
         }
         if (completed) return ProgramStatus.DONE
         return when (val shown = desk.show(name.id)) {
             Answer.Unknown -> throw Refused(Fault.InvalidJobException, "$name is no job of this session")
+
             is Answer.State -> when (val known = desk.lookup(name.id)) {
                 is Known.Open -> open(known)
                 else -> if (shown.standing.word == "done") ProgramStatus.DONE else ProgramStatus.FAILED
             }
+
             is Answer.NotNow -> throw notNow(shown.reason)
+
             else -> throw notNow("the job's state can't be told now")
         }
     }
--- a/src/main/kotlin/org/elderhitch/drmaa/DrmaaCommands.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/DrmaaCommands.kt
@@ -30,7 +30,8 @@
 private class NewKey : CoreCliktCommand(name = "key") {
     private val id by option("--name", help = "the key's name, as it stands in tokens").required()
 
-    override fun help(context: Context): String = "Print a new line for the key file; the first line of the file signs, both verify"
+    override fun help(context: Context): String =
+        "Print a new line for the key file; the first line of the file signs, both verify"
 
     override fun run() {
         val secret = ByteArray(SECRET_BYTES).also { SecureRandom().nextBytes(it) }
@@ -53,12 +54,18 @@
     private val keys by option("--keys", help = "the key file").required()
     private val team by option("--team", help = "the team whose limits apply").required()
     private val nodes by option("--nodes", help = "the controllers' client addresses, between commas").required()
-    private val days by option("--days", help = "how long it may open sessions; without it, for ever").int().restrictTo(1..3650)
+    private val days by option(
+        "--days",
+        help = "how long it may open sessions; without it, for ever",
+    ).int().restrictTo(1..3650)
 
     override fun help(context: Context): String = "Print a contact string with which a team's programs open sessions"
 
     override fun run() {
-        val addresses = nodes.split(',').map { Address.parse(it)?.text ?: throw CliktError("--nodes: \"$it\" is no address of the form 127.0.0.1:8080", statusCode = 2) }
+        val addresses = nodes.split(',').map {
+            Address.parse(it)?.text
+                ?: throw CliktError("--nodes: \"$it\" is no address of the form 127.0.0.1:8080", statusCode = 2)
+        }
         val tokens = try {
             Tokens.load(File(keys))
         } catch (e: BadKeys) {
--- a/src/main/kotlin/org/elderhitch/drmaa/DrmaaSettings.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/DrmaaSettings.kt
@@ -44,7 +44,9 @@
         }
         val defaults = DrmaaSettings(tokens, networks, emptyMap())
         return DrmaaSettings(
-            tokens, networks, section.section("categories")?.let(::categories).orEmpty(),
+            tokens,
+            networks,
+            section.section("categories")?.let(::categories).orEmpty(),
             section.whole("sessions_per_team", 1, MOST_SESSIONS) ?: defaults.sessionsPerTeam,
             section.whole("results_per_session", 1, MOST_RESULTS) ?: defaults.resultsPerSession,
             section.whole("held_per_team", 0, MOST_HELD) ?: defaults.heldPerTeam,
@@ -61,7 +63,14 @@
 
     private companion object {
         val KEYS = listOf(
-            "keys", "networks", "categories", "sessions_per_team", "results_per_session", "held_per_team", "keep_results_days", "keep_sessions_days",
+            "keys",
+            "networks",
+            "categories",
+            "sessions_per_team",
+            "results_per_session",
+            "held_per_team",
+            "keep_results_days",
+            "keep_sessions_days",
         )
         const val MOST_SESSIONS = 1000
         const val MOST_RESULTS = 1_000_000
--- a/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
@@ -105,11 +105,16 @@
     }
 
     private suspend fun endOf(result: ResultName): WallTime? =
-        (client.read(Keys.end(result.job.id), Purpose.OTHER) as? ReadOutcome.Found)?.let { EndRecord.decode(it.entry.value)?.account?.end }
+        (client.read(Keys.end(result.job.id), Purpose.OTHER) as? ReadOutcome.Found)?.let {
+            EndRecord.decode(it.entry.value)?.account?.end
+        }
 
     /** A job that its user holds for ever would be kept for ever. */
     private suspend fun overdue(session: SessionName, now: WallTime) {
-        for ((name, held) in book.heldJobs().filter { it.key.session == session && it.value.byUser && now - it.value.since > settings.keepSessions }) {
+        for ((name, held) in book.heldJobs().filter {
+            it.key.session == session && it.value.byUser &&
+                now - it.value.since > settings.keepSessions
+        }) {
             try {
                 if (submissions.end(name, held)) log.info("held job let go job={} held_since={}", name, held.since)
             } catch (e: Refused) {
@@ -135,8 +140,14 @@
         val taken = client.list(ReapKey.prefix(session), null) ?: return
         val blocks = client.list(Keys.finishedOf("${JobName.PREFIX}$session-"), null) ?: return
         taken.entries.chunked(txnOps).forEach { chunk -> drop(leading, chunk.map { Condition(it.key, it.version) }) }
-        blocks.entries.mapNotNull { (Keys.subject(it.key) as? Subject.Finished)?.id }.distinct().mapNotNull(JobName::parse).forEach { dropBlocks(leading, it) }
-        if (taken.entries.isEmpty() && wall.now() - at > KEEP_CLOSED) drop(leading, listOf(Condition(entry.key, entry.version)))
+        blocks.entries.mapNotNull {
+            (Keys.subject(it.key) as? Subject.Finished)?.id
+        }.distinct().mapNotNull(JobName::parse).forEach { dropBlocks(leading, it) }
+        if (taken.entries.isEmpty() &&
+            wall.now() - at > KEEP_CLOSED
+        ) {
+            drop(leading, listOf(Condition(entry.key, entry.version)))
+        }
     }
 
     private suspend fun drop(leading: Tenure.Leading, keys: List<Condition>): CommitOutcome =
--- a/src/main/kotlin/org/elderhitch/drmaa/Names.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Names.kt
@@ -39,7 +39,10 @@
     public companion object {
         public fun parse(text: String): RequestId? {
             val tag = ClientTag.parse(text.substringBefore('-')) ?: return null
-            return RequestId(tag, text.substringAfter('-', "").toIntOrNull()?.takeIf { it in 0..JobName.LARGEST } ?: return null)
+            return RequestId(
+                tag,
+                text.substringAfter('-', "").toIntOrNull()?.takeIf { it in 0..JobName.LARGEST } ?: return null,
+            )
         }
     }
 }
@@ -51,19 +54,28 @@
 public data class JobName(val session: SessionName, val tag: ClientTag, val number: Int, val members: Int?) {
     public val id: JobId get() = JobId(toString())
 
-    override fun toString(): String = "$PREFIX$session-$tag-${number.toString().padStart(DIGITS, '0')}" + (members?.let { "x$it" } ?: "")
+    override fun toString(): String =
+        "$PREFIX$session-$tag-${number.toString().padStart(DIGITS, '0')}" + (members?.let { "x$it" } ?: "")
 
     public companion object {
         public const val PREFIX: String = "req-d"
         public const val LARGEST: Int = 99_999_999
         private const val DIGITS = 8
-        private val FORM = Regex("$PREFIX([a-z0-9]{${SessionName.LENGTH}})-([a-z0-9]{${ClientTag.LENGTH}})-([0-9]{$DIGITS})(?:x([1-9][0-9]{0,5}))?")
+        private val FORM =
+            Regex(
+                "$PREFIX([a-z0-9]{${SessionName.LENGTH}})-([a-z0-9]{${ClientTag.LENGTH}})-([0-9]{$DIGITS})(?:x([1-9][0-9]{0,5}))?",
+            )
 
         /** Null for a job that no session submitted. */
         public fun parse(id: JobId): JobName? {
             if (!id.text.startsWith(PREFIX)) return null
             val (session, tag, number, members) = FORM.matchEntire(id.text)?.destructured ?: return null
-            val count = if (members.isEmpty()) null else members.toInt().takeIf { it <= JobCodec.MOST_TASKS } ?: return null
+            val count = if (members.isEmpty()) {
+                null
+            } else {
+                members.toInt().takeIf { it <= JobCodec.MOST_TASKS }
+                    ?: return null
+            }
             return JobName(SessionName(session), ClientTag(tag), number.toInt(), count)
         }
     }
@@ -128,13 +140,16 @@
 
     public fun closed(name: SessionName): String = CLOSED + name
 
-    public fun sessionOf(key: String): SessionName? = if (key.startsWith(SESSION)) SessionName.parse(key.substring(SESSION.length)) else null
+    public fun sessionOf(key: String): SessionName? =
+        if (key.startsWith(SESSION)) SessionName.parse(key.substring(SESSION.length)) else null
 
-    public fun heldOf(key: String): JobName? = if (key.startsWith(HELD)) JobId.parse(key.substring(HELD.length))?.let(JobName::parse) else null
+    public fun heldOf(key: String): JobName? =
+        if (key.startsWith(HELD)) JobId.parse(key.substring(HELD.length))?.let(JobName::parse) else null
 
     public const val ALL_CLOSED: String = CLOSED
 
-    public fun closedOf(key: String): SessionName? = if (key.startsWith(CLOSED)) SessionName.parse(key.substring(CLOSED.length)) else null
+    public fun closedOf(key: String): SessionName? =
+        if (key.startsWith(CLOSED)) SessionName.parse(key.substring(CLOSED.length)) else null
 
     /** Where the endings of a session's jobs stand. */
     public fun endings(name: SessionName): String = "v/z/end/${JobName.PREFIX}$name-"
--- a/src/main/kotlin/org/elderhitch/drmaa/Networks.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Networks.kt
@@ -10,7 +10,13 @@
     public fun allow(from: String?): Boolean {
         val address = from?.let { IPAddressString(it.substringBefore('%')).address } ?: return false
         // A socket that serves both families tells IPv4 clients as mapped into IPv6.
-        val plain = if (address.isIPv6 && address.toIPv6().isIPv4Mapped) address.toIPv6().embeddedIPv4Address else address
+        val plain = if (address.isIPv6 &&
+            address.toIPv6().isIPv4Mapped
+        ) {
+            address.toIPv6().embeddedIPv4Address
+        } else {
+            address
+        }
         return allowed.any { it.contains(plain) }
     }
 
@@ -25,8 +31,16 @@
                 } catch (e: AddressStringException) {
                     throw IllegalArgumentException("\"$text\" is no IP network: ${e.message}")
                 }
-                if (address == null || text.isBlank() || address.isAnyLocal && !address.isPrefixed) throw IllegalArgumentException("\"$text\" is no IP network")
-                if (address.isPrefixed && !address.isPrefixBlock) throw IllegalArgumentException("\"$text\" has bits set beyond its prefix")
+                if (address == null || text.isBlank() ||
+                    address.isAnyLocal && !address.isPrefixed
+                ) {
+                    throw IllegalArgumentException("\"$text\" is no IP network")
+                }
+                if (address.isPrefixed &&
+                    !address.isPrefixBlock
+                ) {
+                    throw IllegalArgumentException("\"$text\" has bits set beyond its prefix")
+                }
                 address
             },
         )
--- a/src/main/kotlin/org/elderhitch/drmaa/ReapBlock.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/ReapBlock.kt
@@ -37,8 +37,10 @@
 
     public fun at(version: Revision): ReapBlock = ReapBlock(taken, by, version)
 
-    public fun encode(): Map<String, Any?> =
-        linkedMapOf("f" to taken.pack(0), "by" to by.map { (request, place) -> if (place == MANY) request.toString() else "$request:$place" })
+    public fun encode(): Map<String, Any?> = linkedMapOf(
+        "f" to taken.pack(0),
+        "by" to by.map { (request, place) -> if (place == MANY) request.toString() else "$request:$place" },
+    )
 
     public companion object {
         private const val MANY = -1
@@ -53,7 +55,14 @@
             return try {
                 val by = value.stringsOrNull("by").orEmpty().map { text ->
                     val request = RequestId.parse(text.substringBefore(':')) ?: return null
-                    val place = if (':' in text) text.substringAfter(':').toIntOrNull()?.takeIf { it in 0 until FinishedTasks.BLOCK } ?: return null else MANY
+                    val place = if (':' in
+                        text
+                    ) {
+                        text.substringAfter(':').toIntOrNull()?.takeIf { it in 0 until FinishedTasks.BLOCK }
+                            ?: return null
+                    } else {
+                        MANY
+                    }
                     request to place
                 }
                 if (taken.unpack(0, value.string("f"))) ReapBlock(taken, by, version) else null
--- a/src/main/kotlin/org/elderhitch/drmaa/Reaper.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Reaper.kt
@@ -1,10 +1,10 @@
 package org.elderhitch.drmaa
 
 import kotlinx.coroutines.CompletableDeferred
-import org.elderhitch.jobs.Ending
-import org.elderhitch.jobs.JobDesk
 import org.elderhitch.jobs.Answer
 import org.elderhitch.jobs.EndRecord
+import org.elderhitch.jobs.Ending
+import org.elderhitch.jobs.JobDesk
 import org.elderhitch.jobs.Known
 import org.elderhitch.store.CommitOutcome
 import org.elderhitch.store.Condition
@@ -38,7 +38,12 @@
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
 
     /** Takes results of one block; all of them, or none. */
-    public suspend fun take(key: ReapKey, results: Collection<ResultName>, request: RequestId?, purpose: Purpose = Purpose.RECORD): Reaped {
+    public suspend fun take(
+        key: ReapKey,
+        results: Collection<ResultName>,
+        request: RequestId?,
+        purpose: Purpose = Purpose.RECORD,
+    ): Reaped {
         repeat(TRIES) {
             val block = book.look(key.session) { it.state.block(key) } ?: return Reaped.NotNow("the session was closed")
             val gone = results.filter { it.place in block }
@@ -46,16 +51,29 @@
             if (others.isNotEmpty()) return Reaped.Gone(others)
             if (gone.size == results.size) return Reaped.Taken(results)
             val next = block.plus(results.map { it.place }, request)
-            val outcome = client.commit(listOf(Condition(key.toString(), block.version)), listOf(Write.Put(key.toString(), next.encode())), purpose)
+            val outcome = client.commit(
+                listOf(Condition(key.toString(), block.version)),
+                listOf(Write.Put(key.toString(), next.encode())),
+                purpose,
+            )
             when (outcome) {
                 is CommitOutcome.Committed -> {
                     book.tell(BookMessage.Took(key, next.at(outcome.revision)))
                     if (log.isDebugEnabled) log.debug("results taken request={} results={}", request, results)
                     return Reaped.Taken(results)
                 }
+
                 // Somebody else's, or an earlier try of this one: what the state service holds now decides.
-                is CommitOutcome.Conflict, CommitOutcome.Unknown -> if (!read(key)) return Reaped.NotNow("the state service doesn't answer")
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Reaped.NotNow("the state service takes no record now")
+                is CommitOutcome.Conflict, CommitOutcome.Unknown -> if (!read(
+                        key,
+                    )
+                ) {
+                    return Reaped.NotNow("the state service doesn't answer")
+                }
+
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Reaped.NotNow(
+                    "the state service takes no record now",
+                )
             }
         }
         return Reaped.NotNow("the state service doesn't answer")
@@ -66,7 +84,9 @@
             book.tell(BookMessage.Took(key, it))
             true
         } ?: false
+
         ReadOutcome.Absent -> true
+
         ReadOutcome.Unavailable -> false
     }
 
@@ -75,9 +95,16 @@
         val completed = book.look(name.job.session) { it.state.completed(name) } ?: return null
         val record = when (val known = desk.lookup(name.job.id)) {
             is Known.Ended -> known.record
+
             // A member may be done while others run.
             is Known.Open -> if (completed && name.member != null) null else return null
-            else -> if (desk.show(name.job.id) is Answer.State) (desk.lookup(name.job.id) as? Known.Ended)?.record ?: return null else return null
+
+            else -> if (desk.show(name.job.id) is Answer.State) {
+                (desk.lookup(name.job.id) as? Known.Ended)?.record
+                    ?: return null
+            } else {
+                return null
+            }
         }
         val ended = if (name.member != null && completed) Ending.DONE else record?.how ?: return null
         return Result(name, ended, record)
@@ -112,7 +139,12 @@
         val epoch = book.epoch
         // Changes that come while the lists are read are told to the book as well: all of it only ever adds.
         val endings = list(DrmaaKeys.endings(session)) { entry ->
-            SessionBook.jobOf(entry.key)?.let { job -> EndRecord.decode(entry.value)?.let { job to EndRecord(it.how, it.done) } }
+            SessionBook.jobOf(entry.key)?.let { job ->
+                EndRecord.decode(entry.value)?.let {
+                    job to
+                        EndRecord(it.how, it.done)
+                }
+            }
         } ?: return false
         val blocks = list(ReapKey.prefix(session)) { entry ->
             ReapKey.parse(entry.key)?.let { key -> ReapBlock.decode(entry.value, entry.version)?.let { key to it } }
@@ -132,4 +164,3 @@
         }
     }
 }
-
--- a/src/main/kotlin/org/elderhitch/drmaa/SessionBook.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/SessionBook.kt
@@ -22,7 +22,12 @@
 
     public companion object {
         public fun decode(value: JsonObject, version: Revision): SessionRecord? = try {
-            SessionRecord(TeamName(value.string("team")), WallTime(value.long("opened")), WallTime(value.long("used")), version)
+            SessionRecord(
+                TeamName(value.string("team")),
+                WallTime(value.long("opened")),
+                WallTime(value.long("used")),
+                version,
+            )
         } catch (_: MalformedJson) {
             null
         }
@@ -30,10 +35,22 @@
 }
 
 /** A job that is recorded and not submitted yet: until its user releases it, or until [startAt]. */
-public class HeldJob(public val body: JsonObject, public val byUser: Boolean, public val startAt: WallTime?, public val since: WallTime, public val version: Revision) {
+public class HeldJob(
+    public val body: JsonObject,
+    public val byUser: Boolean,
+    public val startAt: WallTime?,
+    public val since: WallTime,
+    public val version: Revision,
+) {
     public companion object {
         public fun decode(value: JsonObject, version: Revision): HeldJob? = try {
-            HeldJob(value.obj("job"), value.boolean("user"), value.longOrNull("start")?.let(::WallTime), WallTime(value.long("since")), version)
+            HeldJob(
+                value.obj("job"),
+                value.boolean("user"),
+                value.longOrNull("start")?.let(::WallTime),
+                WallTime(value.long("since")),
+                version,
+            )
         } catch (_: MalformedJson) {
             null
         }
@@ -45,7 +62,12 @@
     public class Changed(public val changes: List<Change>) : BookMessage
 
     /** What the lists said that were read for a session that had not been used here. */
-    public class Loaded(public val session: SessionName, public val epoch: Int, public val endings: List<Pair<JobName, EndRecord>>, public val blocks: List<Pair<ReapKey, ReapBlock>>) : BookMessage
+    public class Loaded(
+        public val session: SessionName,
+        public val epoch: Int,
+        public val endings: List<Pair<JobName, EndRecord>>,
+        public val blocks: List<Pair<ReapKey, ReapBlock>>,
+    ) : BookMessage
 
     /** This node itself submitted it: counted before the feed brings it. */
     public class Submitted(public val job: JobName) : BookMessage
@@ -54,7 +76,11 @@
     public class Took(public val key: ReapKey, public val block: ReapBlock) : BookMessage
 
     /** Reads, and claims, within one session. The look has no business beyond it. */
-    public class Look<T>(public val session: SessionName, public val reply: CompletableDeferred<T?>, public val look: (SessionView) -> T) : BookMessage {
+    public class Look<T>(
+        public val session: SessionName,
+        public val reply: CompletableDeferred<T?>,
+        public val look: (SessionView) -> T,
+    ) : BookMessage {
         internal fun answer(view: SessionView?) {
             reply.complete(view?.let(look))
         }
@@ -84,7 +110,9 @@
     public fun heldJobs(): List<JobName> = held.keys.filter { it.session == state.name }
 
     /** The highest number of each client, held jobs included: what "all jobs so far" are. */
-    public fun upTo(): Map<ClientTag, Int> = state.upTo().toMutableMap().apply { heldJobs().forEach { merge(it.tag, it.number, ::maxOf) } }
+    public fun upTo(): Map<ClientTag, Int> = state.upTo().toMutableMap().apply {
+        heldJobs().forEach { merge(it.tag, it.number, ::maxOf) }
+    }
 
     public fun heldOfTeam(sessions: Set<SessionName>): Int = held.keys.count { it.session in sessions }
 }
@@ -109,21 +137,40 @@
     override fun receive(message: BookMessage) {
         when (message) {
             is BookMessage.Snapshot -> snapshot(message.entries)
+
             is BookMessage.Changed -> message.changes.forEach(::changed)
+
             is BookMessage.Loaded -> loaded(message)
+
             is BookMessage.Submitted -> state(message.job.session).opened(message.job)
+
             is BookMessage.Took -> took(message.key, message.block)
-            is BookMessage.Look<*> -> message.answer(records[message.session]?.let { SessionView(it, state(message.session), message.session in loaded, held) })
+
+            is BookMessage.Look<*> -> message.answer(
+                records[message.session]?.let {
+                    SessionView(
+                        it,
+                        state(message.session),
+                        message.session in loaded,
+                        held,
+                    )
+                },
+            )
+
             is BookMessage.Unclaim -> {
                 states[message.result.job.session]?.unclaim(message.result)
                 wake(message.result.job.session)
             }
+
             is BookMessage.Await -> waiting.getOrPut(message.session) { LinkedHashSet() }.add(message.woken)
+
             is BookMessage.Done -> waiting[message.session]?.let {
                 it.remove(message.woken)
                 if (it.isEmpty()) waiting.remove(message.session)
             }
+
             is BookMessage.Sessions -> message.reply.complete(HashMap(records))
+
             is BookMessage.HeldJobs -> message.reply.complete(LinkedHashMap(held))
         }
     }
@@ -177,18 +224,36 @@
         }
         ReapKey.parse(key)?.let { reap ->
             // Of sessions that nobody uses here, nothing is kept that would have to be read anyway.
-            if (reap.session in loaded) took(reap, ReapBlock.decode(entry.value, entry.version) ?: return log.error("taken results malformed key={}", key))
+            if (reap.session in
+                loaded
+            ) {
+                took(
+                    reap,
+                    ReapBlock.decode(entry.value, entry.version)
+                        ?: return log.error("taken results malformed key={}", key),
+                )
+            }
             return
         }
         when (val subject = Keys.subject(key)) {
             is Subject.Job -> JobName.parse(subject.id)?.let { state(it.session).opened(it) }
+
             is Subject.Finished -> JobName.parse(subject.id)?.let { job ->
                 val value = entry.value.raw("f") as? String ?: return
                 if (job.members == null) return
-                if (!state(job.session).finished(job, subject.block, value)) log.error("finished block malformed key={}", key)
+                if (!state(
+                        job.session,
+                    ).finished(job, subject.block, value)
+                ) {
+                    log.error("finished block malformed key={}", key)
+                }
                 wake(job.session)
             }
-            is Subject.End -> JobName.parse(subject.id)?.let { job -> EndRecord.decode(entry.value)?.let { ended(job, it) } }
+
+            is Subject.End -> JobName.parse(subject.id)?.let { job ->
+                EndRecord.decode(entry.value)?.let { ended(job, it) }
+            }
+
             else -> Unit
         }
     }
@@ -227,11 +292,17 @@
         return reply.await()
     }
 
-    public suspend fun sessions(): Map<SessionName, SessionRecord> = CompletableDeferred<Map<SessionName, SessionRecord>>().also { tell(BookMessage.Sessions(it)) }.await()
+    public suspend fun sessions(): Map<SessionName, SessionRecord> =
+        CompletableDeferred<Map<SessionName, SessionRecord>>().also {
+            tell(BookMessage.Sessions(it))
+        }.await()
 
-    public suspend fun heldJobs(): Map<JobName, HeldJob> = CompletableDeferred<Map<JobName, HeldJob>>().also { tell(BookMessage.HeldJobs(it)) }.await()
+    public suspend fun heldJobs(): Map<JobName, HeldJob> = CompletableDeferred<Map<JobName, HeldJob>>().also {
+        tell(BookMessage.HeldJobs(it))
+    }.await()
 
     internal companion object {
-        fun jobOf(endKey: String): JobName? = (Keys.subject(endKey) as? Subject.End)?.id?.let { id: JobId -> JobName.parse(id) }
+        fun jobOf(endKey: String): JobName? =
+            (Keys.subject(endKey) as? Subject.End)?.id?.let { id: JobId -> JobName.parse(id) }
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/SessionState.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/SessionState.kt
@@ -42,7 +42,13 @@
             while (true) {
                 val first = open.nextSetBit(at)
                 val second = ended.nextSetBit(at)
-                val n = if (first < 0) second else if (second < 0) first else minOf(first, second)
+                val n = if (first < 0) {
+                    second
+                } else if (second < 0) {
+                    first
+                } else {
+                    minOf(first, second)
+                }
                 if (n < 0 || !gone[n]) return n
                 at = gone.nextClearBit(n)
             }
@@ -59,7 +65,9 @@
 
     private fun client(tag: ClientTag) = clients.getOrPut(tag) { Client() }
 
-    private fun Client.bulk(job: JobName): Members? = job.members?.let { count -> bulks.getOrPut(job.number) { Members(count) } }
+    private fun Client.bulk(job: JobName): Members? = job.members?.let { count ->
+        bulks.getOrPut(job.number) { Members(count) }
+    }
 
     public fun opened(job: JobName) {
         val client = client(job.tag)
@@ -76,7 +84,8 @@
     }
 
     /** A recorded block of finished tasks; of jobs other than bulk ones only the end counts. */
-    public fun finished(job: JobName, block: Int, value: String): Boolean = client(job.tag).bulk(job)?.finished?.unpack(block, value) ?: true
+    public fun finished(job: JobName, block: Int, value: String): Boolean =
+        client(job.tag).bulk(job)?.finished?.unpack(block, value) ?: true
 
     public fun taken(key: ReapKey, block: ReapBlock) {
         val known = blocks[key]
@@ -85,10 +94,12 @@
 
     public fun block(key: ReapKey): ReapBlock = blocks[key] ?: ReapBlock.EMPTY
 
-    public fun has(job: JobName): Boolean = clients[job.tag]?.let { it.open[job.number] || it.ended[job.number] } ?: false
+    public fun has(job: JobName): Boolean =
+        clients[job.tag]?.let { it.open[job.number] || it.ended[job.number] } ?: false
 
     /** Whether the number stands for another job, with other members: a client's mistake. */
-    public fun differs(job: JobName): Boolean = has(job) && clients[job.tag]?.bulks?.get(job.number)?.count != job.members
+    public fun differs(job: JobName): Boolean =
+        has(job) && clients[job.tag]?.bulks?.get(job.number)?.count != job.members
 
     /** Whether the member of a bulk job that has ended, or has not, completed by itself. */
     public fun completed(result: ResultName): Boolean {
@@ -124,7 +135,11 @@
         val members = client.bulks[n]
         val job = JobName(name, tag, n, members?.count)
         if (members == null) return sequenceOf(ResultName(job, null))
-        while (members.firstLeft < members.count && ResultName(job, members.firstLeft).let { it.place in block(it.block) }) members.firstLeft++
+        while (members.firstLeft < members.count &&
+            ResultName(job, members.firstLeft).let { it.place in block(it.block) }
+        ) {
+            members.firstLeft++
+        }
         return (members.firstLeft until members.count).asSequence().map { ResultName(job, it) }
     }
 
@@ -138,7 +153,14 @@
         client.ended[n] && results(tag, client, n).all { stateOf(it) == ResultState.TAKEN }
 
     /** Whether anything of the session is left to wait for. */
-    public fun anyLeft(): Boolean = clients.any { (tag, client) -> client.left().any { n -> results(tag, client, n).any { stateOf(it) != ResultState.TAKEN } } }
+    public fun anyLeft(): Boolean = clients.any { (tag, client) ->
+        client.left().any { n ->
+            results(tag, client, n).any {
+                stateOf(it) !=
+                    ResultState.TAKEN
+            }
+        }
+    }
 
     public fun claim(result: ResultName): Boolean = claimed.add(result)
 
@@ -163,22 +185,34 @@
     }
 
     /** The highest number of each client: what "all jobs so far" are. */
-    public fun upTo(): Map<ClientTag, Int> = clients.mapValues { (_, client) -> maxOf(client.open.length(), client.ended.length()) - 1 }
+    public fun upTo(): Map<ClientTag, Int> = clients.mapValues { (_, client) ->
+        maxOf(client.open.length(), client.ended.length()) -
+            1
+    }
 
     /** Jobs that have not ended, of those up to [upTo]; null: of all. */
-    public fun openJobs(upTo: Map<ClientTag, Int>? = null): Sequence<JobName> = clients.asSequence().flatMap { (tag, client) ->
-        val most = if (upTo == null) Int.MAX_VALUE else upTo[tag] ?: -1
-        client.open.stream().iterator().asSequence().takeWhile { it <= most }.map { JobName(name, tag, it, client.bulks[it]?.count) }
-    }
+    public fun openJobs(upTo: Map<ClientTag, Int>? = null): Sequence<JobName> =
+        clients.asSequence().flatMap { (tag, client) ->
+            val most = if (upTo == null) Int.MAX_VALUE else upTo[tag] ?: -1
+            client.open.stream().iterator().asSequence().takeWhile {
+                it <= most
+            }.map { JobName(name, tag, it, client.bulks[it]?.count) }
+        }
 
     /** Results that have ended and are not taken, of jobs up to [upTo]. */
-    public fun untaken(upTo: Map<ClientTag, Int>? = null): Sequence<ResultName> = clients.asSequence().flatMap { (tag, client) ->
-        val most = if (upTo == null) Int.MAX_VALUE else upTo[tag] ?: -1
-        client.left()
-            .takeWhile { it <= most }.flatMap { n -> results(tag, client, n) }.filter { stateOf(it) == ResultState.ENDED }
-    }
+    public fun untaken(upTo: Map<ClientTag, Int>? = null): Sequence<ResultName> =
+        clients.asSequence().flatMap { (tag, client) ->
+            val most = if (upTo == null) Int.MAX_VALUE else upTo[tag] ?: -1
+            client.left()
+                .takeWhile {
+                    it <= most
+                }.flatMap { n -> results(tag, client, n) }.filter { stateOf(it) == ResultState.ENDED }
+        }
 
     /** Open jobs and results that nobody took, a bulk job by its members; what the bound of a session counts. */
-    public fun load(): Int =
-        clients.values.sumOf { it.open.cardinality() + it.ended.cardinality() + it.bulks.values.sumOf { bulk -> bulk.count - 1 } } - blocks.values.sumOf { it.count }
+    public fun load(): Int = clients.values.sumOf {
+        it.open.cardinality() + it.ended.cardinality() +
+            it.bulks.values.sumOf { bulk -> bulk.count - 1 }
+    } -
+        blocks.values.sumOf { it.count }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Sessions.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Sessions.kt
@@ -12,7 +12,12 @@
 import kotlin.time.Duration.Companion.hours
 
 /** Opens, touches and closes sessions; on any node. */
-public class Sessions(private val book: SessionBook, private val client: StateClient, private val wall: WallClock, private val settings: DrmaaSettings) {
+public class Sessions(
+    private val book: SessionBook,
+    private val client: StateClient,
+    private val wall: WallClock,
+    private val settings: DrmaaSettings,
+) {
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
 
     /** Opens the session, unless an earlier try has. Throws [Refused]. */
@@ -20,20 +25,45 @@
         val open = book.sessions()
         if (session in open) return
         val ofTeam = open.values.count { it.team == team }
-        if (ofTeam >= settings.sessionsPerTeam) throw Refused(Fault.TryLaterException, "the team has $ofTeam sessions open, of ${settings.sessionsPerTeam}")
+        if (ofTeam >=
+            settings.sessionsPerTeam
+        ) {
+            throw Refused(
+                Fault.TryLaterException,
+                "the team has $ofTeam sessions open, of ${settings.sessionsPerTeam}",
+            )
+        }
         val now = wall.now()
         val key = DrmaaKeys.session(session)
         // A session that was closed stays so: its name leads nowhere any more.
         val conditions = listOf(Condition(key, Revision.ABSENT), Condition(DrmaaKeys.closed(session), Revision.ABSENT))
         repeat(TRIES) {
-            when (val outcome = client.commit(conditions, listOf(Write.Put(key, SessionRecord(team, now, now, Revision.ABSENT).encode())), Purpose.RECORD)) {
+            when (
+                val outcome = client.commit(
+                    conditions,
+                    listOf(Write.Put(key, SessionRecord(team, now, now, Revision.ABSENT).encode())),
+                    Purpose.RECORD,
+                )
+            ) {
                 is CommitOutcome.Committed -> {
                     log.info("session opened session={} team={}", session, team)
                     return
                 }
-                is CommitOutcome.Conflict -> if (key in outcome.failed) return else throw Refused(Fault.NoActiveSessionException, "the session was closed")
+
+                is CommitOutcome.Conflict -> if (key in
+                    outcome.failed
+                ) {
+                    return
+                } else {
+                    throw Refused(Fault.NoActiveSessionException, "the session was closed")
+                }
+
                 CommitOutcome.Unknown -> Unit
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw Refused(Fault.DrmCommunicationException, "the state service takes no record now")
+
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw Refused(
+                    Fault.DrmCommunicationException,
+                    "the state service takes no record now",
+                )
             }
         }
         throw Refused(Fault.DrmCommunicationException, "the state service doesn't answer")
@@ -57,10 +87,22 @@
         repeat(TRIES) {
             val (record, left) = book.look(session) { it.record to it.state.load() } ?: return true
             val outcome = client.commit(
-                listOf(Condition(DrmaaKeys.session(session), record.version), Condition(DrmaaKeys.closed(session), Revision.ABSENT)) + more,
+                listOf(
+                    Condition(DrmaaKeys.session(session), record.version),
+                    Condition(DrmaaKeys.closed(session), Revision.ABSENT),
+                ) +
+                    more,
                 listOf(
                     Write.Drop(DrmaaKeys.session(session)),
-                    Write.Put(DrmaaKeys.closed(session), linkedMapOf("team" to record.team.text, "why" to why, "at" to wall.now().ms, "left" to left)),
+                    Write.Put(
+                        DrmaaKeys.closed(session),
+                        linkedMapOf(
+                            "team" to record.team.text,
+                            "why" to why,
+                            "at" to wall.now().ms,
+                            "left" to left,
+                        ),
+                    ),
                 ),
                 Purpose.RECORD,
             )
@@ -69,8 +111,11 @@
                     log.info("session closed session={} team={} why={} left={}", session, record.team, why, left)
                     return true
                 }
+
                 is CommitOutcome.Conflict -> if (DrmaaKeys.closed(session) in outcome.failed) return true
+
                 CommitOutcome.Unknown -> Unit
+
                 CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return false
             }
         }
--- a/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
@@ -39,7 +39,11 @@
 
     /** Submits or holds what was checked. A repeat of an accepted request changes nothing. Throws [Refused]. */
     public suspend fun submit(name: JobName, checked: Checked) {
-        val (known, differs) = book.look(name.session) { (it.held(name) != null || it.state.has(name)) to it.state.differs(name) } ?: throw closed()
+        val (known, differs) = book.look(name.session) {
+            (it.held(name) != null || it.state.has(name)) to
+                it.state.differs(name)
+        }
+            ?: throw closed()
         if (differs) throw Refused(Fault.DeniedByDrmException, "the request's number stands for another job")
         if (known) return
         // Of a session that isn't loaded here only what is open counts; its results are bounded where it is used.
@@ -47,7 +51,10 @@
         if (load + (name.members ?: 1) > settings.resultsPerSession) {
             // A repeat of what is recorded already is not refused for it.
             if (desk.show(name.id) is Answer.State) return
-            throw Refused(Fault.TryLaterException, "the session has $load jobs and results that nobody took, of ${settings.resultsPerSession}: take some")
+            throw Refused(
+                Fault.TryLaterException,
+                "the session has $load jobs and results that nobody took, of ${settings.resultsPerSession}: take some",
+            )
         }
         if (checked.onHold || checked.startAt != null) return hold(name, checked)
         accepted(desk.submit(checked.spec, checked.extra))
@@ -59,24 +66,47 @@
         val sessions = book.sessions()
         val team = sessions.filterValues { it.team == checked.spec.team }.keys
         val held = book.look(name.session) { it.heldOfTeam(team) } ?: throw closed()
-        if (held >= settings.heldPerTeam) throw Refused(Fault.TryLaterException, "the team has $held held jobs, of ${settings.heldPerTeam}")
+        if (held >=
+            settings.heldPerTeam
+        ) {
+            throw Refused(Fault.TryLaterException, "the team has $held held jobs, of ${settings.heldPerTeam}")
+        }
         desk.refusal(checked.spec)?.let { accepted(it) }
         val value = linkedMapOf<String, Any?>(
-            "job" to JobCodec.encode(checked.spec) + checked.extra, "user" to checked.onHold, "since" to wall.now().ms, "start" to checked.startAt?.ms,
+            "job" to JobCodec.encode(checked.spec) + checked.extra,
+            "user" to checked.onHold,
+            "since" to wall.now().ms,
+            "start" to checked.startAt?.ms,
         ).filterValues { it != null }
-        if (Json.bytes(value).size > valueBytes) throw Refused(Fault.InvalidAttributeValueException, "the template's attributes are too long")
-        val conditions = listOf(DrmaaKeys.held(name), Keys.job(name.id), Keys.end(name.id)).map { Condition(it, Revision.ABSENT) } +
-            Condition(DrmaaKeys.session(name.session), sessions[name.session]?.version ?: throw closed())
+        if (Json.bytes(value).size >
+            valueBytes
+        ) {
+            throw Refused(Fault.InvalidAttributeValueException, "the template's attributes are too long")
+        }
+        val conditions =
+            listOf(DrmaaKeys.held(name), Keys.job(name.id), Keys.end(name.id)).map { Condition(it, Revision.ABSENT) } +
+                Condition(DrmaaKeys.session(name.session), sessions[name.session]?.version ?: throw closed())
         repeat(TRIES) {
-            when (val outcome = client.commit(conditions, listOf(Write.Put(DrmaaKeys.held(name), value)), Purpose.RECORD)) {
+            when (
+                val outcome = client.commit(
+                    conditions,
+                    listOf(Write.Put(DrmaaKeys.held(name), value)),
+                    Purpose.RECORD,
+                )
+            ) {
                 is CommitOutcome.Committed -> return
+
                 is CommitOutcome.Conflict -> {
                     // Recorded by an earlier try, or already on from there.
                     if (outcome.failed.any { it != DrmaaKeys.session(name.session) }) return
                     throw Refused(Fault.TryLaterException, "the session is just being changed")
                 }
+
                 CommitOutcome.Unknown -> Unit
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw notNow("the state service takes no record now")
+
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw notNow(
+                    "the state service takes no record now",
+                )
             }
         }
         throw notNow("the state service doesn't answer")
@@ -96,8 +126,10 @@
 
     /** Gives a held job to the core. True if it is there now, false if it was not held any more. Throws [Refused]. */
     public suspend fun release(name: JobName, held: HeldJob): Boolean {
-        val (spec, extra) = described(held) ?: throw Refused(Fault.DeniedByDrmException, "the held job's record can't be read")
-        val beside = Beside(listOf(Condition(DrmaaKeys.held(name), held.version)), listOf(Write.Drop(DrmaaKeys.held(name))))
+        val (spec, extra) = described(held)
+            ?: throw Refused(Fault.DeniedByDrmException, "the held job's record can't be read")
+        val beside =
+            Beside(listOf(Condition(DrmaaKeys.held(name), held.version)), listOf(Write.Drop(DrmaaKeys.held(name))))
         accepted(desk.submit(spec, extra, beside))
         log.info("held job submitted job={}", name)
         return true
@@ -112,16 +144,27 @@
 
     /** Ends a job that was never submitted. False: it is no longer held. Throws [Refused]. */
     public suspend fun end(name: JobName, held: HeldJob): Boolean {
-        val spec = described(held)?.first ?: throw Refused(Fault.DeniedByDrmException, "the held job's record can't be read")
+        val spec =
+            described(held)?.first ?: throw Refused(Fault.DeniedByDrmException, "the held job's record can't be read")
         val account = Account(spec.team, spec.jobClass, 0, 0, 0.0, 0.0, null, wall.now(), lowerBound = false)
-        val conditions = listOf(Condition(DrmaaKeys.held(name), held.version), Condition(Keys.end(name.id), Revision.ABSENT))
-        val writes = listOf(Write.Put(Keys.end(name.id), EndRecord(Ending.WITHDRAWN, 0, account).encode()), Write.Drop(DrmaaKeys.held(name)))
+        val conditions =
+            listOf(Condition(DrmaaKeys.held(name), held.version), Condition(Keys.end(name.id), Revision.ABSENT))
+        val writes =
+            listOf(
+                Write.Put(Keys.end(name.id), EndRecord(Ending.WITHDRAWN, 0, account).encode()),
+                Write.Drop(DrmaaKeys.held(name)),
+            )
         repeat(TRIES) {
             when (client.commit(conditions, writes, Purpose.RECORD)) {
                 is CommitOutcome.Committed -> return true
+
                 is CommitOutcome.Conflict -> return false
+
                 CommitOutcome.Unknown -> Unit
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw notNow("the state service takes no record now")
+
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw notNow(
+                    "the state service takes no record now",
+                )
             }
         }
         throw notNow("the state service doesn't answer")
--- a/src/main/kotlin/org/elderhitch/drmaa/TemplateCheck.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/TemplateCheck.kt
@@ -44,9 +44,17 @@
             val wrongWay = if (step > 0) end < start else end > start
             if (wrongWay) throw Refused(Fault.InvalidArgumentException, "bulk: the end lies before the start")
             // Checked one by one: sums of what a client sends may overflow.
-            if (maxOf(start, end) > Int.MAX_VALUE || step !in Int.MIN_VALUE..Int.MAX_VALUE) throw Refused(Fault.InvalidArgumentException, "bulk: an index out of range")
+            if (maxOf(start, end) > Int.MAX_VALUE ||
+                step !in Int.MIN_VALUE..Int.MAX_VALUE
+            ) {
+                throw Refused(Fault.InvalidArgumentException, "bulk: an index out of range")
+            }
             val bulk = Bulk(start.toInt(), end.toInt(), step.toInt())
-            if (bulk.members > JobCodec.MOST_TASKS) throw Refused(Fault.InvalidArgumentException, "bulk: more than ${JobCodec.MOST_TASKS} members")
+            if (bulk.members >
+                JobCodec.MOST_TASKS
+            ) {
+                throw Refused(Fault.InvalidArgumentException, "bulk: more than ${JobCodec.MOST_TASKS} members")
+            }
             return bulk
         }
     }
@@ -70,14 +78,24 @@
         val native = native(template.text("native"))
         val startAt = template.time("startAt")
         val deadline = template.time("deadlineAt")
-        if (deadline != null && deadline <= (startAt ?: now)) conflict("deadlineTime lies before startTime, or has passed")
+        if (deadline != null &&
+            deadline <= (startAt ?: now)
+        ) {
+            conflict("deadlineTime lies before startTime, or has passed")
+        }
         if (deadline != null && CLOSING in native) conflict("deadlineTime and $CLOSING in nativeSpecification")
         val runs = template.number("softRunS")
         if (runs != null && HAUL in native) conflict("softRunDurationLimit and $HAUL in nativeSpecification")
         if (bulk != null && TASKS in native) conflict("a bulk job and $TASKS in nativeSpecification")
         val body = LinkedHashMap(DEFAULTS)
         val category = template.text("category")
-        if (category != null) body.putAll(categories[category] ?: value("jobCategory: unknown; known are ${categories.keys.sorted()}"))
+        if (category !=
+            null
+        ) {
+            body.putAll(
+                categories[category] ?: value("jobCategory: unknown; known are ${categories.keys.sorted()}"),
+            )
+        }
         template.text("command")?.let { body.putIfAbsent(IMAGE, it) }
         body.putAll(native)
         body["id"] = name.toString()
@@ -86,13 +104,24 @@
         if (bulk != null) body[TASKS] = bulk.members.toLong()
         if (runs != null) body[HAUL] = runs
         // A deadline counts from the submission, which for a job that starts later is when it starts.
-        if (deadline != null) body[CLOSING] = (deadline - (startAt?.takeIf { it > now } ?: now)).toDouble(DurationUnit.SECONDS)
+        if (deadline !=
+            null
+        ) {
+            body[CLOSING] = (deadline - (startAt?.takeIf { it > now } ?: now)).toDouble(DurationUnit.SECONDS)
+        }
         val spec = try {
             JobCodec.decode(JsonObject.of(body))
         } catch (e: MalformedJson) {
-            throw Refused(Fault.InvalidAttributeValueException, "${attributeOf(e.message.orEmpty(), native)}: ${e.message}")
+            throw Refused(
+                Fault.InvalidAttributeValueException,
+                "${attributeOf(e.message.orEmpty(), native)}: ${e.message}",
+            )
+        }
+        if (bulk != null &&
+            spec.kind != JobKind.ARRAY
+        ) {
+            conflict("a bulk job of kind ${body["lotKind"]}: its members are independent tasks")
         }
-        if (bulk != null && spec.kind != JobKind.ARRAY) conflict("a bulk job of kind ${body["lotKind"]}: its members are independent tasks")
         return Checked(spec, extra(template, bulk), template.flag("hold") ?: false, startAt?.takeIf { it > now })
     }
 
@@ -108,9 +137,21 @@
         val fields = LinkedHashMap<String, Any?>()
         for (pair in text.split(' ', '\t', '\n').filter { it.isNotEmpty() }) {
             val key = pair.substringBefore('=')
-            if ('=' !in pair) throw Refused(Fault.InvalidAttributeFormatException, "nativeSpecification: \"$key\" is no key=value")
+            if ('=' !in
+                pair
+            ) {
+                throw Refused(
+                    Fault.InvalidAttributeFormatException,
+                    "nativeSpecification: \"$key\" is no key=value",
+                )
+            }
             val form = NATIVE[key] ?: value("nativeSpecification: $key: unknown; known are ${NATIVE.keys.sorted()}")
-            if (fields.containsKey(key)) throw Refused(Fault.InvalidAttributeFormatException, "nativeSpecification: $key: set twice")
+            if (fields.containsKey(
+                    key,
+                )
+            ) {
+                throw Refused(Fault.InvalidAttributeFormatException, "nativeSpecification: $key: set twice")
+            }
             fields[key] = form.read(pair.substringAfter('='))
                 ?: throw Refused(Fault.InvalidAttributeFormatException, "nativeSpecification: $key: not ${form.what}")
         }
@@ -143,7 +184,13 @@
     private fun JsonObject.number(name: String): Double? = formed { amountOrNull(name) }
 
     private fun JsonObject.time(name: String): WallTime? = formed { longOrNull(name) }?.let(::WallTime)
-        ?.also { if (it.ms < 0 || it > LATEST) throw Refused(Fault.InvalidAttributeValueException, "$name: out of range") }
+        ?.also {
+            if (it.ms < 0 ||
+                it > LATEST
+            ) {
+                throw Refused(Fault.InvalidAttributeValueException, "$name: out of range")
+            }
+        }
 
     private enum class Form(val what: String, val read: (String) -> Any?) {
         TEXT("a text", { it.ifEmpty { null } }),
@@ -161,9 +208,12 @@
         private val LATEST = WallTime(0) + (1000L * 365 * 24 * 3600 * 1000).milliseconds
 
         private val NATIVE = mapOf(
-            "lotKind" to Form.TEXT, "urgency" to Form.TEXT, TASKS to Form.COUNT, "cores" to Form.AMOUNT, "accelerators" to Form.AMOUNT,
-            "memGb" to Form.AMOUNT, IMAGE to Form.TEXT, "pullGb" to Form.AMOUNT, "rigs" to Form.LIST, "hall" to Form.TEXT,
-            "samePlace" to Form.FLAG, "spread" to Form.FLAG, "borrowedRigs" to Form.FLAG, HAUL to Form.AMOUNT, "tallyS" to Form.AMOUNT,
+            "lotKind" to Form.TEXT, "urgency" to Form.TEXT, TASKS to Form.COUNT, "cores" to Form.AMOUNT,
+            "accelerators" to Form.AMOUNT,
+            "memGb" to Form.AMOUNT, IMAGE to Form.TEXT, "pullGb" to Form.AMOUNT, "rigs" to Form.LIST,
+            "hall" to Form.TEXT,
+            "samePlace" to Form.FLAG, "spread" to Form.FLAG, "borrowedRigs" to Form.FLAG, HAUL to Form.AMOUNT,
+            "tallyS" to Form.AMOUNT,
             "stowS" to Form.AMOUNT, CLOSING to Form.AMOUNT, "repeatOf" to Form.TEXT,
         )
 
@@ -171,12 +221,15 @@
         public val CATEGORY_FIELDS: Set<String> = NATIVE.keys - "repeatOf" + "lotClass"
 
         private val DEFAULTS: Map<String, Any?> = mapOf(
-            "lotKind" to "array", "urgency" to "normal", TASKS to 1L, "cores" to 1.0, "accelerators" to 0.0, "memGb" to 1.0, "pullGb" to 0.0,
+            "lotKind" to "array", "urgency" to "normal", TASKS to 1L, "cores" to 1.0, "accelerators" to 0.0,
+            "memGb" to 1.0, "pullGb" to 0.0,
             HAUL to 60.0, "tallyS" to 0.0, "stowS" to 0.0,
         )
 
         /** Kept for whoever runs the tasks; the scheduler itself has no use for them. */
-        private val DESCRIBING = listOf("command", "args", "env", "directory", "name", "input", "output", "error", "joinFiles", "email", "blockEmail")
-        private val ATTRIBUTES = DESCRIBING.toSet() + setOf("category", "native", "hold", "startAt", "deadlineAt", "softRunS")
+        private val DESCRIBING =
+            listOf("command", "args", "env", "directory", "name", "input", "output", "error", "joinFiles", "email", "blockEmail")
+        private val ATTRIBUTES =
+            DESCRIBING.toSet() + setOf("category", "native", "hold", "startAt", "deadlineAt", "softRunS")
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Tokens.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Tokens.kt
@@ -56,7 +56,13 @@
         if (parts.size != PARTS) throw BadToken("not a token")
         val key = keys.firstOrNull { it.id == parts[0] } ?: throw BadToken("a token of a key that is not valid here")
         val signed = key.sign(token.substringBeforeLast('.'))
-        if (!MessageDigest.isEqual(signed.toByteArray(), parts.last().toByteArray())) throw BadToken("not a token of ours")
+        if (!MessageDigest.isEqual(
+                signed.toByteArray(),
+                parts.last().toByteArray(),
+            )
+        ) {
+            throw BadToken("not a token of ours")
+        }
         val team = TeamName(String(Base64.decodeBase64(parts[2]), Charsets.UTF_8))
         return when (parts[1]) {
             "g" -> {
@@ -64,7 +70,9 @@
                 if (until != 0L && now > WallTime(until)) throw BadToken("the grant has run out")
                 Claim.Grant(team, if (until == 0L) null else WallTime(until))
             }
+
             "s" -> Claim.InSession(team, SessionName.parse(parts[3]) ?: throw BadToken("not a token of ours"))
+
             else -> throw BadToken("not a token of ours")
         }
     }
@@ -103,11 +111,16 @@
             val keys = ArrayList<Pair<String, ByteArray>>()
             for ((n, line) in lines.withIndex()) {
                 if (line.isBlank() || line.startsWith("#")) continue
-                val (id, secret) = line.trim().split(Regex("\\s+")).takeIf { it.size == 2 } ?: throw BadKeys("$name:${n + 1}: not a name and a secret")
+                val (id, secret) = line.trim().split(Regex("\\s+")).takeIf { it.size == 2 }
+                    ?: throw BadKeys("$name:${n + 1}: not a name and a secret")
                 if (!ID.matches(id)) throw BadKeys("$name:${n + 1}: the key's name must match $ID")
                 if (keys.any { it.first == id }) throw BadKeys("$name:${n + 1}: the name $id is taken")
                 val bytes = if (Base64.isBase64(secret)) Base64.decodeBase64(secret) else ByteArray(0)
-                if (bytes.size < LEAST_SECRET) throw BadKeys("$name:${n + 1}: the secret is no base64 of at least $LEAST_SECRET bytes")
+                if (bytes.size <
+                    LEAST_SECRET
+                ) {
+                    throw BadKeys("$name:${n + 1}: the secret is no base64 of at least $LEAST_SECRET bytes")
+                }
                 keys.add(id to bytes)
             }
             if (keys.isEmpty()) throw BadKeys("$name: holds no key")
--- a/src/main/kotlin/org/elderhitch/drmaa/Waits.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Waits.kt
@@ -35,32 +35,35 @@
         private set
 
     /** For any result of the session, taken by [request]. Throws [Refused]. */
-    public suspend fun any(session: SessionName, request: RequestId, hold: Duration): WaitAnswer = until(session, hold) {
-        again(session, request)?.let { return@until it }
-        val (found, left) = look(session) { view ->
-            view.state.anyEnded()?.also { view.state.claim(it) } to (view.state.anyLeft() || view.heldJobs().isNotEmpty())
-        }
-        if (found == null) {
-            if (!left) throw Refused(Fault.InvalidJobException, "nothing of the session is left to wait for")
-            return@until null
-        }
-        try {
-            taken(found, request)
-        } finally {
-            book.tell(BookMessage.Unclaim(found))
+    public suspend fun any(session: SessionName, request: RequestId, hold: Duration): WaitAnswer =
+        until(session, hold) {
+            again(session, request)?.let { return@until it }
+            val (found, left) = look(session) { view ->
+                view.state.anyEnded()?.also { view.state.claim(it) } to
+                    (view.state.anyLeft() || view.heldJobs().isNotEmpty())
+            }
+            if (found == null) {
+                if (!left) throw Refused(Fault.InvalidJobException, "nothing of the session is left to wait for")
+                return@until null
+            }
+            try {
+                taken(found, request)
+            } finally {
+                book.tell(BookMessage.Unclaim(found))
+            }
         }
-    }
 
     /** For one result, taken by [request]. Throws [Refused]. */
-    public suspend fun one(name: ResultName, request: RequestId, hold: Duration): WaitAnswer = until(name.job.session, hold) {
-        again(name.job.session, request)?.let { return@until it }
-        when (state(name)) {
-            ResultState.ENDED -> taken(name, request) ?: throw gone(name)
-            ResultState.OPEN -> null
-            ResultState.TAKEN -> throw gone(name)
-            ResultState.UNKNOWN -> throw Refused(Fault.InvalidJobException, "$name is no result of this session")
+    public suspend fun one(name: ResultName, request: RequestId, hold: Duration): WaitAnswer =
+        until(name.job.session, hold) {
+            again(name.job.session, request)?.let { return@until it }
+            when (state(name)) {
+                ResultState.ENDED -> taken(name, request) ?: throw gone(name)
+                ResultState.OPEN -> null
+                ResultState.TAKEN -> throw gone(name)
+                ResultState.UNKNOWN -> throw Refused(Fault.InvalidJobException, "$name is no result of this session")
+            }
         }
-    }
 
     private suspend fun again(session: SessionName, request: RequestId): WaitAnswer? {
         val before = look(session) { it.state.takenBy(request) } ?: return null
@@ -81,25 +84,57 @@
      * For all of [names], or for all that the session has up to [upTo] (null: has now). With [dispose] they are taken, a block at a
      * time: one change for up to 4,096. Throws [Refused].
      */
-    public suspend fun all(session: SessionName, names: Collection<ResultName>?, upTo: Map<ClientTag, Int>?, request: RequestId, dispose: Boolean, hold: Duration): WaitAnswer {
+    public suspend fun all(
+        session: SessionName,
+        names: Collection<ResultName>?,
+        upTo: Map<ClientTag, Int>?,
+        request: RequestId,
+        dispose: Boolean,
+        hold: Duration,
+    ): WaitAnswer {
         val bound = upTo ?: look(session) { it.upTo() }
         return until(session, hold, bound) {
             val mine = if (names == null) null else names.filter { name -> mine(name, request, dispose) }
             val ready = if (mine == null) {
-                look(session) { view -> view.state.openJobs(bound).none() && view.heldJobs().none { it.number <= (bound[it.tag] ?: -1) } }
+                look(session) { view ->
+                    view.state.openJobs(bound).none() &&
+                        view.heldJobs().none { it.number <= (bound[it.tag] ?: -1) }
+                }
             } else {
-                look(session) { view -> mine.all { view.state.stateOf(it) != ResultState.OPEN && view.held(it.job) == null } }
+                look(session) { view ->
+                    mine.all {
+                        view.state.stateOf(it) != ResultState.OPEN &&
+                            view.held(it.job) == null
+                    }
+                }
             }
             if (!ready) return@until null
-            if (dispose) disposed(mine ?: look(session) { it.state.untaken(bound).toList() }, request) else WaitAnswer.AllEnded
+            if (dispose) {
+                disposed(
+                    mine ?: look(session) {
+                        it.state.untaken(bound).toList()
+                    },
+                    request,
+                )
+            } else {
+                WaitAnswer.AllEnded
+            }
         }
     }
 
     /** Whether there is still something to wait for, or to take, in a result that was named. */
     private suspend fun mine(name: ResultName, request: RequestId, dispose: Boolean): Boolean = when (state(name)) {
         ResultState.UNKNOWN -> throw Refused(Fault.InvalidJobException, "$name is no result of this session")
+
         // Taken by an earlier try of this very request: as good as taken now.
-        ResultState.TAKEN -> if (dispose && look(name.job.session) { it.state.block(name.block).wentTo(name.place, request) }) false else throw gone(name)
+        ResultState.TAKEN -> if (dispose &&
+            look(name.job.session) { it.state.block(name.block).wentTo(name.place, request) }
+        ) {
+            false
+        } else {
+            throw gone(name)
+        }
+
         else -> true
     }
 
@@ -109,8 +144,10 @@
             while (left.isNotEmpty()) {
                 when (val reaped = reaper.take(key, left, request, Purpose.END)) {
                     is Reaped.Taken -> left = emptyList()
+
                     // What another wait of the session took meanwhile is disposed of too.
                     is Reaped.Gone -> left = left - reaped.gone.toSet()
+
                     is Reaped.NotNow -> return WaitAnswer.NotNow(reaped.reason)
                 }
             }
@@ -124,9 +161,17 @@
 
     /** Only where all of the session is known: what lost track in between would call results unknown that are not. */
     private suspend fun <T> look(session: SessionName, look: (SessionView) -> T): T {
-        val (loaded, seen) = book.look(session) { view -> view.loaded to (if (view.loaded) look(view) else null) } ?: throw closed()
+        val (loaded, seen) = book.look(session) { view -> view.loaded to (if (view.loaded) look(view) else null) }
+            ?: throw closed()
         @Suppress("UNCHECKED_CAST")
-        return if (loaded) seen as T else throw Refused(Fault.DrmCommunicationException, "this node reads the session again")
+        return if (loaded) {
+            seen as T
+        } else {
+            throw Refused(
+                Fault.DrmCommunicationException,
+                "this node reads the session again",
+            )
+        }
     }
 
     private fun closed() = Refused(Fault.NoActiveSessionException, "the session was closed")
@@ -134,7 +179,12 @@
     private fun gone(name: ResultName) = Refused(Fault.InvalidJobException, "$name: its result was taken before")
 
     /** Tries, and tries again whenever something happens in the session, until there is an answer or [hold] is over. */
-    private suspend fun until(session: SessionName, hold: Duration, upTo: Map<ClientTag, Int> = emptyMap(), attempt: suspend () -> WaitAnswer?): WaitAnswer {
+    private suspend fun until(
+        session: SessionName,
+        hold: Duration,
+        upTo: Map<ClientTag, Int> = emptyMap(),
+        attempt: suspend () -> WaitAnswer?,
+    ): WaitAnswer {
         if (!sync()) return WaitAnswer.NotNow("the state service doesn't answer")
         val deadline = clock.now() + hold
         while (true) {
--- a/src/main/kotlin/org/elderhitch/drmaa/client/ClientSession.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/client/ClientSession.kt
@@ -41,7 +41,9 @@
 ) : Session {
     private class Active(val contact: ContactString, val wire: Wire, val owner: Boolean, val tag: String) {
         val numbers = AtomicInteger()
-        val templates: MutableSet<JobTemplate> = Collections.synchronizedSet(Collections.newSetFromMap(IdentityHashMap()))
+        val templates: MutableSet<JobTemplate> = Collections.synchronizedSet(
+            Collections.newSetFromMap(IdentityHashMap()),
+        )
 
         /** A number of its own for each thing that is asked for; the same one however often it has to be asked. */
         fun request(): String = "$tag-${numbers.getAndIncrement()}"
@@ -78,20 +80,39 @@
     }
 
     private fun fields(session: Active, template: JobTemplate): Map<String, Any?> {
-        if (template !in session.templates) throw InvalidJobTemplateException("not a template of this session, or deleted")
+        if (template !in
+            session.templates
+        ) {
+            throw InvalidJobTemplateException("not a template of this session, or deleted")
+        }
         return (template as Template).fields()
     }
 
     override fun runJob(jobTemplate: JobTemplate): String {
         val session = active()
-        val answer = session.wire.ask("run", mapOf("request" to session.request(), "template" to fields(session, jobTemplate)), PATIENCE_MS)
+        val answer = session.wire.ask(
+            "run",
+            mapOf(
+                "request" to session.request(),
+                "template" to fields(session, jobTemplate),
+            ),
+            PATIENCE_MS,
+        )
         return read { answer.string("job") }
     }
 
     override fun runBulkJobs(jobTemplate: JobTemplate, start: Int, end: Int, incr: Int): List<String> {
         val session = active()
         val bulk = mapOf("start" to start, "end" to end, "step" to incr)
-        val answer = session.wire.ask("run", mapOf("request" to session.request(), "template" to fields(session, jobTemplate), "bulk" to bulk), PATIENCE_MS)
+        val answer = session.wire.ask(
+            "run",
+            mapOf(
+                "request" to session.request(),
+                "template" to fields(session, jobTemplate),
+                "bulk" to bulk,
+            ),
+            PATIENCE_MS,
+        )
         val job = read { answer.string("job") }
         return List(read { answer.count("members") }.toInt()) { "$job/$it" }
     }
@@ -114,8 +135,15 @@
             done += now
             if (left == 0L) return
             if (now > 0) idleSince = clock.nowMs()
-            if (clock.nowMs() - idleSince > PATIENCE_MS) throw TryLaterException("$word of all jobs: $done are done, $left are not yet")
-            read { answer.objectOrNull("upto") }?.let { upTo -> fields["upto"] = upTo.names.associateWith { upTo.raw(it) } }
+            if (clock.nowMs() - idleSince >
+                PATIENCE_MS
+            ) {
+                throw TryLaterException("$word of all jobs: $done are done, $left are not yet")
+            }
+            read { answer.objectOrNull("upto") }?.let { upTo ->
+                fields["upto"] =
+                    upTo.names.associateWith { upTo.raw(it) }
+            }
         }
     }
 
@@ -123,15 +151,29 @@
         val session = active()
         val deadline = deadline(timeout)
         if (jobIds.isEmpty()) return
-        val pieces = if (jobIds.any { it == Session.JOB_IDS_SESSION_ALL }) listOf(listOf(Session.JOB_IDS_SESSION_ALL)) else jobIds.chunked(PIECE)
+        val pieces = if (jobIds.any {
+                it == Session.JOB_IDS_SESSION_ALL
+            }
+        ) {
+            listOf(listOf(Session.JOB_IDS_SESSION_ALL))
+        } else {
+            jobIds.chunked(PIECE)
+        }
         for (piece in pieces) {
-            until(deadline, "sync", linkedMapOf("request" to session.request(), "jobs" to piece, "dispose" to dispose), session)
+            until(
+                deadline,
+                "sync",
+                linkedMapOf("request" to session.request(), "jobs" to piece, "dispose" to dispose),
+                session,
+            )
         }
     }
 
     override fun wait(jobId: String, timeout: Long): JobInfo {
         val session = active()
-        return Info(until(deadline(timeout), "wait", linkedMapOf("request" to session.request(), "job" to jobId), session))
+        return Info(
+            until(deadline(timeout), "wait", linkedMapOf("request" to session.request(), "job" to jobId), session),
+        )
     }
 
     /** Milliseconds on the client's clock; null: for ever. */
@@ -156,7 +198,10 @@
             }
             if (answer != null && read { answer.booleanOrNull("waiting") } != true) return answer
             if (deadline != null && clock.nowMs() >= deadline) throw ExitTimeoutException("not within the time given")
-            read { answer?.objectOrNull("upto") }?.let { upTo -> fields["upto"] = upTo.names.associateWith { upTo.raw(it) } }
+            read { answer?.objectOrNull("upto") }?.let { upTo ->
+                fields["upto"] =
+                    upTo.names.associateWith { upTo.raw(it) }
+            }
         }
     }
 
@@ -209,8 +254,13 @@
 
         private companion object {
             val USAGE = mapOf(
-                "tries" to "attempts", "lost" to "attempts_lost", "useful" to "useful_task_seconds", "wasted" to "lost_task_seconds",
-                "first" to "start_time_ms", "end" to "end_time_ms", "least" to "lower_bound",
+                "tries" to "attempts",
+                "lost" to "attempts_lost",
+                "useful" to "useful_task_seconds",
+                "wasted" to "lost_task_seconds",
+                "first" to "start_time_ms",
+                "end" to "end_time_ms",
+                "least" to "lower_bound",
             )
         }
     }
--- a/src/main/kotlin/org/elderhitch/drmaa/client/Template.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/client/Template.kt
@@ -42,7 +42,11 @@
     override fun getArgs(): List<String>? = args
 
     override fun setJobSubmissionState(state: Int) {
-        if (state != JobTemplate.HOLD_STATE && state != JobTemplate.ACTIVE_STATE) throw InvalidAttributeValueException("jobSubmissionState: neither HOLD_STATE nor ACTIVE_STATE")
+        if (state != JobTemplate.HOLD_STATE &&
+            state != JobTemplate.ACTIVE_STATE
+        ) {
+            throw InvalidAttributeValueException("jobSubmissionState: neither HOLD_STATE nor ACTIVE_STATE")
+        }
         this.state = state
     }
 
@@ -56,9 +60,15 @@
 
     override fun setWorkingDirectory(wd: String?) {
         if (wd != null && !wd.startsWith("/") && !wd.startsWith(JobTemplate.HOME_DIRECTORY)) {
-            throw InvalidAttributeFormatException("workingDirectory: neither absolute nor beginning with the home directory's placeholder")
+            throw InvalidAttributeFormatException(
+                "workingDirectory: neither absolute nor beginning with the home directory's placeholder",
+            )
+        }
+        if (wd != null &&
+            JobTemplate.WORKING_DIRECTORY in wd
+        ) {
+            throw InvalidAttributeFormatException("workingDirectory: can't be relative to itself")
         }
-        if (wd != null && JobTemplate.WORKING_DIRECTORY in wd) throw InvalidAttributeFormatException("workingDirectory: can't be relative to itself")
         placeholders("workingDirectory", wd)
         directory = wd
     }
@@ -97,7 +107,9 @@
     override fun getStartTime(): PartialTimestamp? = startTime
 
     override fun setJobName(name: String?) {
-        if (name != null && (name.isEmpty() || name.length > LONGEST_NAME || name.any { !it.isLetterOrDigit() && it !in "_-." })) {
+        if (name != null &&
+            (name.isEmpty() || name.length > LONGEST_NAME || name.any { !it.isLetterOrDigit() && it !in "_-." })
+        ) {
             throw InvalidAttributeValueException("jobName: letters, digits, _ - and . only, at most $LONGEST_NAME")
         }
         this.name = name
@@ -161,7 +173,8 @@
 
     override fun getAttributeNames(): Set<String> = NAMES
 
-    private fun unsupported(attribute: String): Nothing = throw UnsupportedAttributeException("$attribute: not supported")
+    private fun unsupported(attribute: String): Nothing =
+        throw UnsupportedAttributeException("$attribute: not supported")
 
     private fun path(attribute: String, path: String?): String? {
         if (path == null) return null
@@ -172,19 +185,39 @@
 
     private fun placeholders(attribute: String, path: String?) {
         for (place in listOf(JobTemplate.HOME_DIRECTORY, JobTemplate.WORKING_DIRECTORY)) {
-            if (path != null && path.lastIndexOf(place) > 0) throw InvalidAttributeFormatException("$attribute: $place stands at the beginning only")
+            if (path != null &&
+                path.lastIndexOf(place) > 0
+            ) {
+                throw InvalidAttributeFormatException("$attribute: $place stands at the beginning only")
+            }
         }
     }
 
     /** As the daemon takes it. Times are worked out here, in the zone of whoever set them. Throws [InvalidJobTemplateException]. */
     fun fields(): Map<String, Any?> {
-        if (remoteCommand == null && category == null) throw InvalidJobTemplateException("neither remoteCommand nor jobCategory is set")
+        if (remoteCommand == null &&
+            category == null
+        ) {
+            throw InvalidJobTemplateException("neither remoteCommand nor jobCategory is set")
+        }
         return linkedMapOf(
             "command" to remoteCommand, "args" to args, "env" to environment, "directory" to directory, "name" to name,
-            "input" to input, "output" to output, "error" to (if (join) null else error), "joinFiles" to (if (join) true else null),
-            "email" to email?.toList(), "blockEmail" to (if (blockEmail) true else null), "category" to category, "native" to native,
-            "hold" to (if (state == JobTemplate.HOLD_STATE) true else null), "startAt" to startTime?.let { moment("startTime", it) },
-            "deadlineAt" to deadline?.let { moment("deadlineTime", it) }, "softRunS" to (if (softRun > 0) softRun else null),
+            "input" to input, "output" to output, "error" to (if (join) null else error),
+            "joinFiles" to (if (join) true else null),
+            "email" to email?.toList(), "blockEmail" to (if (blockEmail) true else null), "category" to category,
+            "native" to native,
+            "hold" to (
+                if (state ==
+                    JobTemplate.HOLD_STATE
+                ) {
+                    true
+                } else {
+                    null
+                }
+                ),
+            "startAt" to startTime?.let { moment("startTime", it) },
+            "deadlineAt" to deadline?.let { moment("deadlineTime", it) },
+            "softRunS" to (if (softRun > 0) softRun else null),
         ).filterValues { it != null }
     }
 
--- a/src/main/kotlin/org/elderhitch/drmaa/client/Wire.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/client/Wire.kt
@@ -41,8 +41,16 @@
             if (!rest.startsWith(SCHEME)) throw InvalidContactStringException("a contact string begins with $SCHEME")
             val nodes = rest.removePrefix(SCHEME).substringBefore('?').split(',')
             val token = rest.substringAfter("?$TOKEN", "")
-            if (nodes.isEmpty() || nodes.any { !NODE.matches(it) }) throw InvalidContactStringException("the contact string names no addresses of the form HOST:PORT")
-            if (token.isEmpty() || token.any { it <= ' ' }) throw InvalidContactStringException("the contact string has no token")
+            if (nodes.isEmpty() ||
+                nodes.any { !NODE.matches(it) }
+            ) {
+                throw InvalidContactStringException("the contact string names no addresses of the form HOST:PORT")
+            }
+            if (token.isEmpty() ||
+                token.any { it <= ' ' }
+            ) {
+                throw InvalidContactStringException("the contact string has no token")
+            }
             return ContactString(nodes, token)
         }
     }
@@ -58,13 +66,19 @@
 
 /** The JDK's own client: a program needs nothing else on its class path. */
 internal class HttpLine : Line {
-    private val client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(Duration.ofMillis(CONNECT_MS)).build()
+    private val client = HttpClient.newBuilder().version(
+        HttpClient.Version.HTTP_1_1,
+    ).connectTimeout(Duration.ofMillis(CONNECT_MS)).build()
 
     override fun post(node: String, path: String, body: ByteArray, timeoutMs: Long): NodeAnswer? = try {
         val request = HttpRequest.newBuilder(URI("http://$node$path")).timeout(Duration.ofMillis(timeoutMs))
             .header("Content-Type", "application/json").POST(HttpRequest.BodyPublishers.ofByteArray(body)).build()
         val response = client.send(request, HttpResponse.BodyHandlers.ofByteArray())
-        NodeAnswer(response.statusCode(), response.body(), response.headers().firstValue("Retry-After").orElse(null)?.toLongOrNull())
+        NodeAnswer(
+            response.statusCode(),
+            response.body(),
+            response.headers().firstValue("Retry-After").orElse(null)?.toLongOrNull(),
+        )
     } catch (_: IOException) {
         null
     } catch (e: InterruptedException) {
@@ -147,27 +161,50 @@
         val said = try {
             Json.parseObject(answer.body)
         } catch (_: MalformedJson) {
-            return DrmCommunicationException("status ${answer.status}, and no word why: is this a controller of elderhitch?")
+            return DrmCommunicationException(
+                "status ${answer.status}, and no word why: is this a controller of elderhitch?",
+            )
         }
         val reason = (said.raw("error") as? String) ?: "status ${answer.status}"
         return when (said.raw("exception") as? String) {
             "InvalidContactStringException" -> InvalidContactStringException(reason)
+
             "InvalidAttributeFormatException" -> InvalidAttributeFormatException(reason)
+
             "InvalidAttributeValueException" -> InvalidAttributeValueException(reason)
+
             "ConflictingAttributeValuesException" -> ConflictingAttributeValuesException(reason)
+
             // The binding has no checked exception for it.
             "InvalidArgumentException" -> throw IllegalArgumentException(reason)
+
             "AuthorizationException" -> AuthorizationException(reason)
+
             "DeniedByDrmException" -> DeniedByDrmException(reason)
+
             "InvalidJobException" -> InvalidJobException(reason)
+
             "NoActiveSessionException" -> NoActiveSessionException(reason)
+
             "HoldInconsistentStateException" -> HoldInconsistentStateException(reason)
+
             "ReleaseInconsistentStateException" -> ReleaseInconsistentStateException(reason)
+
             "SuspendInconsistentStateException" -> SuspendInconsistentStateException(reason)
+
             "ResumeInconsistentStateException" -> ResumeInconsistentStateException(reason)
+
             "TryLaterException" -> TryLaterException(reason)
+
             "DrmCommunicationException" -> DrmCommunicationException(reason)
-            else -> if (answer.status == NOT_FOUND) DrmCommunicationException("the controllers don't serve DRMAA: $reason") else InternalException(reason)
+
+            else -> if (answer.status ==
+                NOT_FOUND
+            ) {
+                DrmCommunicationException("the controllers don't serve DRMAA: $reason")
+            } else {
+                InternalException(reason)
+            }
         }
     }
 
--- a/src/main/kotlin/org/elderhitch/features/Feature.kt
+++ b/src/main/kotlin/org/elderhitch/features/Feature.kt
@@ -111,7 +111,9 @@
 
     public fun keepsFinished(job: JobId): Boolean = features.any { it.keepsFinished(job) }
 
-    public fun keeper(job: JobId): JobKeeper? = features.firstNotNullOfOrNull { feature -> feature.keeper?.takeIf { it.keeps(job) } }
+    public fun keeper(job: JobId): JobKeeper? = features.firstNotNullOfOrNull { feature ->
+        feature.keeper?.takeIf { it.keeps(job) }
+    }
 
     public suspend fun prepare(): Boolean = features.all { it.prepare() }
 
--- a/src/main/kotlin/org/elderhitch/features/FeaturesFile.kt
+++ b/src/main/kotlin/org/elderhitch/features/FeaturesFile.kt
@@ -29,7 +29,10 @@
     private const val MOST_ATTEMPTS = 1000
 
     /** Named, not referred to: the classes of a direction that is off are never loaded. */
-    private val directions = mapOf("drmaa" to "org.elderhitch.drmaa.DrmaaSection", "sweeps" to "org.elderhitch.sweeps.SweepsSection")
+    private val directions = mapOf(
+        "drmaa" to "org.elderhitch.drmaa.DrmaaSection",
+        "sweeps" to "org.elderhitch.sweeps.SweepsSection",
+    )
 
     /** Throws [BadScript] naming file, line and key. */
     public fun load(file: File): Features {
--- a/src/main/kotlin/org/elderhitch/fleet/Adoption.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Adoption.kt
@@ -35,23 +35,33 @@
     }
 
     /** The cloud has listed them for longer than machines stay listed that were returned. */
-    fun listed(leading: Tenure.Leading, machines: List<Machine>) = adopt(leading, machines.filter(::mayAdopt), reporting = false)
+    fun listed(leading: Tenure.Leading, machines: List<Machine>) =
+        adopt(leading, machines.filter(::mayAdopt), reporting = false)
 
     /** Whether no request that is still open, or being recorded, can have rented it. */
-    private fun mayAdopt(machine: Machine): Boolean =
-        intents.all.none { if (it.machines == null) it.asked && it.market == marketOf(machine) else machine.id in it.machines.orEmpty() }
+    private fun mayAdopt(machine: Machine): Boolean = intents.all.none {
+        if (it.machines ==
+            null
+        ) {
+            it.asked && it.market == marketOf(machine)
+        } else {
+            machine.id in it.machines.orEmpty()
+        }
+    }
 
     private fun marketOf(machine: Machine) = Market(machine.type, machine.zone, machine.spot)
 
     /** Many at once share an intent: a fleet of 220 that nobody had rented took 440 writes and 19 s, at 24 writes a second. It says that they are up if they report. */
     private fun adopt(leading: Tenure.Leading, machines: List<Machine>, reporting: Boolean) {
-        for ((market, its) in machines.groupBy(::marketOf)) for (some in its.chunked(CloudClient.MOST_HIRED)) {
-            val intent = HireIntent("adopted-${leading.term}-${some.first().id}", market, some.size)
-            if (intents[intent.name] != null) continue
-            log.info("machines adopted market={} machines={}", market, some.map { it.id })
-            intent.machines = some.map { it.id }
-            if (reporting) intent.up.addAll(some.map { it.id })
-            intents.add(leading, intent)
+        for ((market, its) in machines.groupBy(::marketOf)) {
+            for (some in its.chunked(CloudClient.MOST_HIRED)) {
+                val intent = HireIntent("adopted-${leading.term}-${some.first().id}", market, some.size)
+                if (intents[intent.name] != null) continue
+                log.info("machines adopted market={} machines={}", market, some.map { it.id })
+                intent.machines = some.map { it.id }
+                if (reporting) intent.up.addAll(some.map { it.id })
+                intents.add(leading, intent)
+            }
         }
     }
 
--- a/src/main/kotlin/org/elderhitch/fleet/Arrivals.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Arrivals.kt
@@ -18,14 +18,18 @@
         classes[spec.jobClass] = Known(spec, rate, now)
     }
 
-    fun perSecond(jobClass: String, now: Moment): Double = classes[jobClass]?.let { it.ratePerS * exp(-((now - it.at) / OVER)) } ?: 0.0
+    fun perSecond(jobClass: String, now: Moment): Double =
+        classes[jobClass]?.let { it.ratePerS * exp(-((now - it.at) / OVER)) } ?: 0.0
 
-    fun expected(now: Moment): List<Expected> = classes.values.map { Expected(it.spec, perSecond(it.spec.jobClass, now)) }
+    fun expected(now: Moment): List<Expected> = classes.values.map {
+        Expected(it.spec, perSecond(it.spec.jobClass, now))
+    }
 
     /** Machines' worth of tasks that arrive while a machine boots. */
     fun machinesWorth(catalog: Catalog, now: Moment): Double = classes.values.sumOf { known ->
         val type = catalog.fitting(known.spec).minByOrNull { it.price } ?: return@sumOf 0.0
-        perSecond(known.spec.jobClass, now) * type.boot.toDouble(DurationUnit.SECONDS) / FleetPlan.tasksPerMachine(known.spec, type).coerceAtLeast(1.0)
+        perSecond(known.spec.jobClass, now) * type.boot.toDouble(DurationUnit.SECONDS) /
+            FleetPlan.tasksPerMachine(known.spec, type).coerceAtLeast(1.0)
     }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/fleet/BootTimes.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/BootTimes.kt
@@ -8,7 +8,13 @@
     private val recent = ArrayDeque<Double>()
 
     public val hopeless: Double
-        get() = if (recent.size < ENOUGH) FleetPlan.HOPELESS_BOOT else (recent.max() * MARGIN).coerceIn(LEAST, FleetPlan.HOPELESS_BOOT)
+        get() = if (recent.size <
+            ENOUGH
+        ) {
+            FleetPlan.HOPELESS_BOOT
+        } else {
+            (recent.max() * MARGIN).coerceIn(LEAST, FleetPlan.HOPELESS_BOOT)
+        }
 
     /**
      * When a machine counts as late, and what waited for it rents another. While none came up at all, or all come late, the
@@ -17,8 +23,13 @@
      */
     public fun late(anyUp: Boolean): Double = when {
         !anyUp -> FleetPlan.HOPELESS_BOOT
+
         recent.isEmpty() -> FleetPlan.LATE_BOOT
-        else -> (recent.sorted()[recent.size / 2] * FleetPlan.LATE_BOOT).coerceIn(FleetPlan.LATE_BOOT, FleetPlan.HOPELESS_BOOT)
+
+        else -> (recent.sorted()[recent.size / 2] * FleetPlan.LATE_BOOT).coerceIn(
+            FleetPlan.LATE_BOOT,
+            FleetPlan.HOPELESS_BOOT,
+        )
     }
 
     public fun add(multiple: Double) {
--- a/src/main/kotlin/org/elderhitch/fleet/CatalogKeeper.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CatalogKeeper.kt
@@ -42,7 +42,13 @@
         scope.launch {
             // Seven controllers that all came back asked at once, at 1.5 requests a second: the new leader's list of machines was refused, and its takeover
             // waited 6 s for machines that were long gone. Only a leader asks at once; the others mostly find in the state service what it learnt.
-            for (tick in 0 until FIRST_TICKS) if (tenure.value !is Tenure.Leading && !(loaded() && !catalog.isEmpty)) delay(FIRST_TICK)
+            for (tick in 0 until FIRST_TICKS) {
+                if (tenure.value !is Tenure.Leading &&
+                    !(loaded() && !catalog.isEmpty)
+                ) {
+                    delay(FIRST_TICK)
+                }
+            }
             while (true) {
                 val leading = tenure.value as? Tenure.Leading
                 if (catalog.isEmpty || leading != null) {
@@ -71,8 +77,13 @@
             log.info("machine types not kept bytes={}", bytes.size)
             return
         }
-        kept = store.commit(listOf(Condition(Keys.TERM, leading.counter)), listOf(Write.Put(Keys.TYPES, value)), Purpose.OTHER) is
-            CommitOutcome.Committed
+        kept =
+            store.commit(
+                listOf(Condition(Keys.TERM, leading.counter)),
+                listOf(Write.Put(Keys.TYPES, value)),
+                Purpose.OTHER,
+            ) is
+                CommitOutcome.Committed
     }
 
     public fun stored(entry: Entry) {
--- a/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
@@ -28,7 +28,11 @@
 
 public class ListedMachine(public val machine: Machine, public val state: String, public val address: Address?)
 
-public class CloudClient(private val transport: Transport, private val address: Address, private val budget: RateBudget) {
+public class CloudClient(
+    private val transport: Transport,
+    private val address: Address,
+    private val budget: RateBudget,
+) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
 
     public suspend fun catalog(): Catalog? {
@@ -56,9 +60,21 @@
         val response = call("POST", "/machines", body, Purpose.RECORD, entitled) ?: return HireOutcome.Unknown
         return decodedFrom("cloud", log, HireOutcome.Unknown) {
             when (response.status) {
-                OK -> HireOutcome.Hired(Json.parseObject(response.body).stringsOrNull("stalls").orEmpty().map(::MachineId))
-                BUSY -> if (response.body.decodeToString().contains("no capacity")) HireOutcome.NoCapacity else HireOutcome.Unknown
+                OK -> HireOutcome.Hired(
+                    Json.parseObject(response.body).stringsOrNull("stalls").orEmpty().map(::MachineId),
+                )
+
+                BUSY -> if (response.body.decodeToString().contains(
+                        "no capacity",
+                    )
+                ) {
+                    HireOutcome.NoCapacity
+                } else {
+                    HireOutcome.Unknown
+                }
+
                 BAD -> HireOutcome.Rejected
+
                 else -> HireOutcome.Unknown
             }
         }
@@ -83,7 +99,12 @@
                 val body = Json.parseObject(response.body)
                 body.objects("stalls").mapTo(all) {
                     ListedMachine(
-                        Machine(MachineId(it.string("id")), MachineType(it.string("rig")), Zone(it.string("hall")), it.boolean("borrowedRigs")),
+                        Machine(
+                            MachineId(it.string("id")),
+                            MachineType(it.string("rig")),
+                            Zone(it.string("hall")),
+                            it.boolean("borrowedRigs"),
+                        ),
                         it.string("standing"),
                         it.stringOrNull("addr")?.let(Address::parse),
                     )
@@ -95,7 +116,15 @@
         }
     }
 
-    private suspend fun call(method: String, target: String, body: ByteArray?, purpose: Purpose, entitled: () -> Boolean = { true }): Response? {
+    private suspend fun call(
+        method: String,
+        target: String,
+        body: ByteArray?,
+        purpose: Purpose,
+        entitled: () -> Boolean = {
+            true
+        },
+    ): Response? {
         if (!budget.take(purpose, 1, PATIENCE) || !entitled()) return null
         return transport.call(address, method, target, body, TIMEOUT)
     }
--- a/src/main/kotlin/org/elderhitch/fleet/Fleet.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Fleet.kt
@@ -34,7 +34,9 @@
 
     /** Where machines could be rented on which a task of the job may run. */
     public fun markets(spec: JobSpec): List<Market> = fitting(spec)
-        .flatMap { type -> type.zones.flatMap { zone -> listOf(Market(type.name, zone, true), Market(type.name, zone, false)) } }
+        .flatMap { type ->
+            type.zones.flatMap { zone -> listOf(Market(type.name, zone, true), Market(type.name, zone, false)) }
+        }
         .filter { spec.mayUse(it.type, it.zone, it.spot) }
 
     public companion object {
--- a/src/main/kotlin/org/elderhitch/fleet/FleetMessages.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetMessages.kt
@@ -49,7 +49,8 @@
 
     /** A machine of ours reports: it may be given tasks as soon as that is recorded. */
     public data class CameUp(val machine: MachineId) : FleetMessage
-    public data class UpWritten(val term: Term, val name: String, val machines: Set<MachineId>, val done: Boolean) : FleetMessage
+    public data class UpWritten(val term: Term, val name: String, val machines: Set<MachineId>, val done: Boolean) :
+        FleetMessage
 
     public data class HireDone(val term: Term, val name: String, val outcome: HireOutcome) : FleetMessage
     public data class HireWritten(val term: Term, val name: String, val version: Revision?) : FleetMessage
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
@@ -50,7 +50,8 @@
 public class Headroom(public val spec: JobSpec, public val tasks: Int, public val free: Boolean = false)
 
 public data class Hiring(val market: Market, val count: Int) {
-    public fun chunked(most: Int): List<Hiring> = (0 until count step most).map { Hiring(market, minOf(most, count - it)) }
+    public fun chunked(most: Int): List<Hiring> =
+        (0 until count step most).map { Hiring(market, minOf(most, count - it)) }
 }
 
 public class PlanOutput(
@@ -86,13 +87,24 @@
                 if (!late(planned, type)) add(Paper(planned.machine, market(planned.machine), type.resources))
             } else if (use.usable) {
                 // Room that tasks leave sooner than a new machine would be up; production doesn't wait for that.
-                add(Paper(planned.machine, market(planned.machine), type.resources - use.busy + use.ending, later = true))
+                add(
+                    Paper(
+                        planned.machine,
+                        market(planned.machine),
+                        type.resources - use.busy + use.ending,
+                        later = true,
+                    ),
+                )
             } else {
                 inZone.merge(planned.machine.zone, 1, Int::plus)
             }
         }
         // Work that could run nowhere else chooses before its equals.
-        for (need in input.unplaced.sortedWith(compareByDescending<Unplaced> { it.spec.priority }.thenBy { input.catalog.fitting(it.spec).size })) {
+        for (need in input.unplaced.sortedWith(
+            compareByDescending<Unplaced> {
+                it.spec.priority
+            }.thenBy { input.catalog.fitting(it.spec).size },
+        )) {
             place(need.spec, need.count.coerceAtMost(MOST_TASKS), HashMap(need.zones))
         }
         keepHeadroom()
@@ -116,12 +128,24 @@
         val guestOn = guestTypes(spec)
         // What guests leave of scarce machines is for those who wait for just that.
         val fitting = papers
-            .filter { (!it.later || spec.priority < Priority.PRODUCTION && it.market.type !in guestOn) && allowed(spec, it.market, zones) && spec.need.fitsIn(it.free) }
-            .sortedWith(compareBy<Paper> { it.market.type in guestOn }.thenByDescending { it.later }.thenBy { it.free.gpus })
+            .filter {
+                (!it.later || spec.priority < Priority.PRODUCTION && it.market.type !in guestOn) &&
+                    allowed(spec, it.market, zones) &&
+                    spec.need.fitsIn(it.free)
+            }
+            .sortedWith(
+                compareBy<Paper> {
+                    it.market.type in guestOn
+                }.thenByDescending { it.later }.thenBy { it.free.gpus },
+            )
         var next = 0
         var bought: Paper? = null
         repeat(count) {
-            while (next < fitting.size && !(spec.need.fitsIn(fitting[next].free) && allowed(spec, fitting[next].market, zones))) next++
+            while (next < fitting.size &&
+                !(spec.need.fitsIn(fitting[next].free) && allowed(spec, fitting[next].market, zones))
+            ) {
+                next++
+            }
             val kept = bought?.takeIf { spec.need.fitsIn(it.free) && allowed(spec, it.market, zones) }
             val paper = fitting.getOrNull(next) ?: kept ?: buy(spec, zones)?.also { bought = it } ?: return
             paper.free -= spec.need
@@ -140,9 +164,20 @@
 
     private fun buy(spec: JobSpec, zones: Map<Zone, Int>): Paper? {
         val guestOn = guestTypes(spec)
-        val markets = input.catalog.markets(spec).filter { (policy.useSpot || !it.spot) && it !in input.closedMarkets && allowed(spec, it, zones) }
+        val markets = input.catalog.markets(spec).filter {
+            (policy.useSpot || !it.spot) && it !in input.closedMarkets &&
+                allowed(spec, it, zones)
+        }
         val market = markets.minWithOrNull(
-            compareBy<Market> { cost(spec, it) * if (it.type in guestOn) GUEST_PRICE else 1.0 }.thenBy { zones[it.zone] ?: 0 }.thenBy { inZone[it.zone] ?: 0 }.thenBy { it.zone.name },
+            compareBy<Market> {
+                cost(spec, it) * if (it.type in
+                    guestOn
+                ) {
+                    GUEST_PRICE
+                } else {
+                    1.0
+                }
+            }.thenBy { zones[it.zone] ?: 0 }.thenBy { inZone[it.zone] ?: 0 }.thenBy { it.zone.name },
         ) ?: return null
         val type = input.catalog.types[market.type] ?: return null
         bought.merge(market, 1, Int::plus)
@@ -199,7 +234,11 @@
             val use = planned.use
             if (use == null) {
                 val boot = type?.boot ?: continue
-                if (input.now - planned.hiredAt > boot * input.hopelessBoot + HOPELESS_MARGIN) release.add(planned.machine.id)
+                if (input.now - planned.hiredAt >
+                    boot * input.hopelessBoot + HOPELESS_MARGIN
+                ) {
+                    release.add(planned.machine.id)
+                }
                 continue
             }
             if (use.faulty && use.idle != null) release.add(planned.machine.id)
@@ -216,10 +255,16 @@
     private fun drain(): MachineId? {
         if (input.unplaced.isNotEmpty()) return null
         val serving = input.machines.mapNotNull { planned ->
-            val use = planned.use?.takeIf { it.usable && it.serving != Resources.NONE && !planned.machine.spot } ?: return@mapNotNull null
+            val use =
+                planned.use?.takeIf { it.usable && it.serving != Resources.NONE && !planned.machine.spot }
+                    ?: return@mapNotNull null
             input.catalog.types[planned.machine.type]?.let { Triple(planned.machine, use, it.resources) }
         }
-        val (machine, use, _) = serving.filter { (_, use, has) -> use.busy == use.serving && use.serving.gpus * 2 <= has.gpus && use.serving.cpus * 2 <= has.cpus }
+        val (machine, use, _) = serving.filter { (_, use, has) ->
+            use.busy == use.serving &&
+                use.serving.gpus * 2 <= has.gpus &&
+                use.serving.cpus * 2 <= has.cpus
+        }
             .minWithOrNull(compareBy({ it.second.serving.weight }, { it.first.id.text })) ?: return null
         var room = Resources.NONE
         for ((other, its, has) in serving) if (other.id != machine.id) room += has - its.busy
@@ -234,7 +279,11 @@
      */
     private fun idleBeyondPatience(): List<MachineId> {
         val idle = input.machines.filter { it.use?.idle != null && it.use.faulty.not() && it.machine.id !in spareUsed }
-            .sortedWith(compareByDescending<PlannedMachine> { it.machine.spot }.thenBy { it.use?.idle }.thenBy { it.machine.id })
+            .sortedWith(
+                compareByDescending<PlannedMachine> {
+                    it.machine.spot
+                }.thenBy { it.use?.idle }.thenBy { it.machine.id },
+            )
         val surplusBoots = if (idle.size < standBy) emptyList() else surplusBoots()
         return surplusBoots + idle.filterIndexed { n, planned ->
             val patience = when {
@@ -249,7 +298,10 @@
     /** Machines that boot for nobody, while enough stand idle: no longer than the cloud charges for anyway. */
     private fun surplusBoots(): List<MachineId> {
         val used = papers.filter { it.used }.mapNotNullTo(HashSet()) { it.machine?.id }
-        return input.machines.filter { it.use == null && it.machine.id !in used && input.now - it.hiredAt > LEAST_CHARGED }.map { it.machine.id }
+        return input.machines.filter {
+            it.use == null && it.machine.id !in used &&
+                input.now - it.hiredAt > LEAST_CHARGED
+        }.map { it.machine.id }
     }
 
     public companion object {
@@ -269,7 +321,8 @@
             arrivalsPerS * (type.boot + policy.headroom).inWholeMilliseconds / MS
 
         /** How many tasks of a shape the loss of a machine would strand. */
-        public fun strandedTasks(spec: JobSpec, type: TypeInfo, policy: FleetPolicy): Double = policy.spareMachines * tasksPerMachine(spec, type)
+        public fun strandedTasks(spec: JobSpec, type: TypeInfo, policy: FleetPolicy): Double =
+            policy.spareMachines * tasksPerMachine(spec, type)
 
         /** How many tasks of a shape a machine holds. */
         public fun tasksPerMachine(spec: JobSpec, type: TypeInfo): Double = minOf(
@@ -280,6 +333,12 @@
 
         private const val MS = 1000.0
 
-        private fun ratio(has: Double, needs: Double): Double = if (needs <= 0) Double.MAX_VALUE else kotlin.math.floor(has / needs)
+        private fun ratio(has: Double, needs: Double): Double = if (needs <=
+            0
+        ) {
+            Double.MAX_VALUE
+        } else {
+            kotlin.math.floor(has / needs)
+        }
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/HireIntent.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/HireIntent.kt
@@ -51,7 +51,8 @@
 
     companion object {
         fun decode(name: String, value: JsonObject, at: Revision): HireIntent {
-            val market = Market(MachineType(value.string("rig")), Zone(value.string("hall")), value.boolean("borrowedRigs"))
+            val market =
+                Market(MachineType(value.string("rig")), Zone(value.string("hall")), value.boolean("borrowedRigs"))
             return HireIntent(name, market, value.count("count").toInt()).apply {
                 version = at
                 machines = value.stringsOrNull("stalls")?.map(::MachineId)
--- a/src/main/kotlin/org/elderhitch/fleet/IntentBook.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/IntentBook.kt
@@ -90,7 +90,12 @@
     fun forget(leading: Tenure.Leading, intent: HireIntent) {
         working.remove(intent.name)
         scope.launch {
-            store.commit(listOf(Condition(Keys.TERM, leading.counter)), listOf(Write.Drop(Keys.hire(intent.name))), Purpose.OTHER, WRITE_PATIENCE)
+            store.commit(
+                listOf(Condition(Keys.TERM, leading.counter)),
+                listOf(Write.Drop(Keys.hire(intent.name))),
+                Purpose.OTHER,
+                WRITE_PATIENCE,
+            )
         }
     }
 
@@ -102,7 +107,9 @@
     fun writeUp(leading: Tenure.Leading, intent: HireIntent) {
         intent.writingUp = true
         val written = intent.cameUp.toSet()
-        write(leading, intent) { version -> FleetMessage.UpWritten(leading.term, intent.name, written, version != null) }
+        write(leading, intent) { version ->
+            FleetMessage.UpWritten(leading.term, intent.name, written, version != null)
+        }
     }
 
     /**
@@ -128,7 +135,10 @@
                 // Conditional on the version too. Seen in a test: a write without an answer was carried out 30 s later, over a newer one that
                 // said which machines were up; the next term took those for booting and started their tasks elsewhere.
                 val outcome = store.commit(
-                    listOf(Condition(Keys.TERM, leading.counter), Condition(key, intent.version)), listOf(Write.Put(key, value)), Purpose.END, WRITE_PATIENCE,
+                    listOf(Condition(Keys.TERM, leading.counter), Condition(key, intent.version)),
+                    listOf(Write.Put(key, value)),
+                    Purpose.END,
+                    WRITE_PATIENCE,
                 )
                 if (outcome is CommitOutcome.Committed) {
                     intent.version = outcome.revision
@@ -146,12 +156,16 @@
                     when (val read = store.read(key, Purpose.END)) {
                         is ReadOutcome.Found -> {
                             intent.version = read.entry.version
-                            if (decoded(intent.name, read.entry)?.let { it.machines == machines && it.up == up } == true) {
+                            if (decoded(intent.name, read.entry)?.let { it.machines == machines && it.up == up } ==
+                                true
+                            ) {
                                 result = read.entry.version
                                 break
                             }
                         }
+
                         ReadOutcome.Absent -> intent.version = Revision.ABSENT
+
                         ReadOutcome.Unavailable -> delay(WRITE_PAUSE)
                     }
                     continue
--- a/src/main/kotlin/org/elderhitch/fleet/Inventory.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Inventory.kt
@@ -40,7 +40,9 @@
                 failed.add(id)
             }
         }
-        val gone = held.filter { (id, known) -> id !in names && known.hiredAt < asked - behind && !known.releasing }.keys.toList()
+        val gone = held.filter { (id, known) ->
+            id !in names && known.hiredAt < asked - behind && !known.releasing
+        }.keys.toList()
         return InventoryVerdict(unknown, failed, gone)
     }
 
--- a/src/main/kotlin/org/elderhitch/fleet/Renter.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Renter.kt
@@ -80,25 +80,47 @@
     override fun receive(message: FleetMessage) {
         when (message) {
             is FleetMessage.Snapshot -> intents.snapshot(message.entries)
+
             is FleetMessage.Changed -> message.changes.forEach(intents::changed)
+
             is FleetMessage.TenureIs -> tenureIs(message.tenure)
+
             is FleetMessage.TableComplete -> if (message.term == leading()?.term) tableComplete()
+
             is FleetMessage.JobOpened -> arrivals.add(message.spec, clock.now())
+
             is FleetMessage.Demand -> demand = message
+
             is FleetMessage.Stray -> {
-                val machine = Machine(message.report.machine, message.report.type, message.report.zone, message.report.spot)
+                val machine =
+                    Machine(message.report.machine, message.report.type, message.report.zone, message.report.spot)
                 if (machine.id !in held) adoption.reported(machine)
             }
+
             is FleetMessage.Release -> returns.want(leading(), message.machines, message.reason)
+
             is FleetMessage.Cordoned -> returns.cordoned(leading(), message)
+
             is FleetMessage.Heard -> returns.spare(message.machine)
+
             is FleetMessage.CatalogIs -> catalog = message.catalog
+
             is FleetMessage.CameUp -> cameUp(message.machine)
+
             is FleetMessage.UpWritten -> upWritten(message)
+
             is FleetMessage.HireDone -> hireDone(message)
+
             is FleetMessage.HireWritten -> hireWritten(message)
-            is FleetMessage.Released -> if (message.term == leading()?.term) returns.answered(message).forEach { gone(it, "released") }
+
+            is FleetMessage.Released -> if (message.term ==
+                leading()?.term
+            ) {
+                returns.answered(message).forEach { gone(it, "released") }
+            }
+
             is FleetMessage.Listed -> listed(message)
+
             FleetMessage.Tick -> tick()
         }
     }
@@ -128,7 +150,9 @@
         val now = clock.now()
         intents.take()
         for (intent in intents.all) {
-            intent.machines?.forEach { hold(Machine(it, intent.market.type, intent.market.zone, intent.market.spot), intent.name, now) }
+            intent.machines?.forEach {
+                hold(Machine(it, intent.market.type, intent.market.zone, intent.market.spot), intent.name, now)
+            }
             intent.up.forEach { held[it]?.upBefore = true }
         }
         tick()
@@ -153,7 +177,11 @@
         val machine = held[id] ?: return
         val intent = intents[machine.intent] ?: return
         val boot = catalog.types[machine.machine.type]?.boot
-        if (machine.hiredHere && !machine.cameUp && boot != null && boot.isPositive()) boots.add((clock.now() - machine.hiredAt) / boot)
+        if (machine.hiredHere && !machine.cameUp && boot != null &&
+            boot.isPositive()
+        ) {
+            boots.add((clock.now() - machine.hiredAt) / boot)
+        }
         machine.cameUp = true
         if (id in intent.up) {
             ports.foreman(ForemanMessage.MachineCleared(id))
@@ -210,25 +238,46 @@
             }
         }
         // A machine that came up in an earlier term and hasn't been heard yet is silent: it doesn't boot, and isn't given up as slow.
-        val machines = held.values.filter { !it.releasing && !it.failed && (it.machine.id in uses || !it.upBefore) }.map { PlannedMachine(it.machine, rentedBy(it), uses[it.machine.id]) }
+        val machines = held.values.filter {
+            !it.releasing && !it.failed && (it.machine.id in uses || !it.upBefore)
+        }.map { PlannedMachine(it.machine, rentedBy(it), uses[it.machine.id]) }
         val headroom = spare.room(demand.services, catalog, now)
-        ports.foreman(ForemanMessage.KeepFree(headroom.filter { it.free }.map { KeptFree(it.spec, it.tasks) }, closings.keys.toSet()))
+        ports.foreman(
+            ForemanMessage.KeepFree(
+                headroom.filter {
+                    it.free
+                }.map { KeptFree(it.spec, it.tasks) },
+                closings.keys.toSet(),
+            ),
+        )
         val output = FleetPlan(
-            PlanInput(catalog, machines + coming, demand.unplaced, headroom, arrivals.machinesWorth(catalog, now), closed.keys + unreachable(demand.cutZones), now, boots.hopeless, boots.late(uses.isNotEmpty()), demand.scarce),
+            PlanInput(
+                catalog, machines + coming, demand.unplaced, headroom, arrivals.machinesWorth(catalog, now),
+                closed.keys + unreachable(
+                    demand.cutZones,
+                ),
+                now, boots.hopeless, boots.late(uses.isNotEmpty()), demand.scarce,
+            ),
             policy,
         ).decide()
         if (log.isDebugEnabled) {
             log.debug(
                 "plan machines={} booting={} empty={} unplaced={} headroom={} hire={} release={}",
-                machines.size, machines.count { it.use == null }, machines.count { it.use?.idle != null },
-                demand.unplaced.map { "${it.spec.id}:${it.spec.jobClass}x${it.count}" }, headroom.map { it.tasks },
-                output.hire, output.release.size,
+                machines.size,
+                machines.count { it.use == null },
+                machines.count { it.use?.idle != null },
+                demand.unplaced.map { "${it.spec.id}:${it.spec.jobClass}x${it.count}" },
+                headroom.map { it.tasks },
+                output.hire,
+                output.release.size,
             )
         }
         val settling = !demand.settled && now - leadingSince < SETTLING
         if (!settling) {
             val free = turns.mostOpen - open.size
-            output.hire.flatMap { it.chunked(CloudClient.MOST_HIRED) }.take(maxOf(0, free)).forEach { newIntent(leading, it.market, it.count) }
+            output.hire.flatMap {
+                it.chunked(CloudClient.MOST_HIRED)
+            }.take(maxOf(0, free)).forEach { newIntent(leading, it.market, it.count) }
             val release = output.release.filter { held[it]?.releasing == false }
             if (release.isNotEmpty()) returns.cordon(release)
             output.drain?.let { ports.foreman(ForemanMessage.Drain(it)) }
@@ -272,7 +321,9 @@
             if (intent.market in closed) intents.forget(leading, intent) else sendRequests(leading, clock.now())
         } else {
             val now = clock.now()
-            machines.forEach { hold(Machine(it, intent.market.type, intent.market.zone, intent.market.spot), intent.name, now) }
+            machines.forEach {
+                hold(Machine(it, intent.market.type, intent.market.zone, intent.market.spot), intent.name, now)
+            }
             intent.up.forEach { ports.foreman(ForemanMessage.MachineCleared(it)) }
             if (intent.cameUp.isNotEmpty() && !intent.writingUp) intents.writeUp(leading, intent)
         }
@@ -296,7 +347,17 @@
         intent.requesting = true
         intent.asked = true
         orders.gave(OrderKind.HIRE, 1, clock.now())
-        scope.launch { tell(FleetMessage.HireDone(leading.term, intent.name, cloud.hire(intent.name, intent.market, intent.count) { ports.entitled(leading) })) }
+        scope.launch {
+            tell(
+                FleetMessage.HireDone(
+                    leading.term,
+                    intent.name,
+                    cloud.hire(intent.name, intent.market, intent.count) {
+                        ports.entitled(leading)
+                    },
+                ),
+            )
+        }
     }
 
     private fun hireDone(message: FleetMessage.HireDone) {
@@ -307,24 +368,46 @@
         intent.requesting = false
         when (val outcome = message.outcome) {
             is HireOutcome.Hired -> {
-                log.info("hired name={} market={} asked={} got={}", intent.name, intent.market, intent.count, outcome.machines.size)
-                if (outcome.machines.size < intent.count) close(leading, intent.market) else closings.remove(intent.market)
+                log.info(
+                    "hired name={} market={} asked={} got={}",
+                    intent.name,
+                    intent.market,
+                    intent.count,
+                    outcome.machines.size,
+                )
+                if (outcome.machines.size <
+                    intent.count
+                ) {
+                    close(leading, intent.market)
+                } else {
+                    closings.remove(intent.market)
+                }
                 orders.hired(intent.market, outcome.machines.size, clock.now())
                 intent.machines = outcome.machines
                 intent.busy = true
-                if (outcome.machines.isEmpty()) intents.forget(leading, intent) else intents.recordNames(leading, intent)
+                if (outcome.machines.isEmpty()) {
+                    intents.forget(
+                        leading,
+                        intent,
+                    )
+                } else {
+                    intents.recordNames(leading, intent)
+                }
             }
+
             HireOutcome.NoCapacity -> {
                 log.info("hire refused name={} market={}", intent.name, intent.market)
                 orders.regrets(RegretKind.HIRE_REFUSED)
                 close(leading, intent.market)
                 intents.forget(leading, intent)
             }
+
             HireOutcome.Rejected -> {
                 log.error("hire malformed name={} market={}", intent.name, intent.market)
                 close(leading, intent.market)
                 intents.forget(leading, intent)
             }
+
             HireOutcome.Unknown -> intent.retryAt = clock.now() + HIRE_RETRY
         }
     }
@@ -389,7 +472,5 @@
         val CLOSED_FIRST = 10.seconds
         val CLOSED_MOST = 60.seconds
         const val MAX_DOUBLINGS = 4
-
-
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/Returns.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Returns.kt
@@ -71,13 +71,25 @@
         if (!leading.mayCommand(now)) return
         while (true) {
             val batch = turns.returns(now).ifEmpty { return }
-            for ((reason, its) in batch.entries.groupBy({ it.value }, { it.key })) log.info("release machines={} reason={}", its, reason.word)
+            for ((reason, its) in batch.entries.groupBy({
+                it.value
+            }, { it.key })) {
+                log.info("release machines={} reason={}", its, reason.word)
+            }
             for ((machine, reason) in batch) {
                 val market = held[machine]?.market
-                if (reason == ReturnReason.IDLE && market != null) orders.returnedIdle(market, now) else orders.gave(OrderKind.RETURN, 1, now)
+                if (reason == ReturnReason.IDLE &&
+                    market != null
+                ) {
+                    orders.returnedIdle(market, now)
+                } else {
+                    orders.gave(OrderKind.RETURN, 1, now)
+                }
             }
             val names = batch.keys.toList()
-            scope.launch { tell(FleetMessage.Released(leading.term, names, cloud.release(names) { ports.entitled(leading) })) }
+            scope.launch {
+                tell(FleetMessage.Released(leading.term, names, cloud.release(names) { ports.entitled(leading) }))
+            }
         }
     }
 
--- a/src/main/kotlin/org/elderhitch/fleet/SpareRoom.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/SpareRoom.kt
@@ -25,8 +25,12 @@
             } else {
                 listOf(Headroom(spec, ceil(arriving + stranded).toInt()))
             }
-        } + arrivals.expected(now).filter { it.spec.kind == JobKind.ARRAY && it.spec.jobClass in instant && it.spec.priority > Priority.LOW }
-            .map { Headroom(it.spec, ceil(it.tasksPerS * STOPPING_S).toInt(), free = true) }
+        } +
+            arrivals.expected(now).filter {
+                it.spec.kind == JobKind.ARRAY && it.spec.jobClass in instant &&
+                    it.spec.priority > Priority.LOW
+            }
+                .map { Headroom(it.spec, ceil(it.tasksPerS * STOPPING_S).toInt(), free = true) }
 
     private companion object {
         /** Tasks a second. The jobs that a day begins with come at once: no rate that room must be kept for. */
--- a/src/main/kotlin/org/elderhitch/http/HttpClient.kt
+++ b/src/main/kotlin/org/elderhitch/http/HttpClient.kt
@@ -26,7 +26,13 @@
     private val log = LoggerFactory.getLogger("elderhitch.http")
     private val idle = HashMap<Address, ArrayDeque<Connection>>()
 
-    override suspend fun call(to: Address, method: String, target: String, body: ByteArray?, timeout: Duration): Response? {
+    override suspend fun call(
+        to: Address,
+        method: String,
+        target: String,
+        body: ByteArray?,
+        timeout: Duration,
+    ): Response? {
         val sent = request(to, method, target, body)
         return try {
             withTimeoutOrNull(timeout) {
@@ -52,7 +58,14 @@
         }
     }
 
-    override suspend fun deliver(to: Address, method: String, target: String, body: ByteArray?, connect: Duration, timeout: Duration): Delivery {
+    override suspend fun deliver(
+        to: Address,
+        method: String,
+        target: String,
+        body: ByteArray?,
+        connect: Duration,
+        timeout: Duration,
+    ): Delivery {
         val connection = try {
             withTimeoutOrNull(connect) { connect(to) } ?: return Delivery.NotSent
         } catch (e: IOException) {
@@ -60,7 +73,9 @@
             return Delivery.NotSent
         }
         return try {
-            withTimeoutOrNull(timeout) { Delivery.Answered(converse(connection, request(to, method, target, body, last = true))) } ?: Delivery.Unknown
+            withTimeoutOrNull(timeout) {
+                Delivery.Answered(converse(connection, request(to, method, target, body, last = true)))
+            } ?: Delivery.Unknown
         } catch (e: IOException) {
             log.debug("no answer from {} for {}: {}", to, target, e.message)
             Delivery.Unknown
@@ -94,10 +109,22 @@
         return Connection(channel, MessageParser(limits, isResponse = true), clock.now())
     }
 
-    private fun request(to: Address, method: String, target: String, body: ByteArray?, last: Boolean = false): ByteArray {
-        val head = StringBuilder(HEAD_SIZE).append(method).append(' ').append(target).append(" HTTP/1.1\r\nHost: ").append(to.text)
+    private fun request(
+        to: Address,
+        method: String,
+        target: String,
+        body: ByteArray?,
+        last: Boolean = false,
+    ): ByteArray {
+        val head = StringBuilder(
+            HEAD_SIZE,
+        ).append(method).append(' ').append(target).append(" HTTP/1.1\r\nHost: ").append(to.text)
             .append("\r\n")
-        if (body != null) head.append("Content-Type: application/json\r\nContent-Length: ").append(body.size).append("\r\n")
+        if (body !=
+            null
+        ) {
+            head.append("Content-Type: application/json\r\nContent-Length: ").append(body.size).append("\r\n")
+        }
         if (last) head.append("Connection: close\r\n")
         head.append("\r\n")
         return head.toString().toByteArray(Charsets.ISO_8859_1) + (body ?: ByteArray(0))
--- a/src/main/kotlin/org/elderhitch/http/HttpServer.kt
+++ b/src/main/kotlin/org/elderhitch/http/HttpServer.kt
@@ -162,7 +162,13 @@
         public fun refusal(status: Int, reason: String, retryAfter: Duration? = null): Response = Response(
             status,
             Json.bytes(mapOf("error" to reason)),
-            if (retryAfter == null) emptyMap() else mapOf("Retry-After" to retryAfter.inWholeSeconds.coerceAtLeast(1).toString()),
+            if (retryAfter ==
+                null
+            ) {
+                emptyMap()
+            } else {
+                mapOf("Retry-After" to retryAfter.inWholeSeconds.coerceAtLeast(1).toString())
+            },
         )
 
         /** Serves the one method that a path has. */
--- a/src/main/kotlin/org/elderhitch/http/MessageParser.kt
+++ b/src/main/kotlin/org/elderhitch/http/MessageParser.kt
@@ -55,6 +55,7 @@
                         stage = Stage.CHUNK_END
                     }
                 }
+
                 else -> {
                     val complete = takeLineByte(data[at])
                     at++
@@ -78,10 +79,16 @@
         if (byte == LF || byte == 0.toByte()) throw BadMessage(BAD_REQUEST, "a control character in a line")
         line.append(byte)
         when (stage) {
-            Stage.START -> if (line.size > limits.startLine) throw BadMessage(URI_TOO_LONG, "the first line is too long")
+            Stage.START -> if (line.size >
+                limits.startLine
+            ) {
+                throw BadMessage(URI_TOO_LONG, "the first line is too long")
+            }
+
             Stage.HEADERS, Stage.TRAILERS -> if (++headerBytes > limits.headers) {
                 throw BadMessage(HEADERS_TOO_LARGE, "the headers are too large")
             }
+
             else -> if (line.size > MAX_CHUNK_LINE) throw BadMessage(BAD_REQUEST, "a chunk's size is too long")
         }
         return false
@@ -94,8 +101,11 @@
                 startLine = text
                 stage = Stage.HEADERS
             }
+
             Stage.HEADERS -> if (text.isEmpty()) return headersDone() else addHeader(text)
+
             Stage.TRAILERS -> if (text.isEmpty()) return finish()
+
             Stage.CHUNK_SIZE -> {
                 val size = text.substringBefore(';').trim()
                 if (size.isEmpty() || size.length > MAX_HEX || size.any { it !in "0123456789abcdefABCDEF" }) {
@@ -105,10 +115,12 @@
                 checkBody(body.size + remaining)
                 stage = if (remaining == 0L) Stage.TRAILERS else Stage.CHUNK
             }
+
             Stage.CHUNK_END -> {
                 if (text.isNotEmpty()) throw BadMessage(BAD_REQUEST, "a chunk longer than its size")
                 stage = Stage.CHUNK_SIZE
             }
+
             Stage.BODY, Stage.CHUNK -> error("no lines here")
         }
         return null
@@ -214,12 +226,22 @@
         /** The request that a message states. */
         public fun request(message: Message, from: String? = null): Request {
             val parts = message.startLine.split(' ')
-            if (parts.size != 3 || !parts[2].startsWith("HTTP/1.")) throw BadMessage(BAD_REQUEST, "no HTTP/1.1 request line")
+            if (parts.size != 3 ||
+                !parts[2].startsWith("HTTP/1.")
+            ) {
+                throw BadMessage(BAD_REQUEST, "no HTTP/1.1 request line")
+            }
             val (method, target) = parts
             if (method.isEmpty() || method.any { it !in 'A'..'Z' } || !target.startsWith("/")) {
                 throw BadMessage(BAD_REQUEST, "no HTTP/1.1 request line")
             }
-            return Request(method, target.substringBefore('?'), query(target.substringAfter('?', "")), message.body, from)
+            return Request(
+                method,
+                target.substringBefore('?'),
+                query(target.substringAfter('?', "")),
+                message.body,
+                from,
+            )
         }
 
         private fun query(text: String): Map<String, String> = if (text.isEmpty()) {
@@ -238,7 +260,11 @@
         /** The response that a message states. */
         public fun response(message: Message): Response {
             val status = message.startLine.split(' ').getOrNull(1)?.toIntOrNull()
-            if (!message.startLine.startsWith("HTTP/1.") || status == null) throw BadMessage(BAD_REQUEST, "no status line")
+            if (!message.startLine.startsWith("HTTP/1.") ||
+                status == null
+            ) {
+                throw BadMessage(BAD_REQUEST, "no status line")
+            }
             return Response(status, message.body, message.headers)
         }
     }
--- a/src/main/kotlin/org/elderhitch/http/Messages.kt
+++ b/src/main/kotlin/org/elderhitch/http/Messages.kt
@@ -57,7 +57,14 @@
 /** What carries requests to other processes. */
 public interface Transport {
     /** A request over a connection of its own: for peers that are many and rarely called. */
-    public suspend fun deliver(to: Address, method: String, target: String, body: ByteArray?, connect: Duration, timeout: Duration): Delivery
+    public suspend fun deliver(
+        to: Address,
+        method: String,
+        target: String,
+        body: ByteArray?,
+        connect: Duration,
+        timeout: Duration,
+    ): Delivery
 
     /** Null: no answer, and nobody knows whether it was carried out. */
     public suspend fun call(
--- a/src/main/kotlin/org/elderhitch/jobs/Account.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/Account.kt
@@ -24,7 +24,8 @@
 ) {
     public fun encode(): Map<String, Any?> = linkedMapOf(
         "team" to team.text, "class" to jobClass, "tries" to attempts, "lost" to lost,
-        "useful" to tenths(usefulS), "wasted" to tenths(lostS), "first" to firstStart?.ms, "end" to end.ms, "least" to lowerBound,
+        "useful" to tenths(usefulS), "wasted" to tenths(lostS), "first" to firstStart?.ms, "end" to end.ms,
+        "least" to lowerBound,
     ).filterValues { it != null }
 
     public companion object {
@@ -34,8 +35,14 @@
 
         /** Throws [org.elderhitch.json.MalformedJson]. Thousands are remembered, of few teams and classes: these are kept once. */
         public fun decode(from: JsonObject): Account = Account(
-            TeamName(from.string("team").intern()), from.string("class").intern(), from.count("tries"), from.count("lost"),
-            from.amount("useful"), from.amount("wasted"), from.longOrNull("first")?.let(::WallTime), WallTime(from.long("end")),
+            TeamName(
+                from.string("team").intern(),
+            ),
+            from.string("class").intern(), from.count("tries"), from.count("lost"),
+            from.amount(
+                "useful",
+            ),
+            from.amount("wasted"), from.longOrNull("first")?.let(::WallTime), WallTime(from.long("end")),
             from.boolean("least"),
         )
 
--- a/src/main/kotlin/org/elderhitch/jobs/Admission.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/Admission.kt
@@ -26,7 +26,12 @@
          * What a controller with so large a heap can hold and still start on: without this bound one accepted jobs until it ended for
          * memory, and none could start again on what was recorded.
          */
-        public fun bound(heapBytes: Long): Footprint = Footprint(((heapBytes - BASE).coerceAtLeast(heapBytes / BITS_PER_BYTE) * SHARE).toLong())
+        public fun bound(heapBytes: Long): Footprint = Footprint(
+            (
+                (heapBytes - BASE).coerceAtLeast(heapBytes / BITS_PER_BYTE) *
+                    SHARE
+                ).toLong(),
+        )
     }
 }
 
--- a/src/main/kotlin/org/elderhitch/jobs/ClassRules.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/ClassRules.kt
@@ -14,8 +14,13 @@
     public fun of(jobClass: String): ClassRule = rules[jobClass] ?: UNRULED
 
     /** Why the job may not repeat an earlier one; null: it may, or it doesn't. Every way of submitting asks here. */
-    public fun deniesRepeat(spec: JobSpec): String? =
-        if (spec.repeatOf == null || of(spec.jobClass).repeats) null else "repeatOf: class ${spec.jobClass} has the rule repeats = false"
+    public fun deniesRepeat(spec: JobSpec): String? = if (spec.repeatOf == null ||
+        of(spec.jobClass).repeats
+    ) {
+        null
+    } else {
+        "repeatOf: class ${spec.jobClass} has the rule repeats = false"
+    }
 
     public companion object {
         private val UNRULED = ClassRule()
--- a/src/main/kotlin/org/elderhitch/jobs/Hold.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/Hold.kt
@@ -36,7 +36,9 @@
 
         /** Null for a value that this program did not write. */
         public fun decode(value: JsonObject, version: Revision): Hold? = try {
-            HoldKind.entries.firstOrNull { it.name.lowercase() == value.string("hold") }?.let { Hold(it, value.string("why"), version) }
+            HoldKind.entries.firstOrNull {
+                it.name.lowercase() == value.string("hold")
+            }?.let { Hold(it, value.string("why"), version) }
         } catch (_: MalformedJson) {
             null
         }
--- a/src/main/kotlin/org/elderhitch/jobs/Job.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/Job.kt
@@ -116,6 +116,16 @@
         public fun ended(how: Ending, done: Int): Standing =
             Standing(if (how == Ending.DONE) "done" else "withdrawn", done, 0)
 
-        public fun open(done: Int, running: Int): Standing = Standing(if (running > 0) "running" else "queued", done, running)
+        public fun open(done: Int, running: Int): Standing = Standing(
+            if (running >
+                0
+            ) {
+                "running"
+            } else {
+                "queued"
+            },
+            done,
+            running,
+        )
     }
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobBook.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobBook.kt
@@ -17,9 +17,10 @@
 
 /** How a job ended, as its own key keeps it for ever. [account]: null in endings that were written before there were accounts. */
 public data class EndRecord(val how: Ending, val done: Int, val account: Account? = null) {
-    public fun encode(): Map<String, Any?> = linkedMapOf<String, Any?>("end" to how.name.lowercase(), "done" to done).apply {
-        account?.let { put("acct", it.encode()) }
-    }
+    public fun encode(): Map<String, Any?> =
+        linkedMapOf<String, Any?>("end" to how.name.lowercase(), "done" to done).apply {
+            account?.let { put("acct", it.encode()) }
+        }
 
     public fun standing(): Standing = Standing.ended(how, done)
 
@@ -43,7 +44,12 @@
     public data object Absent : Known
 
     /** [version] is that of the job's record: its place in the order of jobs. */
-    public data class Open(val spec: JobSpec, val version: Revision, val standing: Standing, val holdKey: Hold? = null) : Known {
+    public data class Open(
+        val spec: JobSpec,
+        val version: Revision,
+        val standing: Standing,
+        val holdKey: Hold? = null,
+    ) : Known {
         /** Null: it may be started. */
         public val hold: Hold? get() = holdKey?.effective
     }
@@ -78,7 +84,8 @@
 public sealed interface JobEvent {
     /** [kept]: by a [JobKeeper], which records it as a whole and not by its tasks. */
     public data class Opened(val spec: JobSpec, val version: Revision, val kept: Boolean = false) : JobEvent
-    public data class Finished(val id: JobId, val tasks: FinishedTasks, val block: Int, val version: Revision) : JobEvent
+    public data class Finished(val id: JobId, val tasks: FinishedTasks, val block: Int, val version: Revision) :
+        JobEvent
     public data class Ended(val id: JobId) : JobEvent
 
     /** [key]: what stands under the key of the job's hold; null: nothing does. */
@@ -89,10 +96,7 @@
 }
 
 /** The open jobs, and a bounded memory of ended ones; the state service remembers the rest. */
-public class JobBook(
-    scope: CoroutineScope,
-    private val onEvent: (JobEvent) -> Unit,
-) : Actor<JobMessage>(scope) {
+public class JobBook(scope: CoroutineScope, private val onEvent: (JobEvent) -> Unit) : Actor<JobMessage>(scope) {
     private class OpenJob(val spec: JobSpec, val version: Revision) {
         val finished = FinishedTasks(spec.tasks)
         var running = 0
@@ -101,10 +105,14 @@
 
     private val log = LoggerFactory.getLogger("elderhitch.jobs")
     private val open = HashMap<JobId, OpenJob>()
-    private val ended: Cache<JobId, EndRecord> = Caffeine.newBuilder().maximumSize(REMEMBERED).executor(Runnable::run).build()
+    private val ended: Cache<JobId, EndRecord> = Caffeine.newBuilder().maximumSize(
+        REMEMBERED,
+    ).executor(Runnable::run).build()
 
     /** Users ask again and again for jobs that nobody submitted; each question read the state service. */
-    private val absent: Cache<JobId, Unit> = Caffeine.newBuilder().maximumSize(REMEMBERED_ABSENT).executor(Runnable::run).build()
+    private val absent: Cache<JobId, Unit> = Caffeine.newBuilder().maximumSize(
+        REMEMBERED_ABSENT,
+    ).executor(Runnable::run).build()
     private var epoch = 0
 
     /** What was recorded up to then has been told here: who records a job late hears nothing new of it, and perhaps less than there was. */
@@ -117,20 +125,32 @@
     override fun receive(message: JobMessage) {
         when (message) {
             is JobMessage.Snapshot -> snapshot(message.entries, message.revision)
+
             is JobMessage.Changed -> {
                 message.changes.forEach(::changed)
                 message.changes.maxOfOrNull { it.version }?.let { toldUpTo = maxOf(toldUpTo, it) }
             }
+
             is JobMessage.Lookup -> message.reply.complete(lookup(message.id))
+
             is JobMessage.Recorded -> if (message.version > toldUpTo) opened(message.spec, message.version)
+
             is JobMessage.EndedHere -> ended(message.id, message.record)
+
             is JobMessage.EndedElsewhere -> if (message.id in open) {
                 ended(message.id, message.record)
             } else if (ended.getIfPresent(message.id) == null) {
                 log.info("ending ignored job={} reason=\"not open here\"", message.id)
             }
-            is JobMessage.AbsentHere -> if (message.epoch == epoch && lookup(message.id) is Known.Nothing) absent.put(message.id, Unit)
+
+            is JobMessage.AbsentHere -> if (message.epoch == epoch &&
+                lookup(message.id) is Known.Nothing
+            ) {
+                absent.put(message.id, Unit)
+            }
+
             is JobMessage.Proven -> onEvent(JobEvent.Proven(message.since))
+
             is JobMessage.Running -> open.forEach { (id, job) -> job.running = message.counts[id] ?: 0 }
         }
     }
@@ -157,6 +177,7 @@
     private fun changed(change: Change) {
         when (change) {
             is Change.Put -> put(change.entry)
+
             is Change.Drop -> when (val subject = Keys.subject(change.key)) {
                 is Subject.Job -> gone(subject.id)
                 is Subject.Hold -> hold(subject.id, null)
@@ -172,10 +193,16 @@
             } catch (e: MalformedJson) {
                 log.error("job record malformed job={} reason=\"{}\"", subject.id, e.message)
             }
+
             // Its job is neither open nor started again: the same transaction dropped its record. Whoever asks is told to ask later.
-            is Subject.End -> EndRecord.decode(entry.value)?.let { ended(subject.id, it) } ?: log.error("ending malformed key={}", entry.key)
+            is Subject.End -> EndRecord.decode(entry.value)?.let { ended(subject.id, it) }
+                ?: log.error("ending malformed key={}", entry.key)
+
             is Subject.Finished -> finished(subject, entry)
-            is Subject.Hold -> Hold.decode(entry.value, entry.version)?.let { hold(subject.id, it) } ?: log.error("hold malformed key={}", entry.key)
+
+            is Subject.Hold -> Hold.decode(entry.value, entry.version)?.let { hold(subject.id, it) }
+                ?: log.error("hold malformed key={}", entry.key)
+
             else -> Unit
         }
     }
--- a/src/main/kotlin/org/elderhitch/jobs/JobCodec.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobCodec.kt
@@ -54,7 +54,10 @@
             checkpointEvery = body.amount("tallyS").seconds,
             saveTakes = body.amount("stowS").seconds,
             deadline = body.amountOrNull("closingS")?.seconds,
-            repeatOf = body.stringOrNull("repeatOf")?.let { JobId.parse(it) ?: throw MalformedJson("repeatOf: not of the form req-000412") },
+            repeatOf = body.stringOrNull("repeatOf")?.let {
+                JobId.parse(it)
+                    ?: throw MalformedJson("repeatOf: not of the form req-000412")
+            },
         )
     }
 
@@ -83,9 +86,19 @@
     ).filterValues { it != null }
 
     public fun standing(id: JobId, standing: Standing): ByteArray = Json.bytes(
-        linkedMapOf("id" to id.text, "standing" to standing.word, "done" to standing.done, "running" to standing.running),
+        linkedMapOf(
+            "id" to id.text,
+            "standing" to standing.word,
+            "done" to standing.done,
+            "running" to standing.running,
+        ),
     )
 
-    private fun name(field: String, text: String): String =
-        if (text.isEmpty() || text.length > LONGEST_NAME) throw MalformedJson("$field: empty or over $LONGEST_NAME characters") else text
+    private fun name(field: String, text: String): String = if (text.isEmpty() ||
+        text.length > LONGEST_NAME
+    ) {
+        throw MalformedJson("$field: empty or over $LONGEST_NAME characters")
+    } else {
+        text
+    }
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobDesk.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobDesk.kt
@@ -1,9 +1,9 @@
 package org.elderhitch.jobs
 
 import kotlinx.coroutines.CompletableDeferred
+import org.elderhitch.json.Json
 import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
-import org.elderhitch.json.Json
 import org.elderhitch.settings.Team
 import org.elderhitch.settings.TeamName
 import org.elderhitch.store.CommitOutcome
@@ -91,13 +91,30 @@
     }
 
     /** [extra]: fields that are kept in the job's record and mean nothing here. */
-    public suspend fun submit(spec: JobSpec, extra: Map<String, Any?> = emptyMap(), beside: Beside = Beside.NOTHING): Answer {
+    public suspend fun submit(
+        spec: JobSpec,
+        extra: Map<String, Any?> = emptyMap(),
+        beside: Beside = Beside.NOTHING,
+    ): Answer {
         if (!feed.loaded) return Answer.NotNow("starting")
         val id = spec.id
         val encoded = JobCodec.encode(spec) + extra
-        if (Json.bytes(encoded).size > valueBytes) return known(id, orElse = Answer.Malformed("the job's fields are too long"))
-        if (lookup(id).let { it is Known.Open || it is Known.Ended }) return known(id, orElse = Answer.NotNow("state unclear"))
-        if (keeper(id) != null) return known(id, orElse = Answer.Malformed("id: of a form that is given and not chosen"))
+        if (Json.bytes(encoded).size >
+            valueBytes
+        ) {
+            return known(id, orElse = Answer.Malformed("the job's fields are too long"))
+        }
+        if (lookup(id).let {
+                it is Known.Open || it is Known.Ended
+            }
+        ) {
+            return known(id, orElse = Answer.NotNow("state unclear"))
+        }
+        if (keeper(id) !=
+            null
+        ) {
+            return known(id, orElse = Answer.Malformed("id: of a form that is given and not chosen"))
+        }
         refusal(spec)?.let { return known(id, orElse = it) }
         if (admission?.admits(book.footprint, spec) == false) return known(id, orElse = Answer.Full)
         return record(spec, encoded, beside)
@@ -108,11 +125,19 @@
 
     private suspend fun badRepeat(spec: JobSpec, earlier: JobId): Answer? = when (val shown = show(earlier)) {
         Answer.Unknown -> Answer.NeverRuns("repeatOf: no such job")
+
         is Answer.State -> {
             val known = lookup(earlier)
             val jobClass = (known as? Known.Open)?.spec?.jobClass ?: (known as? Known.Ended)?.record?.account?.jobClass
-            if (jobClass == null || jobClass == spec.jobClass) null else Answer.NeverRuns("repeatOf: a job of class $jobClass")
+            if (jobClass == null ||
+                jobClass == spec.jobClass
+            ) {
+                null
+            } else {
+                Answer.NeverRuns("repeatOf: a job of class $jobClass")
+            }
         }
+
         else -> shown
     }
 
@@ -120,7 +145,9 @@
         rules.deniesRepeat(spec)?.let { return Answer.NeverRuns(it) }
         val team = teams[spec.team] ?: return Answer.NeverRuns("desk: unknown team")
         val atOnce = spec.need * if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
-        if (team.mostCpus != null && atOnce.cpus > team.mostCpus || team.mostGpus != null && atOnce.gpus > team.mostGpus) {
+        if (team.mostCpus != null && atOnce.cpus > team.mostCpus ||
+            team.mostGpus != null && atOnce.gpus > team.mostGpus
+        ) {
             return Answer.NeverRuns("more than the team's limit")
         }
         return when (catalogue.canEverRun(spec)) {
@@ -131,7 +158,9 @@
     }
 
     private suspend fun record(spec: JobSpec, encoded: Map<String, Any?>, beside: Beside): Answer {
-        val conditions = listOf(Condition(Keys.job(spec.id), Revision.ABSENT), Condition(Keys.end(spec.id), Revision.ABSENT)) + beside.conditions
+        val conditions =
+            listOf(Condition(Keys.job(spec.id), Revision.ABSENT), Condition(Keys.end(spec.id), Revision.ABSENT)) +
+                beside.conditions
         val write = listOf(Write.Put(Keys.job(spec.id), encoded)) + beside.writes
         repeat(TRIES) {
             when (val outcome = client.commit(conditions, write, Purpose.RECORD)) {
@@ -139,10 +168,15 @@
                     book.tell(JobMessage.Recorded(spec, outcome.revision))
                     return Answer.Accepted(spec.id, Standing.open(0, 0), isNew = true)
                 }
+
                 is CommitOutcome.Conflict -> return known(spec.id, orElse = Answer.NotNow("state unclear"))
+
                 // If the first try was executed after all, the second finds the record and changes nothing.
                 CommitOutcome.Unknown -> Unit
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Answer.NotNow("the state service takes no record now")
+
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Answer.NotNow(
+                    "the state service takes no record now",
+                )
             }
         }
         return Answer.NotNow("the state service doesn't answer")
@@ -157,21 +191,36 @@
     public suspend fun show(id: JobId): Answer {
         (lookup(id) as? Known.Ended)?.let { return Answer.State(id, it.record.standing()) }
         // A job that was submitted under such an id before somebody kept any is found further down.
-        keeper(id)?.let { kept -> if (lookup(id) !is Known.Open) kept.show(id).let { if (it != Answer.Unknown) return it } }
+        keeper(id)?.let { kept ->
+            if (lookup(id) !is Known.Open) {
+                kept.show(id).let {
+                    if (it !=
+                        Answer.Unknown
+                    ) {
+                        return it
+                    }
+                }
+            }
+        }
         if (!feed.sync()) return Answer.NotNow("the state service doesn't answer")
         return when (val known = lookup(id)) {
             is Known.Ended -> Answer.State(id, known.record.standing())
+
             is Known.Open -> Answer.State(id, known.standing)
+
             Known.Absent -> Answer.Unknown
+
             is Known.Nothing -> when (val read = client.read(Keys.end(id), Purpose.END)) {
                 is ReadOutcome.Found -> EndRecord.decode(read.entry.value)?.let {
                     book.tell(JobMessage.EndedHere(id, it))
                     Answer.State(id, it.standing())
                 } ?: Answer.NotNow("the job's ending can't be read")
+
                 ReadOutcome.Absent -> {
                     book.tell(JobMessage.AbsentHere(id, known.epoch))
                     Answer.Unknown
                 }
+
                 ReadOutcome.Unavailable -> Answer.NotNow("the state service doesn't answer")
             }
         }
@@ -192,11 +241,21 @@
                 if (known !is Known.Open) return keeper(id)?.withdraw(id) ?: shown
             }
             val open = lookup(id) as? Known.Open ?: return@repeat
-            val record = EndRecord(Ending.WITHDRAWN, open.standing.done, accounts.of(open.spec) ?: Account.unseen(open.spec, wall.now()))
+            val record = EndRecord(
+                Ending.WITHDRAWN,
+                open.standing.done,
+                accounts.of(open.spec) ?: Account.unseen(open.spec, wall.now()),
+            )
             val outcome = client.commit(
                 // Done or withdrawn: whoever creates the key of the ending has decided it.
                 listOf(Condition(Keys.end(id), Revision.ABSENT), Condition(Keys.job(id), open.version)),
-                listOfNotNull(Write.Put(Keys.end(id), record.encode()), Write.Drop(Keys.job(id)), open.holdKey?.let { Write.Drop(Keys.hold(id)) }),
+                listOfNotNull(
+                    Write.Put(Keys.end(id), record.encode()),
+                    Write.Drop(Keys.job(id)),
+                    open.holdKey?.let {
+                        Write.Drop(Keys.hold(id))
+                    },
+                ),
                 Purpose.RECORD,
             )
             when (outcome) {
@@ -206,9 +265,14 @@
                     onWithdrawn(id, record)
                     return Answer.State(id, record.standing())
                 }
+
                 is CommitOutcome.Conflict -> if (!feed.sync()) return Answer.NotNow("the state service doesn't answer")
+
                 CommitOutcome.Unknown -> unanswered = true
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Answer.NotNow("the state service takes no record now")
+
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Answer.NotNow(
+                    "the state service takes no record now",
+                )
             }
         }
         return Answer.NotNow("the state service doesn't answer")
@@ -221,11 +285,23 @@
             if (shown !is Answer.State) return shown
             val open = lookup(id) as? Known.Open
             val hold = open?.hold?.takeIf(may) ?: return Answer.Unknown
-            val outcome = client.commit(listOf(Condition(Keys.hold(id), hold.version)), listOf(Write.Put(Keys.hold(id), Hold.of(HoldKind.RELEASED, hold.reason).encode())), Purpose.RECORD)
+            val outcome = client.commit(
+                listOf(Condition(Keys.hold(id), hold.version)),
+                listOf(Write.Put(Keys.hold(id), Hold.of(HoldKind.RELEASED, hold.reason).encode())),
+                Purpose.RECORD,
+            )
             when (outcome) {
                 is CommitOutcome.Committed -> return Answer.State(id, open.standing)
-                is CommitOutcome.Conflict, CommitOutcome.Unknown -> if (!feed.sync()) return Answer.NotNow("the state service doesn't answer")
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Answer.NotNow("the state service takes no record now")
+
+                is CommitOutcome.Conflict, CommitOutcome.Unknown -> if (!feed.sync()) {
+                    return Answer.NotNow(
+                        "the state service doesn't answer",
+                    )
+                }
+
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Answer.NotNow(
+                    "the state service takes no record now",
+                )
             }
         }
         return Answer.NotNow("the state service doesn't answer")
