--- a/src/main/kotlin/org/elderhitch/jobs/Recorder.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/Recorder.kt
@@ -31,11 +31,14 @@
         val queue = ArrayDeque(batches.flatMap(::items))
         while (queue.isNotEmpty()) {
             val group = ArrayList<RecordItem>()
-            while (queue.isNotEmpty() && (group.isEmpty() || group.sumOf { it.writes.size } + queue.first().writes.size <= txnOps)) {
+            while (queue.isNotEmpty() &&
+                (group.isEmpty() || group.sumOf { it.writes.size } + queue.first().writes.size <= txnOps)
+            ) {
                 group.add(queue.removeFirst())
             }
             when (val outcome = commit(leading, group)) {
                 is CommitOutcome.Committed -> group.forEach { done(it, recorded) }
+
                 is CommitOutcome.Conflict -> {
                     if (Keys.TERM in outcome.failed) return null
                     // Withdrawn meanwhile, or an earlier try of ours came through: the rest goes on without those.
@@ -44,6 +47,7 @@
                         if (commit(leading, listOf(item)) is CommitOutcome.Committed) done(item, recorded)
                     }
                 }
+
                 else -> return recorded
             }
         }
@@ -71,7 +75,8 @@
                     batch.fresh,
                     listOf(open, Condition(Keys.end(batch.job), Revision.ABSENT)),
                     listOfNotNull(
-                        Write.Put(Keys.end(batch.job), ending.encode()), Write.Drop(Keys.job(batch.job)),
+                        Write.Put(Keys.end(batch.job), ending.encode()),
+                        Write.Drop(Keys.job(batch.job)),
                         if (batch.held) Write.Drop(Keys.hold(batch.job)) else null,
                     ),
                     ending,
@@ -88,15 +93,33 @@
     }
 
     /** Keeps a job from being started; [before]: the version of its hold's key. Whoever has begun another term meanwhile may have started it: then nothing is written. */
-    public suspend fun hold(leading: Tenure.Leading, job: JobId, version: Revision, before: Revision, hold: Hold): CommitOutcome {
-        val conditions = listOf(Condition(Keys.TERM, leading.counter), Condition(Keys.job(job), version), Condition(Keys.hold(job), before))
+    public suspend fun hold(
+        leading: Tenure.Leading,
+        job: JobId,
+        version: Revision,
+        before: Revision,
+        hold: Hold,
+    ): CommitOutcome {
+        val conditions =
+            listOf(
+                Condition(Keys.TERM, leading.counter),
+                Condition(Keys.job(job), version),
+                Condition(Keys.hold(job), before),
+            )
         var outcome: CommitOutcome = CommitOutcome.Unknown
         repeat(HOLD_TRIES) {
             outcome = client.commit(conditions, listOf(Write.Put(Keys.hold(job), hold.encode())), Purpose.RECORD)
             if ((outcome as? CommitOutcome.Conflict)?.failed == setOf(Keys.hold(job))) {
                 // Nobody else holds jobs in this term: a hold that is there is the one that an earlier try left.
-                val there = client.read(Keys.hold(job), Purpose.RECORD) as? ReadOutcome.Found ?: return CommitOutcome.Unknown
-                return if (Hold.decode(there.entry.value, there.entry.version)?.effective != null) CommitOutcome.Committed(there.entry.version) else outcome
+                val there =
+                    client.read(Keys.hold(job), Purpose.RECORD) as? ReadOutcome.Found ?: return CommitOutcome.Unknown
+                return if (Hold.decode(there.entry.value, there.entry.version)?.effective !=
+                    null
+                ) {
+                    CommitOutcome.Committed(there.entry.version)
+                } else {
+                    outcome
+                }
             }
             if (outcome != CommitOutcome.Unknown) return outcome
         }
--- a/src/main/kotlin/org/elderhitch/json/Json.kt
+++ b/src/main/kotlin/org/elderhitch/json/Json.kt
@@ -51,20 +51,28 @@
             }
             map
         }
+
         JsonToken.START_ARRAY -> {
             val list = ArrayList<Any?>()
             while (parser.nextToken() != JsonToken.END_ARRAY) list.add(read(parser))
             list
         }
+
         JsonToken.VALUE_STRING -> parser.text
+
         JsonToken.VALUE_NUMBER_INT -> when (parser.numberType) {
             JsonParser.NumberType.INT, JsonParser.NumberType.LONG -> parser.longValue
             else -> parser.bigIntegerValue
         }
+
         JsonToken.VALUE_NUMBER_FLOAT -> parser.doubleValue
+
         JsonToken.VALUE_TRUE -> true
+
         JsonToken.VALUE_FALSE -> false
+
         JsonToken.VALUE_NULL -> null
+
         else -> throw MalformedJson("not JSON: unexpected ${token ?: "end"}")
     }
 
@@ -79,12 +87,19 @@
     private fun write(to: JsonGenerator, value: Any?) {
         when (value) {
             null -> to.writeNull()
+
             is String -> to.writeString(value)
+
             is Int -> to.writeNumber(value)
+
             is Long -> to.writeNumber(value)
+
             is BigInteger -> to.writeNumber(value)
+
             is Double -> to.writeNumber(value)
+
             is Boolean -> to.writeBoolean(value)
+
             is Map<*, *> -> {
                 to.writeStartObject()
                 for ((k, v) in value) {
@@ -93,11 +108,13 @@
                 }
                 to.writeEndObject()
             }
+
             is Collection<*> -> {
                 to.writeStartArray()
                 for (v in value) write(to, v)
                 to.writeEndArray()
             }
+
             else -> throw IllegalArgumentException("no JSON form for ${value.javaClass}")
         }
     }
--- a/src/main/kotlin/org/elderhitch/lab/VirtualTime.kt
+++ b/src/main/kotlin/org/elderhitch/lab/VirtualTime.kt
@@ -9,8 +9,8 @@
 import kotlinx.coroutines.InternalCoroutinesApi
 import kotlinx.coroutines.Runnable
 import kotlinx.coroutines.SupervisorJob
-import kotlinx.coroutines.cancel
 import kotlinx.coroutines.async
+import kotlinx.coroutines.cancel
 import org.elderhitch.time.Moment
 import org.elderhitch.time.SteadyClock
 import java.util.PriorityQueue
@@ -18,7 +18,9 @@
 
 /** Runs coroutines in the order of their simulated times, on one thread, without waiting. The same seed gives the same run. */
 @OptIn(InternalCoroutinesApi::class, kotlinx.coroutines.ExperimentalCoroutinesApi::class)
-internal class VirtualTime : CoroutineDispatcher(), Delay {
+internal class VirtualTime :
+    CoroutineDispatcher(),
+    Delay {
     private class Due(val atMs: Long, val order: Long, val run: Runnable) {
         var cancelled = false
     }
@@ -30,7 +32,8 @@
         private set
     val clock = SteadyClock { Moment(nowMs * NANOS_PER_MS) }
 
-    private fun add(afterMs: Long, run: Runnable): Due = Due(nowMs + afterMs.coerceAtLeast(0), order++, run).also(queue::add)
+    private fun add(afterMs: Long, run: Runnable): Due =
+        Due(nowMs + afterMs.coerceAtLeast(0), order++, run).also(queue::add)
 
     override fun dispatch(context: CoroutineContext, block: Runnable) {
         add(0, block)
@@ -50,7 +53,8 @@
 
     /** Runs [body] to its end, and whatever else is launched in the scope for as long. Throws what a coroutine threw. */
     fun <T> run(body: suspend CoroutineScope.() -> T): T {
-        val scope = CoroutineScope(SupervisorJob() + this + CoroutineExceptionHandler { _, e -> failure = failure ?: e })
+        val scope =
+            CoroutineScope(SupervisorJob() + this + CoroutineExceptionHandler { _, e -> failure = failure ?: e })
         val result = scope.async { body(scope) }
         while (!result.isCompleted) {
             val due = queue.poll() ?: throw IllegalStateException("everything waits, and nothing is due")
--- a/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
@@ -74,7 +74,12 @@
 
     public val tenure: StateFlow<Tenure> = state
 
-    private data class LeaderRecord(val node: NodeName, val incarnation: Incarnation, val term: Term, val version: Revision)
+    private data class LeaderRecord(
+        val node: NodeName,
+        val incarnation: Incarnation,
+        val term: Term,
+        val version: Revision,
+    )
 
     override fun receive(message: LeadershipMessage) {
         when (message) {
@@ -84,12 +89,16 @@
                 leader?.let { sawTerm(it.term) }
                 follow()
             }
+
             is LeadershipMessage.TermSeen -> sawTerm(message.term)
+
             is LeadershipMessage.Resign -> resign(message.reason)
+
             is LeadershipMessage.Proven -> if (message.since > proven) {
                 proven = message.since
                 entitle()
             }
+
             LeadershipMessage.Wake -> Unit
         }
         maybeClaim()
@@ -186,18 +195,24 @@
             ),
             listOf(
                 Write.Put(Keys.TERM, record),
-                Write.Put(Keys.LEADER, linkedMapOf("node" to node.text, "run" to incarnation.text, "term" to term.number), lease),
+                Write.Put(
+                    Keys.LEADER,
+                    linkedMapOf("node" to node.text, "run" to incarnation.text, "term" to term.number),
+                    lease,
+                ),
             ),
             Purpose.LEADERSHIP,
         )
         val version = when (outcome) {
             is CommitOutcome.Committed -> outcome.revision
+
             // It may still be applied. Only the counter tells; and each claim has a mark of its own there.
             CommitOutcome.Unknown -> {
                 val read = client.read(Keys.TERM, Purpose.LEADERSHIP) as? ReadOutcome.Found ?: return
                 if (read.entry.value.raw("claim") != nonce) return
                 read.entry.version
             }
+
             else -> {
                 log.info("claim lost term={}", term)
                 return
@@ -241,17 +256,27 @@
                     renewed = sent
                     entitle()
                     // It holds the lease, so nobody else can lead; and without knowing what is recorded it may do nothing itself.
-                    if (sent - maxOf(proven, leading.claimedAt) > times.window * UNKNOWING_WINDOWS) tell(LeadershipMessage.Resign("nothing heard of what is recorded"))
+                    if (sent - maxOf(proven, leading.claimedAt) >
+                        times.window * UNKNOWING_WINDOWS
+                    ) {
+                        tell(LeadershipMessage.Resign("nothing heard of what is recorded"))
+                    }
                     pause = times.renewEvery
                 }
+
                 LeaseOutcome.Gone -> {
                     leader = null
                     stepDown("lease gone")
                     tell(LeadershipMessage.Wake)
                     return
                 }
+
                 LeaseOutcome.Unavailable -> {
-                    log.info("renewal failed term={} window_left_ms={}", term, (leading.windowEnd - clock.now()).inWholeMilliseconds)
+                    log.info(
+                        "renewal failed term={} window_left_ms={}",
+                        term,
+                        (leading.windowEnd - clock.now()).inWholeMilliseconds,
+                    )
                     pause = RENEW_RETRY
                 }
             }
--- a/src/main/kotlin/org/elderhitch/placement/CycleInput.kt
+++ b/src/main/kotlin/org/elderhitch/placement/CycleInput.kt
@@ -42,7 +42,12 @@
 )
 
 /** [unsavedSince]: all that it did since then is lost when it is stopped; null: next to nothing is. */
-public class VictimView(public val task: TaskId, public val priority: Priority, public val need: Resources, public val unsavedSince: Moment? = null)
+public class VictimView(
+    public val task: TaskId,
+    public val priority: Priority,
+    public val need: Resources,
+    public val unsavedSince: Moment? = null,
+)
 
 /** A job with tasks to place. */
 public class JobView(
@@ -64,7 +69,8 @@
     /** Nothing of it has begun for long, at its team's limit: its first task comes before the next ones of others that are as important. */
     public val begins: Boolean = false,
 ) {
-    public fun due(at: Moment, late: Boolean): JobView = JobView(spec, order, pending, zones, joinAttempt, at, probe, atFault, late)
+    public fun due(at: Moment, late: Boolean): JobView =
+        JobView(spec, order, pending, zones, joinAttempt, at, probe, atFault, late)
 
     /** Its first task apart from the rest. */
     public fun begun(): List<JobView> = listOf(
--- a/src/main/kotlin/org/elderhitch/placement/Scarcity.kt
+++ b/src/main/kotlin/org/elderhitch/placement/Scarcity.kt
@@ -25,7 +25,8 @@
 
     companion object {
         /** Whether work that may use [fits] is but a guest on the [scarce] types: it could run where the work that is confined to those can't. */
-        fun isGuest(fits: Set<MachineType>, scarce: Set<MachineType>): Boolean = fits.any { it in scarce } && !scarce.containsAll(fits)
+        fun isGuest(fits: Set<MachineType>, scarce: Set<MachineType>): Boolean =
+            fits.any { it in scarce } && !scarce.containsAll(fits)
     }
 }
 
@@ -61,7 +62,9 @@
 
     private class Kept(val group: Group, val room: Resources)
 
-    private val up: Map<MachineType, Resources> = HashMap<MachineType, Resources>().apply { input.machines.forEach { put(it.type, it.whole) } }
+    private val up: Map<MachineType, Resources> = HashMap<MachineType, Resources>().apply {
+        input.machines.forEach { put(it.type, it.whole) }
+    }
     private val fits = Fits(up)
     private val groups = LinkedHashMap<Set<MachineType>, Group>()
     private val kept = HashMap<MachineId, Kept>()
@@ -80,12 +83,25 @@
     private fun gather() {
         for (job in input.jobs) confined(job.spec)?.ask(job.spec, job.pending.size.toDouble())
         for (machine in input.machines) for (tenant in machine.tenants) confined(tenant.spec)
-        for (expected in input.expected) confined(expected.spec)?.let { it.ask(expected.spec, expected.tasksPerS * horizon(it)) }
+        for (expected in input.expected) {
+            confined(expected.spec)?.let {
+                it.ask(
+                    expected.spec,
+                    expected.tasksPerS * horizon(it),
+                )
+            }
+        }
     }
 
     private fun confined(spec: JobSpec): Group? {
         val its = fits.of(spec)
-        return if (its.isEmpty() || its.size == up.size) null else groups.getOrPut(its) { Group(its) }.also { it.seen(spec) }
+        return if (its.isEmpty() ||
+            its.size == up.size
+        ) {
+            null
+        } else {
+            groups.getOrPut(its) { Group(its) }.also { it.seen(spec) }
+        }
     }
 
     /** How long it takes to have room back from guests, in seconds: what arrives by then is kept room for now. */
@@ -111,9 +127,17 @@
         if (group.asked.isEmpty()) return
         val machines = input.machines.filter { it.type in group.types && it.id !in kept }
         var may = mostKept(group, machines)
-        for ((type, count) in input.coming) if (type in group.types) up[type]?.let { whole -> repeat(count) { lay(group, whole, Double.MAX_VALUE) } }
+        for ((type, count) in input.coming) {
+            if (type in
+                group.types
+            ) {
+                up[type]?.let { whole -> repeat(count) { lay(group, whole, Double.MAX_VALUE) } }
+            }
+        }
         val least = group.asked.minByOrNull { it.need.weight }?.need ?: return
-        val choices = machines.map { choice(it, group, least) }.sortedWith(compareBy<Choice> { it.freeAt }.thenBy { it.room.weight }.thenBy { it.machine.id })
+        val choices = machines.map {
+            choice(it, group, least)
+        }.sortedWith(compareBy<Choice> { it.freeAt }.thenBy { it.room.weight }.thenBy { it.machine.id })
         for (choice in choices) {
             val room = lay(group, choice.room, may)
             if (room == Resources.NONE) continue
@@ -144,9 +168,31 @@
     private fun mostKept(group: Group, machines: List<MachineView>): Double {
         val all = machines.sumOf { it.whole.weight }
         var own = 0.0
-        var guests = input.jobs.sumOf { if (it.late && isGuest(it.spec, group)) it.spec.need.weight * it.pending.size else 0.0 }
-        if (guests > 0) guests += machines.sumOf { machine -> machine.tenants.sumOf { if (isGuest(it.spec, group)) it.spec.need.weight else 0.0 } }
-        for (machine in machines) for (tenant in machine.tenants) if (!isGuest(tenant.spec, group)) own += tenant.spec.need.weight
+        var guests = input.jobs.sumOf {
+            if (it.late &&
+                isGuest(it.spec, group)
+            ) {
+                it.spec.need.weight * it.pending.size
+            } else {
+                0.0
+            }
+        }
+        if (guests >
+            0
+        ) {
+            guests +=
+                machines.sumOf { machine ->
+                    machine.tenants.sumOf { if (isGuest(it.spec, group)) it.spec.need.weight else 0.0 }
+                }
+        }
+        for (machine in machines) {
+            for (tenant in machine.tenants) {
+                if (!isGuest(tenant.spec, group)) {
+                    own +=
+                        tenant.spec.need.weight
+                }
+            }
+        }
         val asked = (own + group.asked.sumOf { it.need.weight * it.tasks }) * CONFINED
         return if (asked / CONFINED + guests <= all) all else all * asked / (asked + guests) - own
     }
@@ -157,7 +203,14 @@
         var free = machine.free + machine.leaving
         var freeAt = input.now
         val guests = ArrayList<Tenant>()
-        for (tenant in machine.tenants) if (isGuest(tenant.spec, group)) guests.add(tenant) else room -= tenant.spec.need
+        for (tenant in machine.tenants) {
+            if (isGuest(tenant.spec, group)) {
+                guests.add(tenant)
+            } else {
+                room -=
+                    tenant.spec.need
+            }
+        }
         if (!least.fitsIn(free)) {
             guests.sortBy { it.until }
             for (guest in guests) {
@@ -175,7 +228,8 @@
     public fun keptOn(machine: MachineView): Resources = kept[machine.id]?.room ?: Resources.NONE
 
     /** Whether the room that is kept on the machine is kept from such work. */
-    public fun keepsFrom(spec: JobSpec, machine: MachineView): Boolean = kept[machine.id]?.let { isGuest(spec, it.group) } ?: false
+    public fun keepsFrom(spec: JobSpec, machine: MachineView): Boolean =
+        kept[machine.id]?.let { isGuest(spec, it.group) } ?: false
 
     /** Whether such work is but a guest on the machine, kept or not. */
     public fun isGuest(spec: JobSpec, machine: MachineView): Boolean =
@@ -202,7 +256,11 @@
         return spec.need.fitsIn(free - beside(free.gpus)) || !spec.need.fitsIn(whole - beside(whole.gpus))
     }
 
-    private fun beside(gpus: Double): Resources = Resources(input.besideGpu.cpus * gpus, 0.0, input.besideGpu.memoryGb * gpus)
+    private fun beside(gpus: Double): Resources = Resources(
+        input.besideGpu.cpus * gpus,
+        0.0,
+        input.besideGpu.memoryGb * gpus,
+    )
 
     private companion object {
         const val CONFINED = 1.5
--- a/src/main/kotlin/org/elderhitch/placement/SchedulingCycle.kt
+++ b/src/main/kotlin/org/elderhitch/placement/SchedulingCycle.kt
@@ -75,7 +75,11 @@
         }
         val keeping = ArrayDeque(input.keptFree.sortedByDescending { it.spec.priority })
         for (job in input.jobs.sortedWith(input.order())) {
-            while (keeping.isNotEmpty() && keeping.first().spec.priority > job.spec.priority) keepFree(keeping.removeFirst())
+            while (keeping.isNotEmpty() &&
+                keeping.first().spec.priority > job.spec.priority
+            ) {
+                keepFree(keeping.removeFirst())
+            }
             if (job.spec.kind == JobKind.GANG) placeGang(job) else placeTasks(job)
         }
         return CycleOutput(placed, stopped, unplaced, visits, scarcity.scarce, scarcity.keptCount)
@@ -94,7 +98,8 @@
     private fun allowed(machine: MachineView, spec: JobSpec): Boolean =
         spec.mayUse(machine.type, machine.zone, machine.spot) && spec.id !in machine.shunnedBy
 
-    private fun fits(spec: JobSpec, room: Room): Boolean = spec.need.fitsIn(room.free) && scarcity.admits(spec, room.of, room.free, room.keeping)
+    private fun fits(spec: JobSpec, room: Room): Boolean =
+        spec.need.fitsIn(room.free) && scarcity.admits(spec, room.of, room.free, room.keeping)
 
     private fun takes(spec: JobSpec, room: Room): Boolean = fits(spec, room) && !waitsForMore(spec, room)
 
@@ -107,7 +112,19 @@
             if (!least.fitsIn(room.free)) continue
             open[kept++] = room
             if (takes(spec, room) && allowed(room.of, spec)) {
-                fitting.add(Candidate(room, detour(spec, room), if (spec.kind == JobKind.SERVICE) gathering(spec, room) else 0.0))
+                fitting.add(
+                    Candidate(
+                        room,
+                        detour(spec, room),
+                        if (spec.kind ==
+                            JobKind.SERVICE
+                        ) {
+                            gathering(spec, room)
+                        } else {
+                            0.0
+                        },
+                    ),
+                )
             }
         }
         open.subList(kept, open.size).clear()
@@ -119,8 +136,13 @@
      * Services gather where services are. But unless others need whole machines, only up to half of one: the other half
      * is for work that makes room for them, where their images are, when a zone is lost with a third of them.
      */
-    private fun gathering(spec: JobSpec, room: Room): Double =
-        if (input.wholeMachines || room.lasting + spec.need.weight <= room.of.whole.weight / 2) room.lasting else -room.lasting
+    private fun gathering(spec: JobSpec, room: Room): Double = if (input.wholeMachines ||
+        room.lasting + spec.need.weight <= room.of.whole.weight / 2
+    ) {
+        room.lasting
+    } else {
+        -room.lasting
+    }
 
     /**
      * While most of the fleet still boots, services take no more than half of a machine either, unless their image is
@@ -136,7 +158,13 @@
         val opening = if (room.empty) OPENING_S else 0.0
         // Cheap room is for those who may use it; the rest stays free for those who may not.
         val dear = if (spec.spotAllowed && !room.of.spot) DEAR_S else 0.0
-        val guest = if (!scarcity.isGuest(spec, room.of)) 0.0 else if (scarcity.keepsFrom(spec, room.of)) KEPT_S else GUEST_S
+        val guest = if (!scarcity.isGuest(spec, room.of)) {
+            0.0
+        } else if (scarcity.keepsFrom(spec, room.of)) {
+            KEPT_S
+        } else {
+            GUEST_S
+        }
         return fetch(spec, room) + opening + dear + guest
     }
 
@@ -161,7 +189,9 @@
         for (index in job.pending) {
             if (!input.quota.allows(spec.team, spec.need)) break
             // Neither room nor zones ever come back within a scheduling cycle: what is passed over once is of no more use to this job.
-            while (next < candidates.size && !(takes(spec, candidates[next]) && spec.zoneAllows(zones, candidates[next].of.zone))) {
+            while (next < candidates.size &&
+                !(takes(spec, candidates[next]) && spec.zoneAllows(zones, candidates[next].of.zone))
+            ) {
                 next++
             }
             val room = candidates.getOrNull(next)
@@ -197,7 +227,11 @@
 
     private fun take(job: JobView, index: Int, room: Room, zones: MutableMap<Zone, Int>) {
         room.free -= job.spec.need
-        if (room.keeping != Resources.NONE && !scarcity.keepsFrom(job.spec, room.of)) room.keeping = (room.keeping - job.spec.need).atLeastNone()
+        if (room.keeping != Resources.NONE &&
+            !scarcity.keepsFrom(job.spec, room.of)
+        ) {
+            room.keeping = (room.keeping - job.spec.need).atLeastNone()
+        }
         room.empty = false
         if (job.spec.image !in room.of.images && room.coming.add(job.spec.image)) room.fetchingGb += job.spec.imageGb
         if (job.spec.kind == JobKind.SERVICE) room.lasting += job.spec.need.weight
@@ -212,7 +246,9 @@
             visits++
             allowed(room.of, spec) && spec.zoneAllows(zones, room.of.zone) && where(room)
         }
-        val room = leaving.firstOrNull { spec.need.fitsIn(it.free + it.leaving) && usable(it) } ?: stopFor(spec, usable) ?: return false
+        val room =
+            leaving.firstOrNull { spec.need.fitsIn(it.free + it.leaving) && usable(it) } ?: stopFor(spec, usable)
+                ?: return false
         speakFor(room, spec)
         zones.merge(room.of.zone, 1, Int::plus)
         return true
@@ -247,7 +283,9 @@
             if (room.yields.let { it == null || it >= spec.priority } || !usable(room)) continue
             val stops = roomAfterStops(room, spec, spec.priority) ?: continue
             val fetch = fetch(spec, room)
-            if (best == null || fetch < bestFetch || fetch == bestFetch && cost(stops, spec.need) < cost(bestStops, spec.need)) {
+            if (best == null || fetch < bestFetch ||
+                fetch == bestFetch && cost(stops, spec.need) < cost(bestStops, spec.need)
+            ) {
                 best = room
                 bestStops = stops
                 bestFetch = fetch
@@ -266,7 +304,10 @@
      * What stops cost their users, in seconds: each is started again somewhere, and does again what was not saved. A task many times as
      * large as what it makes room for loses as many times more work. Seen: 35 tasks of 32 CPUs stopped in a day for tasks of 4.
      */
-    private fun cost(stops: List<VictimView>, need: Resources): Double = stops.sumOf { (STOP_S + loses(it)) * maxOf(1.0, it.need.weight / need.weight) }
+    private fun cost(stops: List<VictimView>, need: Resources): Double = stops.sumOf {
+        (STOP_S + loses(it)) *
+            maxOf(1.0, it.need.weight / need.weight)
+    }
 
     /**
      * A job that is in time may be late for one task that begins anew, and one that is late already can't. Seen: 102 starts for the 51 tasks of a job
@@ -274,7 +315,8 @@
      */
     private fun loses(victim: VictimView): Double = lost(victim) + if (victim.task.job in late) 0.0 else IN_TIME_S
 
-    private fun lost(victim: VictimView): Double = victim.unsavedSince?.let { (input.now - it).toDouble(DurationUnit.SECONDS) } ?: 0.0
+    private fun lost(victim: VictimView): Double =
+        victim.unsavedSince?.let { (input.now - it).toDouble(DurationUnit.SECONDS) } ?: 0.0
 
     private fun roomAfterStops(room: Room, spec: JobSpec, below: Priority): List<VictimView>? {
         val chosen = ArrayList<VictimView>()
@@ -300,14 +342,23 @@
         val byZone = candidates.groupBy { it.of.zone }
         val choices: List<List<Room>> = when {
             !spec.oneZone -> listOf(candidates)
+
             job.zones.isNotEmpty() -> job.zones.keys.map { byZone[it].orEmpty() }
+
             // The zone with the least room that will do: the larger ones stay whole for larger gangs.
             else -> byZone.values.sortedBy { rooms -> rooms.sumOf { it.free.gpus } }
         }
         val choice = choices.firstNotNullOfOrNull { fit(job, it) }
         if (choice == null) {
             if (if (job.probe) !nowhereToTry(job) else stopForGang(job, candidates)) return
-            if (input.quota.wants(spec.team, all, Places.of(spec))) unplaced.add(Unplaced(spec, job.pending.size, job.zones))
+            if (input.quota.wants(
+                    spec.team,
+                    all,
+                    Places.of(spec),
+                )
+            ) {
+                unplaced.add(Unplaced(spec, job.pending.size, job.zones))
+            }
             reserve(job, choices)
             return
         }
@@ -336,7 +387,10 @@
         val spare = yielding.filter { room -> room.yields.let { it != null && it < below } }
         if (spare.isEmpty() && leaving.isEmpty()) return false
         val offers = ArrayList<Pair<Room, List<VictimView>>>()
-        for (room in LinkedHashSet(whole).apply { addAll(leaving); addAll(spare) }) {
+        for (room in LinkedHashSet(whole).apply {
+            addAll(leaving)
+            addAll(spare)
+        }) {
             visits++
             if (!allowed(room.of, spec) || job.zones.isNotEmpty() && !spec.zoneAllows(job.zones, room.of.zone)) continue
             roomAfterStops(room, spec, below)?.let { offers.add(room to it) }
@@ -376,6 +430,7 @@
     private companion object {
         const val SLOWEST_FETCH = 0.01
         const val OPENING_S = 12.0
+
         // Stopping a less important task takes its time to save and a report or two; a fetch longer than this is worse.
         const val WORTH_STOPPING_S = 12.0
         const val DEAR_S = 6.0
--- a/src/main/kotlin/org/elderhitch/quota/Quota.kt
+++ b/src/main/kotlin/org/elderhitch/quota/Quota.kt
@@ -50,7 +50,10 @@
     public fun allows(team: TeamName, need: Resources): Boolean = within(team, used(team) + reserved + need)
 
     /** Whether there would be room under the limit if all that the team runs and that ends by itself had ended. */
-    public fun couldAllow(team: TeamName, need: Resources): Boolean = within(team, (lasting[team] ?: Resources.NONE) + reserved + need)
+    public fun couldAllow(team: TeamName, need: Resources): Boolean = within(
+        team,
+        (lasting[team] ?: Resources.NONE) + reserved + need,
+    )
 
     private fun within(team: TeamName, then: Resources): Boolean {
         val limits = teams[team] ?: return false
--- a/src/main/kotlin/org/elderhitch/recovery/AskPace.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/AskPace.kt
@@ -23,7 +23,12 @@
     fun allow(unheard: Int, since: Duration, formerEnded: Boolean): Int {
         val came = before - unheard
         before = unheard
-        val come = if (formerEnded) came > 0 && since < LONG_PATIENCE else (came < 0 || came * FEW_OF > unheard) && since < PATIENCE
+        val come = if (formerEnded) {
+            came > 0 && since < LONG_PATIENCE
+        } else {
+            (came < 0 || came * FEW_OF > unheard) &&
+                since < PATIENCE
+        }
         return if (come) 0 else PER_TICK
     }
 
--- a/src/main/kotlin/org/elderhitch/recovery/MachineReconciliation.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/MachineReconciliation.kt
@@ -74,15 +74,24 @@
     /** [takeoverOpen]: all work of earlier terms waits for the last machine; [endsSoon]: but within one lease's time, whatever happens. */
     public fun row(machine: SilentMachine, takeoverOpen: Boolean, endsSoon: Boolean): SilenceRow = when {
         machine.unheard && machine.unlisted -> SilenceRow.UNLISTED
-        machine.unreachableSince != null && !machine.zoneDoubtful && (takeoverOpen || heardSince(machine, machine.unreachableSince)) -> SilenceRow.DEAD
+
+        machine.unreachableSince != null && !machine.zoneDoubtful &&
+            (takeoverOpen || heardSince(machine, machine.unreachableSince)) -> SilenceRow.DEAD
+
         machine.zoneMissing -> SilenceRow.ZONE_MISSING
+
         !machine.zoneCut -> if (machine.mute) SilenceRow.MUTE else SilenceRow.SILENT
+
         !machine.settled && takeoverOpen && !endsSoon -> SilenceRow.ZONE_CUT_WAITED_FOR
+
         else -> SilenceRow.ZONE_CUT
     }
 
     /** In a cut's first seconds those whose reports are due first can't be told from dead ones, unless another of the zone is heard after them. */
-    private fun heardSince(machine: SilentMachine, since: Moment): Boolean = machine.zoneHeard.let { it != null && it > since }
+    private fun heardSince(machine: SilentMachine, since: Moment): Boolean = machine.zoneHeard.let {
+        it != null &&
+            it > since
+    }
 
     /** How long the silence of such a machine lasts before it is returned. */
     public fun patience(machine: SilentMachine, takeoverOpen: Boolean, endsSoon: Boolean): Duration {
--- a/src/main/kotlin/org/elderhitch/recovery/Reconciliations.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/Reconciliations.kt
@@ -41,10 +41,21 @@
     }
 
     private fun tell(moment: String) {
-        log.info("reconciled moment=\"{}\" {}", moment, read().entries.joinToString(" ") { (name, value) -> "$name=$value" })
+        log.info(
+            "reconciled moment=\"{}\" {}",
+            moment,
+            read().entries.joinToString(" ") { (name, value) ->
+                "$name=$value"
+            },
+        )
     }
 
-    fun read(): Map<String, Any?> = linkedMapOf<String, Any?>("term" to leading?.term?.number, "settled_ms" to settledAfter?.inWholeMilliseconds, "rows" to TaskRow.entries.associate { it.name.lowercase() to rows[it.ordinal] }.filterValues { it > 0 }) + orders.read()
+    fun read(): Map<String, Any?> = linkedMapOf<String, Any?>(
+        "term" to leading?.term?.number,
+        "settled_ms" to settledAfter?.inWholeMilliseconds,
+        "rows" to TaskRow.entries.associate { it.name.lowercase() to rows[it.ordinal] }.filterValues { it > 0 },
+    ) +
+        orders.read()
 
     private companion object {
         val LATE = 60.seconds
--- a/src/main/kotlin/org/elderhitch/recovery/TaskReconciliation.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/TaskReconciliation.kt
@@ -120,7 +120,9 @@
     private fun exited(task: NamedTask): TaskRow = when {
         // The result is kept, whichever attempt it was (PROTOCOL, "done"): the task is never started again.
         task.completed -> TaskRow.COMPLETED
+
         task.here == Here.THIS_ATTEMPT -> TaskRow.EXITED
+
         else -> TaskRow.EXITED_BEFORE
     }
 
--- a/src/main/kotlin/org/elderhitch/settings/LuaScript.kt
+++ b/src/main/kotlin/org/elderhitch/settings/LuaScript.kt
@@ -52,7 +52,17 @@
         globals.load(Limit())
         LoadState.install(globals)
         LuaC.install(globals)
-        for (unsafe in listOf("dofile", "loadfile", "load", "require", "package", "print", "debug")) globals.set(unsafe, LuaValue.NIL)
+        for (unsafe in listOf(
+            "dofile",
+            "loadfile",
+            "load",
+            "require",
+            "package",
+            "print",
+            "debug",
+        )) {
+            globals.set(unsafe, LuaValue.NIL)
+        }
         return globals
     }
 }
@@ -77,7 +87,11 @@
     public fun number(key: String, least: Double, most: Double): Double? {
         val value = table.get(key)
         if (value.isnil()) return null
-        if (value.type() != LuaValue.TNUMBER || value.todouble() !in least..most) bad(key, "must be a number from $least to $most")
+        if (value.type() != LuaValue.TNUMBER ||
+            value.todouble() !in least..most
+        ) {
+            bad(key, "must be a number from $least to $most")
+        }
         return value.todouble()
     }
 
@@ -85,7 +99,11 @@
         val value = table.get(key)
         if (value.isnil()) return null
         val number = if (value.type() == LuaValue.TNUMBER) value.todouble() else Double.NaN
-        if (number !in least.toDouble()..most.toDouble() || number != Math.floor(number)) bad(key, "must be a whole number from $least to $most")
+        if (number !in least.toDouble()..most.toDouble() ||
+            number != Math.floor(number)
+        ) {
+            bad(key, "must be a whole number from $least to $most")
+        }
         return number.toInt()
     }
 
@@ -118,7 +136,14 @@
     /** This table as a list of tables. */
     public fun tables(): List<LuaSection> {
         if (table.length() != table.keyCount()) throw BadScript("$file: must return a list of tables")
-        return (1..table.length()).map { i -> LuaSection(file, script, path + i.toString(), table.get(i) as? LuaTable ?: throw BadScript("$file: entry $i of the list is no table")) }
+        return (1..table.length()).map { i ->
+            LuaSection(
+                file,
+                script,
+                path + i.toString(),
+                table.get(i) as? LuaTable ?: throw BadScript("$file: entry $i of the list is no table"),
+            )
+        }
     }
 
     public fun section(key: String): LuaSection? {
@@ -132,15 +157,29 @@
         val value = table.get(key)
         return when {
             value.isnil() -> null
+
             value.isboolean() -> value.toboolean()
+
             value.type() == LuaValue.TSTRING -> value.tojstring()
-            value.type() == LuaValue.TNUMBER -> value.todouble().let { if (it == Math.rint(it) && Math.abs(it) < EXACT) it.toLong() else it }
+
+            value.type() == LuaValue.TNUMBER -> value.todouble().let {
+                if (it == Math.rint(it) &&
+                    Math.abs(it) < EXACT
+                ) {
+                    it.toLong()
+                } else {
+                    it
+                }
+            }
+
             value is LuaTable -> texts(key)
+
             else -> bad(key, "must be a text, a number, true, false or a list of texts")
         }
     }
 
-    public fun bad(key: String, reason: String): Nothing = throw BadScript("$file:${line(key)}: ${(path + key).joinToString(".")}: $reason")
+    public fun bad(key: String, reason: String): Nothing =
+        throw BadScript("$file:${line(key)}: ${(path + key).joinToString(".")}: $reason")
 
     /**
      * The line where the key is set. A table knows nothing of lines once it is made, so they are looked for in the script: each
@@ -149,7 +188,9 @@
     private fun line(key: String): Int {
         var at = 0
         for (part in path + key) {
-            val found = Regex("(?<![A-Za-z0-9_-])" + Regex.escape(part) + "(?![A-Za-z0-9_-])[\"']?\\s*]?\\s*=").find(script, at) ?: break
+            val found =
+                Regex("(?<![A-Za-z0-9_-])" + Regex.escape(part) + "(?![A-Za-z0-9_-])[\"']?\\s*]?\\s*=").find(script, at)
+                    ?: break
             at = found.range.first
         }
         return script.substring(0, at).count { it == '\n' } + 1
--- a/src/main/kotlin/org/elderhitch/settings/Settings.kt
+++ b/src/main/kotlin/org/elderhitch/settings/Settings.kt
@@ -86,11 +86,14 @@
     val cpuShare: Double,
 ) {
     /** Where each controller is, as far as the settings say. */
-    val nodeZones: Map<NodeName, Zone> get() = peers.mapNotNull { peer -> peer.zone?.let { peer.name to it } }.toMap() + (node to zone)
+    val nodeZones: Map<NodeName, Zone> get() = peers.mapNotNull { peer -> peer.zone?.let { peer.name to it } }.toMap() +
+        (node to zone)
 
     /** Classes whose aim on starting leaves no time to stop other work first: a save, two reports and a scheduling cycle. */
     val instantClasses: Set<String>
-        get() = objectives.filter { it.kind == "wait" && it.within != null && it.within < workers.report * 2 + STOPPING }.map { it.jobClass }.toSet()
+        get() = objectives.filter {
+            it.kind == "wait" && it.within != null && it.within < workers.report * 2 + STOPPING
+        }.map { it.jobClass }.toSet()
 
     public companion object {
         private const val DEFAULT_SOCKETS = 1024L
@@ -113,7 +116,9 @@
                 zone = Zone(top.stringOrNull("zone").orEmpty()),
                 clientListen = address(top, "client_listen"),
                 clusterListen = address(top, "cluster_listen"),
-                peers = top.objects("known").map { Peer(NodeName(it.string("node_name")), address(it, "address"), it.stringOrNull("zone")?.let(::Zone)) },
+                peers = top.objects("known").map {
+                    Peer(NodeName(it.string("node_name")), address(it, "address"), it.stringOrNull("zone")?.let(::Zone))
+                },
                 cloud = address(external, "cloud"),
                 state = address(external, "state"),
                 zones = settings.stringsOrNull("zones").orEmpty().map(::Zone),
@@ -133,8 +138,16 @@
                     positiveAmount(state, "txn_ops").toInt(),
                 ),
                 cloudLimits = CloudLimits(positiveAmount(cloud, "rps"), cloud.amount("list_lag_s").seconds),
-                maxSockets = (settings.objectOrNull("machine_limits")?.longOrNull("max_sockets") ?: DEFAULT_SOCKETS).toInt(),
-                cpuShare = (settings.objectOrNull("machine_limits")?.amountOrNull("cpu") ?: 1.0).coerceIn(LEAST_CPU, 1.0),
+                maxSockets = (
+                    settings.objectOrNull(
+                        "machine_limits",
+                    )?.longOrNull("max_sockets") ?: DEFAULT_SOCKETS
+                    ).toInt(),
+                cpuShare = (
+                    settings.objectOrNull(
+                        "machine_limits",
+                    )?.amountOrNull("cpu") ?: 1.0
+                    ).coerceIn(LEAST_CPU, 1.0),
             )
         }
 
--- a/src/main/kotlin/org/elderhitch/standin/CloudStandIn.kt
+++ b/src/main/kotlin/org/elderhitch/standin/CloudStandIn.kt
@@ -24,7 +24,12 @@
 )
 
 /** What a machine of the stand-in cloud is; its worker is started by [CloudStandIn.onBoot]. */
-public class StandInMachine(public val id: String, public val kind: StandInType, public val zone: String, public val spot: Boolean) {
+public class StandInMachine(
+    public val id: String,
+    public val kind: StandInType,
+    public val zone: String,
+    public val spot: Boolean,
+) {
     public val type: String get() = kind.name
     public var bootedAt: Moment = Moment.FOREVER
     public var up: Boolean = false
@@ -84,7 +89,9 @@
         return try {
             when (request.method to request.path) {
                 "GET" to "/flavors" -> ok(mapOf("rigs" to types.map(::flavor)))
+
                 "POST" to "/machines" -> hire(Json.parseObject(request.body))
+
                 "POST" to "/machines/release" -> {
                     Json.parseObject(request.body).stringsOrNull("stalls").orEmpty().forEach {
                         onReturn(it)
@@ -92,7 +99,9 @@
                     }
                     ok(emptyMap())
                 }
+
                 "GET" to "/machines" -> list(request.query["after"])
+
                 else -> HttpServer.refusal(NOT_FOUND, "no such path")
             }
         } catch (e: MalformedJson) {
@@ -103,8 +112,10 @@
     private fun ok(body: Map<String, Any?>) = Response(OK, Json.bytes(body))
 
     private fun flavor(type: StandInType): Map<String, Any?> = linkedMapOf(
-        "name" to type.name, "cores" to type.cores, "accelerators" to type.accelerators, "memGb" to type.memGb, "localGb" to CACHE,
-        "pullGbPerS" to FETCH, "rate" to type.price, "lowPrice" to type.price * SPOT_SHARE, "readyS" to boot.toDouble(DurationUnit.SECONDS),
+        "name" to type.name, "cores" to type.cores, "accelerators" to type.accelerators, "memGb" to type.memGb,
+        "localGb" to CACHE,
+        "pullGbPerS" to FETCH, "rate" to type.price, "lowPrice" to type.price * SPOT_SHARE,
+        "readyS" to boot.toDouble(DurationUnit.SECONDS),
         "halls" to zones,
     )
 
@@ -150,20 +161,33 @@
     private fun list(after: String?): Response {
         val now = clock.now()
         ghosts.values.removeAll { (_, goneAt) -> now - goneAt > listLag * 2 }
-        val listed = machines.values.filter { born[it.id].let { at -> at != null && now - at >= listLag } } + ghosts.values.map { it.first }
+        val listed =
+            machines.values.filter { born[it.id].let { at -> at != null && now - at >= listLag } } +
+                ghosts.values.map { it.first }
         val rest = listed.filter { after == null || it.id > after }.sortedBy { it.id }
         val page = rest.take(PAGE).map(::shown)
         return ok(linkedMapOf("stalls" to page, "more" to (rest.size > PAGE)))
     }
 
     private fun shown(it: StandInMachine): Map<String, Any?> = linkedMapOf(
-        "id" to it.id, "addr" to it.address.ifEmpty { null }, "rig" to it.type, "hall" to it.zone, "borrowedRigs" to it.spot,
-        "standing" to if (it.failed) "failed" else if (it.up) "running" else "booting",
+        "id" to it.id,
+        "addr" to it.address.ifEmpty { null },
+        "rig" to it.type,
+        "hall" to it.zone,
+        "borrowedRigs" to it.spot,
+        "standing" to if (it.failed) {
+            "failed"
+        } else if (it.up) {
+            "running"
+        } else {
+            "booting"
+        },
         "ageS" to (clock.now() - (born[it.id] ?: clock.now())).toDouble(DurationUnit.SECONDS),
     )
 
     public companion object {
-        public val USUAL: StandInType = StandInType("bench-8", cores = 48.0, accelerators = 8.0, memGb = 384.0, price = 10.0)
+        public val USUAL: StandInType =
+            StandInType("bench-8", cores = 48.0, accelerators = 8.0, memGb = 384.0, price = 10.0)
         private const val PAGE = 500
         private const val CACHE = 100.0
         private const val FETCH = 1.0
--- a/src/main/kotlin/org/elderhitch/standin/StandInPlatform.kt
+++ b/src/main/kotlin/org/elderhitch/standin/StandInPlatform.kt
@@ -96,7 +96,10 @@
 
         /** What a worker makes of a job's description. Throws [org.elderhitch.json.MalformedJson]. */
         public fun script(job: JsonObject, fetchRate: Double? = null): TaskScript = TaskScript(
-            job.string("lotKind"), job.amount("haulS").seconds, job.amount("cores"), job.amount("accelerators"),
+            job.string("lotKind"),
+            job.amount("haulS").seconds,
+            job.amount("cores"),
+            job.amount("accelerators"),
             fetchRate?.let { (job.amount("pullGb") / it).seconds } ?: Duration.ZERO,
         )
     }
--- a/src/main/kotlin/org/elderhitch/store/Keys.kt
+++ b/src/main/kotlin/org/elderhitch/store/Keys.kt
@@ -35,17 +35,24 @@
     /** What a key holds, for who follows the changes. */
     public fun subject(key: String): Subject? = when {
         key == TERM -> Subject.Counter
+
         key == LEADER -> Subject.Leader
+
         key.startsWith(JOB) -> JobId.parse(key.substring(JOB.length))?.let(Subject::Job)
+
         key.startsWith(END) -> JobId.parse(key.substring(END.length))?.let(Subject::End)
+
         key.startsWith(HOLD) -> JobId.parse(key.substring(HOLD.length))?.let(Subject::Hold)
+
         key.startsWith(HIRE) -> Subject.Hire(key.substring(HIRE.length))
+
         key.startsWith(FINISHED) -> {
             val rest = key.substring(FINISHED.length)
             val id = JobId.parse(rest.substringBeforeLast('/'))
             val block = rest.substringAfterLast('/').toIntOrNull()
             if (id == null || block == null) null else Subject.Finished(id, block)
         }
+
         else -> null
     }
 }
--- a/src/main/kotlin/org/elderhitch/store/StateClient.kt
+++ b/src/main/kotlin/org/elderhitch/store/StateClient.kt
@@ -123,7 +123,9 @@
                     val body = Json.parseObject(response.body)
                     WatchOutcome.Changes(body.objects("events").map(::change), Revision(body.long("ledgerMark")))
                 }
+
                 GONE -> WatchOutcome.TooOld
+
                 else -> WatchOutcome.Unavailable
             }
         }
@@ -136,7 +138,9 @@
         patience: Duration = PATIENCE,
     ): CommitOutcome {
         check(changes.size <= limits.txnOps) { "${changes.size} writes in a transaction" }
-        check(conditions.size <= limits.txnOps * CONDITIONS_PER_WRITE) { "${conditions.size} conditions in a transaction" }
+        check(conditions.size <= limits.txnOps * CONDITIONS_PER_WRITE) {
+            "${conditions.size} conditions in a transaction"
+        }
         val body = Json.bytes(
             linkedMapOf(
                 "when" to conditions.map { linkedMapOf("k" to it.key, "entryMark" to it.version.number) },
@@ -152,14 +156,20 @@
         return decodedFrom("state", log, CommitOutcome.Unknown) {
             when (response.status) {
                 OK -> CommitOutcome.Committed(Revision(Json.parseObject(response.body).long("ledgerMark")))
-                CONFLICT -> CommitOutcome.Conflict(Json.parseObject(response.body).stringsOrNull("failed").orEmpty().toSet())
+
+                CONFLICT -> CommitOutcome.Conflict(
+                    Json.parseObject(response.body).stringsOrNull("failed").orEmpty().toSet(),
+                )
+
                 TOO_MANY, BUSY -> CommitOutcome.Refused
+
                 BAD -> if (response.body.decodeToString().contains("no such lease")) {
                     CommitOutcome.NoSuchLease
                 } else {
                     log.error("commit malformed answer={}", response.body.decodeToString())
                     CommitOutcome.Refused
                 }
+
                 else -> CommitOutcome.Unknown
             }
         }
@@ -173,6 +183,7 @@
                 write.lease?.let { put("permit", it.number) }
             }
         }
+
         is Write.Drop -> mapOf("drop" to write.key)
     }
 
@@ -180,7 +191,13 @@
         val body = Json.bytes(mapOf("ttlMs" to ttl.inWholeMilliseconds))
         val response = request("POST", "/leases", body, Purpose.LEADERSHIP) ?: return LeaseOutcome.Unavailable
         return decodedFrom("state", log, LeaseOutcome.Unavailable) {
-            if (response.status == OK) LeaseOutcome.Held(LeaseId(Json.parseObject(response.body).long("permit"))) else LeaseOutcome.Unavailable
+            if (response.status ==
+                OK
+            ) {
+                LeaseOutcome.Held(LeaseId(Json.parseObject(response.body).long("permit")))
+            } else {
+                LeaseOutcome.Unavailable
+            }
         }
     }
 
@@ -210,7 +227,8 @@
         return response?.takeIf { it.status != BUSY && it.status != TOO_MANY }
     }
 
-    private fun entry(from: JsonObject): Entry = Entry(from.string("k"), from.obj("value"), Revision(from.long("entryMark")))
+    private fun entry(from: JsonObject): Entry =
+        Entry(from.string("k"), from.obj("value"), Revision(from.long("entryMark")))
 
     private fun change(from: JsonObject): Change {
         val version = Revision(from.long("entryMark"))
--- a/src/main/kotlin/org/elderhitch/sweeps/Acceptance.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Acceptance.kt
@@ -15,7 +15,14 @@
 
 /** What the check of all points came to. */
 internal sealed interface Checked {
-    class Fine(val skipped: FinishedTasks, val bad: List<Malformed>, val badCount: Int, val first: JobSpec, val taskSeconds: Double, val tasks: Long) : Checked
+    class Fine(
+        val skipped: FinishedTasks,
+        val bad: List<Malformed>,
+        val badCount: Int,
+        val first: JobSpec,
+        val taskSeconds: Double,
+        val tasks: Long,
+    ) : Checked
     class Refused(val bad: List<Malformed>, val badCount: Int, val reason: String) : Checked
     class NotNow(val reason: String) : Checked
 }
@@ -52,30 +59,54 @@
             }
         }
         val good = first ?: return Checked.Refused(bad, badCount, "no point is well-formed")
-        if (badCount > 0 && description.onBad == OnBad.REFUSE) return Checked.Refused(bad, badCount, "$badCount of $points points are malformed")
+        if (badCount > 0 &&
+            description.onBad == OnBad.REFUSE
+        ) {
+            return Checked.Refused(bad, badCount, "$badCount of $points points are malformed")
+        }
         return Checked.Fine(skipped, bad, badCount, good, seconds, tasks)
     }
 
     private fun refusal(spec: JobSpec, first: JobSpec?): Answer? {
-        if (spec.kind == JobKind.SERVICE) throw BadPoint("lotKind", "a service never ends, so the points after it would never start")
+        if (spec.kind ==
+            JobKind.SERVICE
+        ) {
+            throw BadPoint("lotKind", "a service never ends, so the points after it would never start")
+        }
         if (first == null) return null
-        if (spec.team != first.team) throw BadPoint("desk", "a sweep is one team's, and its first point is ${first.team}'s")
-        if (spec.jobClass != first.jobClass) throw BadPoint("lotClass", "a sweep is of one class, and its first point of ${first.jobClass}")
+        if (spec.team !=
+            first.team
+        ) {
+            throw BadPoint("desk", "a sweep is one team's, and its first point is ${first.team}'s")
+        }
+        if (spec.jobClass !=
+            first.jobClass
+        ) {
+            throw BadPoint("lotClass", "a sweep is of one class, and its first point of ${first.jobClass}")
+        }
         return null
     }
 
     /** The earlier point with the same values, told by a hash of 64 bits and then by the values. */
     private fun twin(description: Description, point: Int, seen: HashMap<Long, Int>): Int? {
-        val values = values(description, point).entries.sortedBy { it.key }.joinToString("\u0001") { "${it.key}\u0002${it.value}" }
-        val earlier = seen.putIfAbsent(com.dynatrace.hash4j.hashing.Hashing.xxh3_64().hashCharsToLong(values), point) ?: return null
+        val values = values(description, point).entries.sortedBy {
+            it.key
+        }.joinToString("\u0001") { "${it.key}\u0002${it.value}" }
+        val earlier =
+            seen.putIfAbsent(com.dynatrace.hash4j.hashing.Hashing.xxh3_64().hashCharsToLong(values), point)
+                ?: return null
         return earlier.takeIf { values(description, it) == values(description, point) }
     }
 
-    private fun values(description: Description, point: Int): Map<String, Any> = description.template.values(description.points.values(point))
+    private fun values(description: Description, point: Int): Map<String, Any> =
+        description.template.values(description.points.values(point))
 
     /** Of each block what is skipped, as the manifest keeps it. */
     fun packed(skipped: FinishedTasks): Map<Int, String> =
-        (0..(skipped.tasks - 1) / Block.SIZE).associateWith { skipped.pack(it) }.filterValues { it.isNotEmpty() && it != "b" }
+        (0..(skipped.tasks - 1) / Block.SIZE).associateWith { skipped.pack(it) }.filterValues {
+            it.isNotEmpty() &&
+                it != "b"
+        }
 
     private companion object {
         const val AT_A_TIME = 20
--- a/src/main/kotlin/org/elderhitch/sweeps/Endings.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Endings.kt
@@ -20,7 +20,12 @@
  * whoever replaces the block first has decided, and the other finds the point ended when it reads the block again. A transaction
  * without an answer that is carried out late meets a newer version, or is the one that came through.
  */
-internal class Endings(private val book: SweepBook, private val client: StateClient, private val sync: suspend () -> Boolean, private val txnOps: Int) {
+internal class Endings(
+    private val book: SweepBook,
+    private val client: StateClient,
+    private val sync: suspend () -> Boolean,
+    private val txnOps: Int,
+) {
     /** As [org.elderhitch.jobs.JobKeeper.record] has it. */
     suspend fun done(leading: Tenure.Leading, complete: List<FinishedBatch>): Map<JobId, List<Int>>? {
         val wanted = LinkedHashMap<Pair<SweepState, Int>, HashMap<Int, Account?>>()
@@ -34,33 +39,45 @@
             if (write(blocks, Condition(Keys.TERM, leading.counter), Purpose.END) == null) return null
         }
         // Only what is recorded now is told: a point that was withdrawn first is ended too, and needs nothing more.
-        return complete.filter { batch -> SweepId.ofPoint(batch.job)?.let { (id, point) -> book.of(id)?.endOf(point) } != null }.associate { it.job to it.fresh }
+        return complete.filter { batch ->
+            SweepId.ofPoint(batch.job)?.let { (id, point) -> book.of(id)?.endOf(point) } !=
+                null
+        }.associate { it.job to it.fresh }
     }
 
     /** False: some block could not be written now; null: another term has begun. */
     private suspend fun write(blocks: List<Pair<SweepState, Block>>, term: Condition?, purpose: Purpose): Boolean? {
         val changed = blocks.filter { (state, block) -> block !== state.block(block.number) }
         if (changed.isEmpty()) return true
-        val conditions = changed.map { (state, block) -> Condition(SweepKeys.block(state.id, block.number), block.version) }
+        val conditions = changed.map { (state, block) ->
+            Condition(SweepKeys.block(state.id, block.number), block.version)
+        }
         val outcome = client.commit(
-            listOfNotNull(term) + conditions, changed.map { (state, block) -> Write.Put(SweepKeys.block(state.id, block.number), block.encode()) }, purpose,
+            listOfNotNull(term) + conditions,
+            changed.map { (state, block) ->
+                Write.Put(SweepKeys.block(state.id, block.number), block.encode())
+            },
+            purpose,
         )
         return when (outcome) {
             is CommitOutcome.Committed -> {
                 changed.forEach { (state, block) -> book.written(state, block.written(outcome.revision)) }
                 true
             }
+
             is CommitOutcome.Conflict -> {
                 if (Keys.TERM in outcome.failed) return null
                 // A withdrawal came first, or an earlier try of ours: the next round starts from what stands there.
                 sync()
                 false
             }
+
             // What it did is seen by the feed; the next try meets the version that it left, or its own.
             CommitOutcome.Unknown -> {
                 sync()
                 false
             }
+
             CommitOutcome.Refused, CommitOutcome.NoSuchLease -> false
         }
     }
@@ -69,7 +86,15 @@
     suspend fun withdraw(state: SweepState, range: IntRange): Withdrawal {
         for (number in range.first / Block.SIZE..range.last / Block.SIZE) {
             val first = number * Block.SIZE
-            val points = (maxOf(range.first, first)..minOf(range.last, first + Block.SIZE - 1, state.points - 1)).filter { state.endOf(it) != PointEnd.SKIPPED }.map { it - first }
+            val points = (
+                maxOf(
+                    range.first,
+                    first,
+                )..minOf(range.last, first + Block.SIZE - 1, state.points - 1)
+                ).filter {
+                state.endOf(it) !=
+                    PointEnd.SKIPPED
+            }.map { it - first }
             var tries = 0
             while (points.any { state.block(number).endOf(it) == null }) {
                 if (++tries > TRIES) return Withdrawal.NOT_NOW
@@ -83,10 +108,28 @@
     suspend fun accept(id: SweepId, manifest: Manifest, firstPart: Revision): Accepted? {
         val key = SweepKeys.manifest(id)
         repeat(TRIES) {
-            when (val outcome = client.commit(listOf(Condition(key, Revision.ABSENT), Condition(SweepKeys.part(id, 0), firstPart)), listOf(Write.Put(key, manifest.encode())), Purpose.RECORD)) {
-                is CommitOutcome.Committed -> return Accepted(book.recorded(id, manifest, outcome.revision), isNew = true)
-                is CommitOutcome.Conflict -> return if (sync()) book.of(id)?.let { Accepted(it, isNew = false) } else null
+            when (
+                val outcome = client.commit(
+                    listOf(Condition(key, Revision.ABSENT), Condition(SweepKeys.part(id, 0), firstPart)),
+                    listOf(Write.Put(key, manifest.encode())),
+                    Purpose.RECORD,
+                )
+            ) {
+                is CommitOutcome.Committed -> return Accepted(
+                    book.recorded(id, manifest, outcome.revision),
+                    isNew = true,
+                )
+
+                is CommitOutcome.Conflict -> return if (sync()) {
+                    book.of(id)?.let {
+                        Accepted(it, isNew = false)
+                    }
+                } else {
+                    null
+                }
+
                 CommitOutcome.Unknown -> Unit
+
                 CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return null
             }
         }
--- a/src/main/kotlin/org/elderhitch/sweeps/Feeder.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Feeder.kt
@@ -69,7 +69,12 @@
         for (state in sweeps) library.load(state)
         // Nothing waits from here on: what is opened is open by what is known now.
         val ready = sweeps.mapNotNull { state -> library.loaded(state.id)?.let { state to it } }
-        val shares = Shares.of(ready.associate { (state, description) -> state.id to description.atOnce }, settings.tablePoints)
+        val shares = Shares.of(
+            ready.associate { (state, description) ->
+                state.id to description.atOnce
+            },
+            settings.tablePoints,
+        )
         for ((state, description) in ready) feed(state, description, shares[state.id] ?: 0)
     }
 
@@ -83,7 +88,9 @@
     }
 
     private fun opens(state: SweepState, description: Description, point: Int): JobEvent.Opened? = try {
-        JobEvent.Opened(description.job(state.id, point), state.version, kept = true).also { opened.getOrPut(state.id) { Opened() }.points.add(point) }
+        JobEvent.Opened(description.job(state.id, point), state.version, kept = true).also {
+            opened.getOrPut(state.id) { Opened() }.points.add(point)
+        }
     } catch (e: BadPoint) {
         // Checked when the sweep was accepted: a later version of this program that is stricter must not lose it in silence.
         log.error("sweep point malformed sweep={} point={} reason=\"{}\"", state.id, point, e.message)
@@ -104,7 +111,17 @@
             if (opened[state.id]?.points?.remove(first + at) == true) jobs(JobEvent.Ended(state.id.point(first + at)))
         }
         if (state.open == 0) {
-            if (loop != null) log.info("sweep ended sweep={} done={} withdrawn={} skipped={}", state.id, state.done, state.withdrawn, state.skippedCount)
+            if (loop !=
+                null
+            ) {
+                log.info(
+                    "sweep ended sweep={} done={} withdrawn={} skipped={}",
+                    state.id,
+                    state.done,
+                    state.withdrawn,
+                    state.skippedCount,
+                )
+            }
             opened.remove(state.id)
             library.forget(state.id)
         }
--- a/src/main/kotlin/org/elderhitch/sweeps/Library.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Library.kt
@@ -41,11 +41,13 @@
         if (state.id in held || broken[state.id].let { it != null && wall.now() - it < BROKEN_AGAIN }) return true
         return when (val fetched = fetch(state)) {
             is Fetched.Whole -> true.also { held[state.id] = fetched.description }
+
             is Fetched.Broken -> {
                 log.error("sweep description broken sweep={} reason=\"{}\"", state.id, fetched.reason)
                 broken[state.id] = wall.now()
                 true
             }
+
             Fetched.NotNow -> false
         }
     }
@@ -83,7 +85,9 @@
                     if (part == 0) first = read.entry.version
                     texts.add(read.entry.value.stringOrNull("data") ?: return Reading.Missing(part))
                 }
+
                 ReadOutcome.Absent -> return Reading.Missing(part)
+
                 ReadOutcome.Unavailable -> return Reading.NotNow
             }
         }
@@ -98,13 +102,29 @@
         if (org.elderhitch.json.Json.bytes(value).size > valueBytes) return Put.TOO_LARGE
         val key = SweepKeys.part(id, part)
         repeat(TRIES) {
-            when (client.commit(listOf(Condition(key, Revision.ABSENT)), listOf(Write.Put(key, value)), Purpose.PROGRESS)) {
+            when (
+                client.commit(
+                    listOf(Condition(key, Revision.ABSENT)),
+                    listOf(Write.Put(key, value)),
+                    Purpose.PROGRESS,
+                )
+            ) {
                 is CommitOutcome.Committed -> return Put.RECORDED
+
                 is CommitOutcome.Conflict -> return when (val read = client.read(key, Purpose.PROGRESS)) {
-                    is ReadOutcome.Found -> if (read.entry.value.stringOrNull("data") == data) Put.RECORDED else Put.OTHER
+                    is ReadOutcome.Found -> if (read.entry.value.stringOrNull("data") ==
+                        data
+                    ) {
+                        Put.RECORDED
+                    } else {
+                        Put.OTHER
+                    }
+
                     else -> Put.NOT_NOW
                 }
+
                 CommitOutcome.Unknown -> Unit
+
                 CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Put.NOT_NOW
             }
         }
@@ -125,8 +145,25 @@
                 if (isRecorded(id) || wall.now() - at < ORPHANED) continue
                 log.info("sweep part collected key={}", entry.key)
                 val first = SweepKeys.part(id, 0)
-                val conditions = listOf(Condition(SweepKeys.manifest(id), Revision.ABSENT), Condition(first, if (entry.key == first) entry.version else Revision.ABSENT))
-                client.commit((conditions + Condition(entry.key, entry.version)).distinct(), listOf(Write.Drop(entry.key)), Purpose.OTHER)
+                val conditions =
+                    listOf(
+                        Condition(SweepKeys.manifest(id), Revision.ABSENT),
+                        Condition(
+                            first,
+                            if (entry.key ==
+                                first
+                            ) {
+                                entry.version
+                            } else {
+                                Revision.ABSENT
+                            },
+                        ),
+                    )
+                client.commit(
+                    (conditions + Condition(entry.key, entry.version)).distinct(),
+                    listOf(Write.Drop(entry.key)),
+                    Purpose.OTHER,
+                )
             }
             after = page.entries.lastOrNull()?.key
             if (!page.more || after == null) return
