--- a/src/main/kotlin/org/elderhitch/sweeps/Points.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Points.kt
@@ -47,7 +47,11 @@
         return values
     }
 
-    override fun encode(): Map<String, Any?> = mapOf("grid" to axes.associate { it.names.joinToString(",") to it.source })
+    override fun encode(): Map<String, Any?> = mapOf(
+        "grid" to axes.associate {
+            it.names.joinToString(",") to it.source
+        },
+    )
 
     public companion object {
         private val RANGE = Regex("\\s*(-?[0-9.]+)\\s*\\.\\.\\s*(-?[0-9.]+)\\s*(?:step\\s+(-?[0-9.]+)\\s*)?")
@@ -60,37 +64,69 @@
             val axes = from.names.map { key -> axis(key.split(',').map { it.trim() }, from.raw(key)) }
             if (axes.isEmpty()) throw BadTemplate("points.grid: has no axis")
             val names = axes.flatMap { it.names }
-            names.groupBy { it }.entries.firstOrNull { it.value.size > 1 }?.let { throw BadTemplate("points.grid: ${it.key} is on two axes") }
+            names.groupBy {
+                it
+            }.entries.firstOrNull {
+                it.value.size > 1
+            }?.let { throw BadTemplate("points.grid: ${it.key} is on two axes") }
             return Grid(axes)
         }
 
         private fun axis(names: List<String>, value: Any?): Axis {
             val key = names.joinToString(",")
             if (value is String && names.size == 1) return range(key, value)
-            if (value !is List<*>) throw BadTemplate("points.grid.$key: must be a list, or a range like \"0.1 .. 0.9 step 0.1\"")
+            if (value !is List<*>) {
+                throw BadTemplate(
+                    "points.grid.$key: must be a list, or a range like \"0.1 .. 0.9 step 0.1\"",
+                )
+            }
             if (value.isEmpty()) throw BadTemplate("points.grid.$key: empty")
             if (value.size > Points.MOST) throw BadTemplate("points.grid.$key: more than ${Points.MOST} values")
             val zipped = names.size > 1
             for (entry in value) {
-                val row = if (zipped) (entry as? List<*>)?.takeIf { it.size == names.size } ?: throw BadTemplate("points.grid.$key: each entry must be a list of ${names.size}") else listOf(entry)
-                if (row.any { it == null || it is List<*> || it is Map<*, *> }) throw BadTemplate("points.grid.$key: an entry is no text, number, true or false")
+                val row = if (zipped) {
+                    (entry as? List<*>)?.takeIf { it.size == names.size }
+                        ?: throw BadTemplate("points.grid.$key: each entry must be a list of ${names.size}")
+                } else {
+                    listOf(entry)
+                }
+                if (row.any {
+                        it == null || it is List<*> || it is Map<*, *>
+                    }
+                ) {
+                    throw BadTemplate("points.grid.$key: an entry is no text, number, true or false")
+                }
             }
             return Axis(names, value.size, value) { n -> if (zipped) value[n] as List<*> else listOf(value[n]) }
         }
 
         /** In decimal steps: 0.1 .. 0.9 step 0.1 has nine values, and the last is 0.9. */
         private fun range(key: String, text: String): Axis {
-            val parts = RANGE.matchEntire(text)?.groupValues ?: throw BadTemplate("points.grid.$key: \"${text.take(SHOWN)}\" is no range like \"0.1 .. 0.9 step 0.1\"")
+            val parts =
+                RANGE.matchEntire(text)?.groupValues
+                    ?: throw BadTemplate(
+                        "points.grid.$key: \"${text.take(SHOWN)}\" is no range like \"0.1 .. 0.9 step 0.1\"",
+                    )
             val (first, last, step) = try {
-                Triple(BigDecimal(parts[1]), BigDecimal(parts[2]), if (parts[3].isEmpty()) BigDecimal.ONE else BigDecimal(parts[3]))
+                Triple(
+                    BigDecimal(parts[1]),
+                    BigDecimal(parts[2]),
+                    if (parts[3].isEmpty()) BigDecimal.ONE else BigDecimal(parts[3]),
+                )
             } catch (_: NumberFormatException) {
                 throw BadTemplate("points.grid.$key: \"${text.take(SHOWN)}\" has a number that is none")
             }
-            if (step.signum() == 0 || (last - first).signum() * step.signum() < 0) throw BadTemplate("points.grid.$key: never gets from $first to $last by $step")
+            if (step.signum() == 0 ||
+                (last - first).signum() * step.signum() < 0
+            ) {
+                throw BadTemplate("points.grid.$key: never gets from $first to $last by $step")
+            }
             val steps = (last - first).divideToIntegralValue(step)
             if (steps >= BigDecimal(Points.MOST)) throw BadTemplate("points.grid.$key: more than ${Points.MOST} values")
             val whole = listOf(first, step).all { it.stripTrailingZeros().scale() <= 0 }
-            return Axis(listOf(key), steps.toInt() + 1, text) { n -> listOf((first + step * BigDecimal(n)).let { if (whole) it.toLong() else it.toDouble() }) }
+            return Axis(listOf(key), steps.toInt() + 1, text) { n ->
+                listOf((first + step * BigDecimal(n)).let { if (whole) it.toLong() else it.toDouble() })
+            }
         }
 
         private const val SHOWN = 40
@@ -98,17 +134,35 @@
 }
 
 /** Rows of texts under named columns, held as one text: some bytes a value, whatever their number. */
-public class Table private constructor(public val columns: List<String>, private val text: ByteArray, private val starts: IntArray) : Points {
+public class Table private constructor(
+    public val columns: List<String>,
+    private val text: ByteArray,
+    private val starts: IntArray,
+) : Points {
     override val count: Int get() = starts.size - 1
 
     override fun values(point: Int): Map<String, Any?> {
         val row = row(point)
-        if (row.size != columns.size) throw BadPoint(columns.getOrElse(row.size) { "row" }, if (row.size < columns.size) "the row is cut short" else "the row has ${row.size} values for ${columns.size} columns")
+        if (row.size !=
+            columns.size
+        ) {
+            throw BadPoint(
+                columns.getOrElse(row.size) { "row" },
+                if (row.size <
+                    columns.size
+                ) {
+                    "the row is cut short"
+                } else {
+                    "the row has ${row.size} values for ${columns.size} columns"
+                },
+            )
+        }
         // An empty field is no value: then the default holds.
         return columns.indices.filter { row[it].isNotEmpty() }.associate { columns[it] to row[it] }
     }
 
-    private fun row(point: Int): List<String> = String(text, starts[point], starts[point + 1] - 1 - starts[point]).split(FIELD)
+    private fun row(point: Int): List<String> =
+        String(text, starts[point], starts[point + 1] - 1 - starts[point]).split(FIELD)
 
     override fun encode(): Map<String, Any?> = mapOf("columns" to columns, "rows" to text.decodeToString())
 
@@ -123,14 +177,34 @@
             private val starts = it.unimi.dsi.fastutil.ints.IntArrayList()
 
             init {
-                if (columns.isEmpty() || columns.any { it.isBlank() }) throw BadTemplate("columns: a header without a name")
-                columns.groupBy { it }.entries.firstOrNull { it.value.size > 1 }?.let { throw BadTemplate("columns: ${it.key} stands twice") }
+                if (columns.isEmpty() ||
+                    columns.any { it.isBlank() }
+                ) {
+                    throw BadTemplate("columns: a header without a name")
+                }
+                columns.groupBy {
+                    it
+                }.entries.firstOrNull {
+                    it.value.size > 1
+                }?.let { throw BadTemplate("columns: ${it.key} stands twice") }
             }
 
             public fun add(row: List<String>) {
                 if (starts.size >= Points.MOST) throw BadTemplate("more than ${Points.MOST} points")
                 // Control characters separate rows and fields here; the template's parameters refuse them anyway.
-                val line = row.joinToString(FIELD.toString()) { field -> field.map { if (it < ' ') ' ' else it }.joinToString("") } + ROW
+                val line =
+                    row.joinToString(FIELD.toString()) { field ->
+                        field.map {
+                            if (it <
+                                ' '
+                            ) {
+                                ' '
+                            } else {
+                                it
+                            }
+                        }.joinToString("")
+                    } +
+                        ROW
                 starts.add(text.size())
                 text.write(line.encodeToByteArray())
                 if (text.size() > MOST_BYTES) throw BadTemplate("the points are more than $MOST_BYTES bytes")
--- a/src/main/kotlin/org/elderhitch/sweeps/Sources.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sources.kt
@@ -45,13 +45,17 @@
     /** Streamed: a file of any size is refused once it is too much, and never held. Throws [BadTemplate]. */
     public fun csv(file: File): Table {
         if (!file.isFile) throw BadTemplate("$file: no such file")
-        val decoder = Charsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT).onUnmappableCharacter(CodingErrorAction.REPORT)
+        val decoder = Charsets.UTF_8.newDecoder().onMalformedInput(
+            CodingErrorAction.REPORT,
+        ).onUnmappableCharacter(CodingErrorAction.REPORT)
         return try {
             java.io.InputStreamReader(file.inputStream(), decoder).use { csv(file.name, it) }
         } catch (_: CharacterCodingException) {
             throw BadTemplate("${file.name}: not UTF-8")
         } catch (e: UncheckedIOException) {
-            throw BadTemplate(if (e.cause is CharacterCodingException) "${file.name}: not UTF-8" else "${file.name} can't be read: ${e.cause?.message}")
+            throw BadTemplate(
+                if (e.cause is CharacterCodingException) "${file.name}: not UTF-8" else "${file.name} can't be read: ${e.cause?.message}",
+            )
         } catch (e: IOException) {
             throw BadTemplate("${file.name} can't be read: ${e.message}")
         }
@@ -59,15 +63,40 @@
 
     internal fun csv(name: String, from: Reader): Table = try {
         var builder: Table.Companion.Builder? = null
-        CsvReader.builder().ignoreDifferentFieldCount(true).skipEmptyLines(true).ofCsvRecord(from).forEach { record: CsvRecord ->
+        CsvReader.builder().ignoreDifferentFieldCount(
+            true,
+        ).skipEmptyLines(true).ofCsvRecord(from).forEach { record: CsvRecord ->
             val row = record.fields.map { it.trim() }
             val rows = builder
-            if (rows == null) builder = Table.Companion.Builder(row.mapIndexed { n, column -> if (n == 0) column.removePrefix("\uFEFF") else column }) else rows.add(row)
+            if (rows ==
+                null
+            ) {
+                builder =
+                    Table.Companion.Builder(
+                        row.mapIndexed { n, column ->
+                            if (n ==
+                                0
+                            ) {
+                                column.removePrefix("\uFEFF")
+                            } else {
+                                column
+                            }
+                        },
+                    )
+            } else {
+                rows.add(row)
+            }
         }
         builder?.build() ?: throw BadTemplate("$name: empty")
     } catch (e: CsvParseException) {
         val cause = e.cause
-        throw if (cause is CharacterCodingException || cause?.cause is CharacterCodingException) BadTemplate("$name: not UTF-8") else BadTemplate("$name: ${e.message}")
+        throw if (cause is CharacterCodingException ||
+            cause?.cause is CharacterCodingException
+        ) {
+            BadTemplate("$name: not UTF-8")
+        } else {
+            BadTemplate("$name: ${e.message}")
+        }
     } catch (e: BadTemplate) {
         throw BadTemplate("$name: ${e.message}")
     }
@@ -91,5 +120,7 @@
         return builder.build()
     }
 
-    private fun rowsOf(list: LuaSection): List<Map<String, Any?>> = list.tables().map { row -> row.keys.associateWith { row.plain(it) } }
+    private fun rowsOf(list: LuaSection): List<Map<String, Any?>> = list.tables().map { row ->
+        row.keys.associateWith { row.plain(it) }
+    }
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/Sweep.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sweep.kt
@@ -24,7 +24,11 @@
         public fun parse(text: String): SweepId? = if (FORM.matches(text)) SweepId(text) else null
 
         /** The sweep and the number of a point's id; null: it is no point's. */
-        public fun ofPoint(id: JobId): Pair<SweepId, Int>? = POINT.matchEntire(id.text)?.destructured?.let { (sweep, number) -> SweepId(sweep) to number.toInt() }
+        public fun ofPoint(id: JobId): Pair<SweepId, Int>? =
+            POINT.matchEntire(id.text)?.destructured?.let { (sweep, number) ->
+                SweepId(sweep) to
+                    number.toInt()
+            }
     }
 }
 
@@ -32,19 +36,30 @@
 public enum class OnBad { REFUSE, SKIP }
 
 /** A sweep as its user described it: recorded once, the same on every node. */
-public class Description(public val template: Template, private val raw: JsonObject, public val points: Points, public val onBad: OnBad, public val atOnce: Int) {
+public class Description(
+    public val template: Template,
+    private val raw: JsonObject,
+    public val points: Points,
+    public val onBad: OnBad,
+    public val atOnce: Int,
+) {
     /** Throws [BadPoint]. */
     public fun job(sweep: SweepId, point: Int): JobSpec = template.job(sweep.point(point), points.values(point))
 
     /** Throws [BadPoint]. */
-    public fun body(sweep: SweepId, point: Int): Map<String, Any?> = template.body(sweep.point(point), points.values(point))
+    public fun body(sweep: SweepId, point: Int): Map<String, Any?> =
+        template.body(sweep.point(point), points.values(point))
 
     /** Compressed. */
     public fun pack(): ByteArray = compress(
         Json.bytes(
             linkedMapOf(
-                "v" to VERSION, "params" to raw.raw("params"), "job" to raw.raw("job"), "points" to points.encode(),
-                "on_bad" to onBad.name.lowercase(), "at_once" to atOnce,
+                "v" to VERSION,
+                "params" to raw.raw("params"),
+                "job" to raw.raw("job"),
+                "points" to points.encode(),
+                "on_bad" to onBad.name.lowercase(),
+                "at_once" to atOnce,
             ),
         ),
     )
@@ -58,11 +73,25 @@
 
         /** [points]: those of the file unless they come from elsewhere. Throws [BadTemplate]. */
         public fun parse(from: JsonObject, points: Points? = null): Description = try {
-            from.names.firstOrNull { it !in FIELDS }?.let { throw BadTemplate("$it: unknown; known are ${FIELDS.sorted()}") }
-            val onBad = from.stringOrNull("on_bad")?.let { word -> OnBad.entries.firstOrNull { it.name.lowercase() == word } ?: throw BadTemplate("on_bad: $word is neither refuse nor skip") }
+            from.names.firstOrNull {
+                it !in FIELDS
+            }?.let { throw BadTemplate("$it: unknown; known are ${FIELDS.sorted()}") }
+            val onBad = from.stringOrNull("on_bad")?.let { word ->
+                OnBad.entries.firstOrNull {
+                    it.name.lowercase() ==
+                        word
+                }
+                    ?: throw BadTemplate("on_bad: $word is neither refuse nor skip")
+            }
             val atOnce = from.longOrNull("at_once") ?: DEFAULT_AT_ONCE.toLong()
             if (atOnce !in 1..MOST_AT_ONCE) throw BadTemplate("at_once: not from 1 to $MOST_AT_ONCE")
-            Description(Template.parse(from.objectOrNull("params"), from.obj("job")), JsonObject.of(mapOf("params" to from.raw("params"), "job" to from.raw("job"))), points ?: Points.decode(from.obj("points")), onBad ?: OnBad.REFUSE, atOnce.toInt())
+            Description(
+                Template.parse(from.objectOrNull("params"), from.obj("job")),
+                JsonObject.of(mapOf("params" to from.raw("params"), "job" to from.raw("job"))),
+                points ?: Points.decode(from.obj("points")),
+                onBad ?: OnBad.REFUSE,
+                atOnce.toInt(),
+            )
         } catch (e: MalformedJson) {
             throw BadTemplate(e.message.orEmpty())
         }
@@ -74,7 +103,11 @@
             } catch (e: MalformedJson) {
                 throw BadTemplate("the description is ${e.message}")
             }
-            if (json.raw("v") != VERSION) throw BadTemplate("the description has format ${json.raw("v")}, known is $VERSION")
+            if (json.raw("v") !=
+                VERSION
+            ) {
+                throw BadTemplate("the description has format ${json.raw("v")}, known is $VERSION")
+            }
             return parse(json)
         }
 
@@ -90,14 +123,19 @@
             // Told by the sender: what it would take is bounded before it is taken.
             if (size !in 1..MOST_BYTES) throw BadTemplate("the description would be $size bytes")
             val out = ByteArray(size.toInt())
-            if (decompressor.decompress(packed, 0, packed.size, out, 0, out.size) != out.size) throw BadTemplate("the description is cut short")
+            if (decompressor.decompress(packed, 0, packed.size, out, 0, out.size) !=
+                out.size
+            ) {
+                throw BadTemplate("the description is cut short")
+            }
             out
         } catch (e: io.airlift.compress.MalformedInputException) {
             throw BadTemplate("the description can't be unpacked: ${e.message}")
         }
 
         /** A checksum of the packed description; it names the content, and tells a torn one. */
-        public fun sum(packed: ByteArray): String = java.lang.Long.toHexString(Hashing.xxh3_64().hashBytesToLong(packed))
+        public fun sum(packed: ByteArray): String =
+            java.lang.Long.toHexString(Hashing.xxh3_64().hashBytesToLong(packed))
     }
 }
 
@@ -111,7 +149,9 @@
 
     public fun split(packed: ByteArray, valueBytes: Int): List<String> {
         val each = (valueBytes - ROOM) / BASE64_OUT * BASE64_IN
-        return (packed.indices step each).map { Base64.getEncoder().encodeToString(packed.copyOfRange(it, minOf(it + each, packed.size))) }
+        return (packed.indices step each).map {
+            Base64.getEncoder().encodeToString(packed.copyOfRange(it, minOf(it + each, packed.size)))
+        }
     }
 
     /** Null: a part is none that [split] made. */
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepBook.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepBook.kt
@@ -67,7 +67,8 @@
     }
 
     /** Recorded by this node itself: known before the feed brings it. */
-    fun recorded(id: SweepId, manifest: Manifest, version: Revision): SweepState = sweeps.getOrPut(id) { SweepState(id, manifest, version) }
+    fun recorded(id: SweepId, manifest: Manifest, version: Revision): SweepState =
+        sweeps.getOrPut(id) { SweepState(id, manifest, version) }
 
     fun written(state: SweepState, block: Block) {
         val before = state.block(block.number)
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepClient.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepClient.kt
@@ -21,20 +21,34 @@
 }
 
 /** Speaks to whichever controller answers. All requests of sweeps may be repeated: the same one again changes nothing. */
-public class SweepClient(private val nodes: List<Address>, private val transport: Transport, private val clock: SteadyClock) {
+public class SweepClient(
+    private val nodes: List<Address>,
+    private val transport: Transport,
+    private val clock: SteadyClock,
+) {
     private var at = 0
 
     public suspend fun ask(method: String, path: String, body: Map<String, Any?>?, patience: Duration): Told {
         val until = clock.now() + patience
         var sent = false
         while (true) {
-            val response = transport.call(nodes[at % nodes.size], method, path, body?.let { Json.bytes(it) } ?: if (method == "POST") ByteArray(0) else null, TIMEOUT)
+            val response = transport.call(
+                nodes[at % nodes.size],
+                method,
+                path,
+                body?.let { Json.bytes(it) } ?: if (method == "POST") ByteArray(0) else null,
+                TIMEOUT,
+            )
             val answer = response?.let(::answer)
             if (answer != null && answer.status != BUSY && answer.status != TOO_MANY) return answer
             // Whatever was said, or not: the next node may do better.
             if (response == null && method == "POST") sent = true
             at++
-            val pause = response?.headers?.entries?.firstOrNull { it.key.equals("Retry-After", ignoreCase = true) }?.value?.toLongOrNull()?.seconds ?: PAUSE
+            val pause =
+                response?.headers?.entries?.firstOrNull {
+                    it.key.equals("Retry-After", ignoreCase = true)
+                }?.value?.toLongOrNull()?.seconds
+                    ?: PAUSE
             if (clock.now() + pause >= until) return answer ?: Told.Silence(sent)
             delay(pause)
         }
@@ -57,9 +71,20 @@
                 val told = ask("POST", "/sweeps/$id/part/$number", mapOf("data" to data), until - clock.now())
                 if (told !is Told.Answer || told.status != OK) return told
             }
-            val told = ask("POST", "/sweeps/$id", mapOf("parts" to parts.size, "sum" to Description.sum(packed), "dry" to dry), until - clock.now())
+            val told = ask(
+                "POST",
+                "/sweeps/$id",
+                mapOf(
+                    "parts" to parts.size,
+                    "sum" to Description.sum(packed),
+                    "dry" to dry,
+                ),
+                until - clock.now(),
+            )
             // A part that was collected meanwhile is sent again.
-            val again = told is Told.Answer && told.status == CONFLICT && told.body.stringOrNull("error").orEmpty().endsWith("is missing")
+            val again =
+                told is Told.Answer && told.status == CONFLICT &&
+                    told.body.stringOrNull("error").orEmpty().endsWith("is missing")
             if (!again || clock.now() >= until) return told
         }
     }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepCommands.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepCommands.kt
@@ -84,7 +84,11 @@
 
     override fun run() {
         val description = read(file, points)
-        if (point >= description.points.count) throw CliktError("--point: there are ${description.points.count} points, from 0", statusCode = USAGE)
+        if (point >=
+            description.points.count
+        ) {
+            throw CliktError("--point: there are ${description.points.count} points, from 0", statusCode = USAGE)
+        }
         try {
             echo(Json.text(description.body(SweepId("sample"), point)))
         } catch (e: BadPoint) {
@@ -99,20 +103,32 @@
         subcommands(SweepSubmit(), SweepShow(), SweepPoints(), SweepWithdraw(), SweepWait())
     }
 
-    override fun help(context: Context): String = "Submit many jobs as one, and watch, count and withdraw them as a group"
+    override fun help(context: Context): String =
+        "Submit many jobs as one, and watch, count and withdraw them as a group"
 
     override fun run() = Unit
 }
 
 private abstract class SweepAsk(name: String) : CoreCliktCommand(name = name) {
-    private val nodes by option("--node", help = "the controllers' client addresses, between commas").default("127.0.0.1:8080")
-    protected val timeout by option("--timeout", help = "seconds for all tries together").int().restrictTo(1..86_400).default(30)
+    private val nodes by option(
+        "--node",
+        help = "the controllers' client addresses, between commas",
+    ).default("127.0.0.1:8080")
+    protected val timeout by option(
+        "--timeout",
+        help = "seconds for all tries together",
+    ).int().restrictTo(1..86_400).default(30)
 
     protected fun <T> speak(talk: suspend (SweepClient) -> T): T {
-        val addresses = nodes.split(',').map { Address.parse(it.trim()) ?: throw CliktError("--node: \"$it\" is no address of the form 127.0.0.1:8080", statusCode = USAGE) }
+        val addresses = nodes.split(',').map {
+            Address.parse(it.trim())
+                ?: throw CliktError("--node: \"$it\" is no address of the form 127.0.0.1:8080", statusCode = USAGE)
+        }
         val loop = ScheduledThreadPoolExecutor(1) { task -> Thread(task, "loop").apply { isDaemon = true } }
         try {
-            return runBlocking(loop.asCoroutineDispatcher()) { talk(SweepClient(addresses, HttpClient(channelGroup(loop), SystemSteadyClock), SystemSteadyClock)) }
+            return runBlocking(loop.asCoroutineDispatcher()) {
+                talk(SweepClient(addresses, HttpClient(channelGroup(loop), SystemSteadyClock), SystemSteadyClock))
+            }
         } finally {
             loop.shutdownNow()
         }
@@ -120,19 +136,43 @@
 
     /** The answer's body, or the end of the command. */
     protected fun fine(told: Told): JsonObject = when (told) {
-        is Told.Silence -> throw CliktError(if (told.mayBeDone) "no answer: it may have been carried out; the same command again tells, and does no harm" else "no controller answers", statusCode = NO_ANSWER)
+        is Told.Silence -> throw CliktError(
+            if (told.mayBeDone) "no answer: it may have been carried out; the same command again tells, and does no harm" else "no controller answers",
+            statusCode = NO_ANSWER,
+        )
+
         is Told.Answer -> if (told.status < REFUSALS) told.body else refused(told)
     }
 
     private fun refused(told: Told.Answer): Nothing {
-        told.body.objects("bad").forEach { echo("row ${it.raw("row")}: ${it.raw("column")}: ${it.raw("reason")}", err = true) }
-        throw CliktError("${told.status} ${told.body.stringOrNull("error") ?: "refused"}", statusCode = if (told.status == BUSY) NO_ANSWER else REFUSED)
+        told.body.objects("bad").forEach {
+            echo("row ${it.raw("row")}: ${it.raw("column")}: ${it.raw("reason")}", err = true)
+        }
+        throw CliktError(
+            "${told.status} ${told.body.stringOrNull("error") ?: "refused"}",
+            statusCode = if (told.status ==
+                BUSY
+            ) {
+                NO_ANSWER
+            } else {
+                REFUSED
+            },
+        )
     }
 
-    protected fun sweep(text: String): SweepId = SweepId.parse(text) ?: throw CliktError("\"$text\": the name of a sweep is 4 to 24 small letters and digits", statusCode = USAGE)
+    protected fun sweep(text: String): SweepId = SweepId.parse(text)
+        ?: throw CliktError(
+            "\"$text\": the name of a sweep is 4 to 24 small letters and digits",
+            statusCode = USAGE,
+        )
 
-    protected fun line(shown: JsonObject): String =
-        "${shown.raw("sweep")}: ${shown.raw("points")} points, ${shown.raw("done")} done, ${shown.raw("withdrawn")} withdrawn, ${shown.raw("skipped")} skipped, ${shown.raw("open")} open"
+    protected fun line(shown: JsonObject): String = "${shown.raw(
+        "sweep",
+    )}: ${shown.raw(
+        "points",
+    )} points, ${shown.raw(
+        "done",
+    )} done, ${shown.raw("withdrawn")} withdrawn, ${shown.raw("skipped")} skipped, ${shown.raw("open")} open"
 
     private companion object {
         const val REFUSALS = 300
@@ -142,17 +182,32 @@
 
 private class SweepSubmit : SweepAsk("submit") {
     private val file by argument(help = "the template, a JSON file")
-    private val id by option("--id", help = "the sweep's name, 4 to 24 small letters and digits; without it one is drawn and told first")
+    private val id by option(
+        "--id",
+        help = "the sweep's name, 4 to 24 small letters and digits; without it one is drawn and told first",
+    )
     private val points by option("--points", help = "a CSV file instead of the points that the template names")
-    private val upload by option("--upload", help = "a folder for the description of each point, as workers must find it, before the sweep is submitted")
+    private val upload by option(
+        "--upload",
+        help = "a folder for the description of each point, as workers must find it, before the sweep is submitted",
+    )
     private val dry by option("--dry-run", help = "tell what it would come to, and record nothing but the parts").flag()
-    private val valueBytes by option("--value-bytes", help = "what a value of the state service may have").int().restrictTo(1024..65_536).default(8192)
+    private val valueBytes by option(
+        "--value-bytes",
+        help = "what a value of the state service may have",
+    ).int().restrictTo(1024..65_536).default(8192)
 
     override fun help(context: Context): String = "Submit a sweep; a repeat with the same name is harmless"
 
     override fun run() {
         val description = read(file, points)
-        val name = id?.let(::sweep) ?: SweepId(List(NAME) { LETTERS[java.security.SecureRandom().nextInt(LETTERS.length)] }.joinToString(""))
+        val name =
+            id?.let(::sweep)
+                ?: SweepId(
+                    List(NAME) {
+                        LETTERS[java.security.SecureRandom().nextInt(LETTERS.length)]
+                    }.joinToString(""),
+                )
         // Told before anything is sent, so that a lost answer can be followed up.
         if (id == null) echo("sweep $name", err = true)
         upload?.let { folder -> if (!dry) write(File(folder), name, description) }
@@ -161,7 +216,11 @@
     }
 
     private fun write(folder: File, name: SweepId, description: Description) {
-        if (!folder.isDirectory && !folder.mkdirs()) throw CliktError("--upload: $folder is no folder and can't be made", statusCode = USAGE)
+        if (!folder.isDirectory &&
+            !folder.mkdirs()
+        ) {
+            throw CliktError("--upload: $folder is no folder and can't be made", statusCode = USAGE)
+        }
         for (point in 0 until description.points.count) {
             try {
                 File(folder, "${name.point(point)}.json").writeBytes(Json.bytes(description.body(name, point)))
@@ -187,13 +246,18 @@
     override fun run() {
         val shown = fine(speak { it.ask("GET", "/sweeps/${sweep(id)}", null, timeout.seconds) })
         echo(line(shown))
-        shown.objectOrNull("account")?.let { account -> echo(account.names.joinToString(", ") { "$it ${account.raw(it)}" }) }
+        shown.objectOrNull("account")?.let { account ->
+            echo(account.names.joinToString(", ") { "$it ${account.raw(it)}" })
+        }
     }
 }
 
 private class SweepPoints : SweepAsk("points") {
     private val id by argument(help = "the sweep's name")
-    private val state by option("--state", help = "only points that stand so").choice("open", "running", "failed", "done", "withdrawn", "skipped")
+    private val state by option(
+        "--state",
+        help = "only points that stand so",
+    ).choice("open", "running", "failed", "done", "withdrawn", "skipped")
 
     override fun help(context: Context): String = "List a sweep's points, one a line"
 
@@ -215,11 +279,25 @@
     private val id by argument(help = "the sweep's name")
     private val points by option("--points", help = "which points, like 10-200; without it all")
 
-    override fun help(context: Context): String = "Cancel a sweep or some of its points; those that have ended keep their end"
+    override fun help(context: Context): String =
+        "Cancel a sweep or some of its points; those that have ended keep their end"
 
     override fun run() {
-        val range = points?.let { text -> RANGE.matchEntire(text)?.destructured?.let { (a, b) -> mapOf("from" to a.toLong(), "to" to b.ifEmpty { a }.toLong()) } ?: throw CliktError("--points: \"$text\" is not of the form 10-200", statusCode = USAGE) }
-        echo(line(fine(speak { it.ask("POST", "/sweeps/${sweep(id)}/withdraw", range ?: emptyMap(), timeout.seconds) })))
+        val range = points?.let { text ->
+            RANGE.matchEntire(text)?.destructured?.let { (a, b) ->
+                mapOf("from" to a.toLong(), "to" to b.ifEmpty { a }.toLong())
+            }
+                ?: throw CliktError("--points: \"$text\" is not of the form 10-200", statusCode = USAGE)
+        }
+        echo(
+            line(
+                fine(
+                    speak {
+                        it.ask("POST", "/sweeps/${sweep(id)}/withdraw", range ?: emptyMap(), timeout.seconds)
+                    },
+                ),
+            ),
+        )
     }
 
     private companion object {
@@ -231,7 +309,8 @@
 private class SweepWait : SweepAsk("wait") {
     private val id by argument(help = "the sweep's name")
 
-    override fun help(context: Context): String = "Wait until a sweep has ended; exit code 3 if that takes longer than --timeout"
+    override fun help(context: Context): String =
+        "Wait until a sweep has ended; exit code 3 if that takes longer than --timeout"
 
     override fun run() {
         val name = sweep(id)
@@ -241,11 +320,20 @@
         val until = SystemSteadyClock.now() + timeout.seconds
         var last = ""
         while (true) {
-            val shown = fine(speak { it.ask("GET", "/sweeps/$name", null, (until - SystemSteadyClock.now()).coerceAtLeast(1.seconds)) })
+            val shown =
+                fine(
+                    speak {
+                        it.ask("GET", "/sweeps/$name", null, (until - SystemSteadyClock.now()).coerceAtLeast(1.seconds))
+                    },
+                )
             val open = shown.long("open")
             if (onTerminal) {
                 val ended = shown.long("points") - open
-                terminal.rawPrint("\r" + terminal.render(ProgressBar(total = shown.long("points"), completed = ended, width = BAR)) + " " + TextColors.cyan("$ended/${shown.long("points")}"))
+                terminal.rawPrint(
+                    "\r" + terminal.render(ProgressBar(total = shown.long("points"), completed = ended, width = BAR)) +
+                        " " +
+                        TextColors.cyan("$ended/${shown.long("points")}"),
+                )
             } else if (line(shown) != last) {
                 last = line(shown)
                 echo(last)
@@ -254,7 +342,11 @@
                 if (onTerminal) echo("\n" + line(shown))
                 return
             }
-            if (SystemSteadyClock.now() >= until) throw CliktError("$open points are still open", statusCode = NO_ANSWER)
+            if (SystemSteadyClock.now() >=
+                until
+            ) {
+                throw CliktError("$open points are still open", statusCode = NO_ANSWER)
+            }
             runBlocking { delay(POLL) }
         }
     }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepState.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepState.kt
@@ -23,7 +23,13 @@
     public val skipped: Map<Int, String>,
 ) {
     public fun encode(): Map<String, Any?> = linkedMapOf(
-        "needs" to "sweeps", "points" to points, "parts" to parts, "sum" to sum, "team" to team, "class" to jobClass, "at" to at.ms,
+        "needs" to "sweeps",
+        "points" to points,
+        "parts" to parts,
+        "sum" to sum,
+        "team" to team,
+        "class" to jobClass,
+        "at" to at.ms,
         "skip" to skipped.mapKeys { it.key.toString() }.takeIf { it.isNotEmpty() },
     ).filterValues { it != null }
 
@@ -35,20 +41,42 @@
             if (points !in 1..Points.MOST || parts !in 1..Parts.MOST) throw MalformedJson("points, parts: out of range")
             val skip = from.objectOrNull("skip")
             return Manifest(
-                points.toInt(), parts.toInt(), from.string("sum"), from.string("team"), from.string("class"), WallTime(from.long("at")),
-                skip?.names.orEmpty().associate { (it.toIntOrNull() ?: throw MalformedJson("skip: no block")) to (skip?.string(it)).orEmpty() },
+                points.toInt(),
+                parts.toInt(),
+                from.string("sum"),
+                from.string("team"),
+                from.string("class"),
+                WallTime(from.long("at")),
+                skip?.names.orEmpty().associate {
+                    (it.toIntOrNull() ?: throw MalformedJson("skip: no block")) to
+                        (skip?.string(it)).orEmpty()
+                },
             )
         }
     }
 }
 
 /** One block of a sweep's points as the state service keeps it: which are done, which withdrawn, and what the done ones did. Immutable. */
-public class Block internal constructor(public val number: Int, private val done: FinishedTasks, private val withdrawn: FinishedTasks, public val work: Work, public val version: Revision) {
+public class Block internal constructor(
+    public val number: Int,
+    private val done: FinishedTasks,
+    private val withdrawn: FinishedTasks,
+    public val work: Work,
+    public val version: Revision,
+) {
     public val doneCount: Int get() = done.count
     public val withdrawnCount: Int get() = withdrawn.count
 
     /** [at]: the point's place in the block. */
-    public fun endOf(at: Int): PointEnd? = if (at in done) PointEnd.DONE else if (at in withdrawn) PointEnd.WITHDRAWN else null
+    public fun endOf(at: Int): PointEnd? = if (at in
+        done
+    ) {
+        PointEnd.DONE
+    } else if (at in withdrawn) {
+        PointEnd.WITHDRAWN
+    } else {
+        null
+    }
 
     /** With these points done, as far as they are open. Whoever replaces this version first has decided how they end. */
     public fun withDone(points: Map<Int, Account?>): Block {
@@ -66,21 +94,33 @@
     /** The same, standing at [at]. */
     internal fun written(at: Revision): Block = Block(number, done, withdrawn, work, at)
 
-    private fun with(set: FinishedTasks, points: Collection<Int>): FinishedTasks = FinishedTasks(set.tasks).also { it.addAll(set) }.also { copy -> points.forEach(copy::add) }
+    private fun with(set: FinishedTasks, points: Collection<Int>): FinishedTasks = FinishedTasks(set.tasks).also {
+        it.addAll(set)
+    }.also { copy -> points.forEach(copy::add) }
 
-    public fun encode(): Map<String, Any?> = linkedMapOf("d" to done.pack(0), "w" to withdrawn.pack(0), "work" to work.encode())
+    public fun encode(): Map<String, Any?> = linkedMapOf(
+        "d" to done.pack(0),
+        "w" to withdrawn.pack(0),
+        "work" to work.encode(),
+    )
 
     public companion object {
         public const val SIZE: Int = FinishedTasks.BLOCK
 
-        public fun empty(number: Int, points: Int): Block = sizeOf(number, points).let { Block(number, FinishedTasks(it), FinishedTasks(it), Work.NONE, Revision.ABSENT) }
+        public fun empty(number: Int, points: Int): Block = sizeOf(number, points).let {
+            Block(number, FinishedTasks(it), FinishedTasks(it), Work.NONE, Revision.ABSENT)
+        }
 
         private fun sizeOf(number: Int, points: Int): Int = minOf(SIZE, points - number * SIZE)
 
         /** Throws [MalformedJson] for a value that this program did not write. */
         public fun decode(number: Int, points: Int, value: JsonObject, version: Revision): Block {
             val empty = empty(number, points)
-            if (!empty.done.unpack(0, value.string("d")) || !empty.withdrawn.unpack(0, value.string("w"))) throw MalformedJson("a block's points are none of its")
+            if (!empty.done.unpack(0, value.string("d")) ||
+                !empty.withdrawn.unpack(0, value.string("w"))
+            ) {
+                throw MalformedJson("a block's points are none of its")
+            }
             return Block(number, empty.done, empty.withdrawn, Work.decode(value.obj("work")), version)
         }
     }
@@ -90,7 +130,11 @@
 public class SweepState(public val id: SweepId, public val manifest: Manifest, public val version: Revision) {
     public val points: Int get() = manifest.points
     private val blocks = Array((points + Block.SIZE - 1) / Block.SIZE) { Block.empty(it, points) }
-    private val skipped = FinishedTasks(points).also { all -> manifest.skipped.forEach { (block, text) -> if (!all.unpack(block, text)) throw MalformedJson("skip: block $block is none of ours") } }
+    private val skipped = FinishedTasks(points).also { all ->
+        manifest.skipped.forEach { (block, text) ->
+            if (!all.unpack(block, text)) throw MalformedJson("skip: block $block is none of ours")
+        }
+    }
     public val blockCount: Int get() = blocks.size
 
     public fun block(number: Int): Block = blocks[number]
@@ -102,7 +146,13 @@
         return true
     }
 
-    public fun endOf(point: Int): PointEnd? = if (point in skipped) PointEnd.SKIPPED else blocks[point / Block.SIZE].endOf(point % Block.SIZE)
+    public fun endOf(point: Int): PointEnd? = if (point in
+        skipped
+    ) {
+        PointEnd.SKIPPED
+    } else {
+        blocks[point / Block.SIZE].endOf(point % Block.SIZE)
+    }
 
     public val done: Int get() = blocks.sumOf { it.doneCount }
     public val withdrawn: Int get() = blocks.sumOf { it.withdrawnCount }
--- a/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
@@ -20,7 +20,9 @@
 import kotlin.time.Duration.Companion.minutes
 
 /** Serves sweeps: many jobs from one template, recorded as one thing, each of them a job to its user and to the leader's table. */
-public class Sweeps(private val settings: SweepsSettings, private val context: FeatureContext) : Feature, JobKeeper {
+public class Sweeps(private val settings: SweepsSettings, private val context: FeatureContext) :
+    Feature,
+    JobKeeper {
     override val name: String get() = "sweeps"
     override val keeper: JobKeeper get() = this
 
@@ -63,7 +65,9 @@
     override fun keepsFinished(job: JobId): Boolean = keeps(job)
 
     override fun status(): Map<String, Any?> = linkedMapOf(
-        "open" to book.all.count { it.open > 0 }, "ended" to book.all.count { it.open == 0 }, "open_points" to book.all.sumOf { it.open },
+        "open" to book.all.count { it.open > 0 },
+        "ended" to book.all.count { it.open == 0 },
+        "open_points" to book.all.sumOf { it.open },
         "points_in_table" to feeder.inTable,
     )
 
@@ -100,8 +104,16 @@
     private fun final(id: JobId, sweep: SweepId, point: Int): Answer? {
         val state = book.of(sweep)?.takeIf { point < it.points } ?: return null
         return when (state.endOf(point)) {
-            PointEnd.DONE -> Answer.State(id, Standing.ended(Ending.DONE, library.loaded(sweep)?.let { tasks(it, sweep, point) } ?: 1))
+            PointEnd.DONE -> Answer.State(
+                id,
+                Standing.ended(
+                    Ending.DONE,
+                    library.loaded(sweep)?.let { tasks(it, sweep, point) } ?: 1,
+                ),
+            )
+
             PointEnd.WITHDRAWN -> Answer.State(id, Standing.ended(Ending.WITHDRAWN, 0))
+
             PointEnd.SKIPPED, null -> null
         }
     }
@@ -118,12 +130,21 @@
         val shown = show(id)
         val state = book.of(sweep)
         if (shown !is Answer.State || state == null) return shown
-        return if (endings.withdraw(state, point..point) == Withdrawal.RECORDED) show(id) else Answer.NotNow("the state service takes no record now")
+        return if (endings.withdraw(state, point..point) ==
+            Withdrawal.RECORDED
+        ) {
+            show(id)
+        } else {
+            Answer.NotNow("the state service takes no record now")
+        }
     }
 
-    override fun open(id: JobId): JobEvent.Opened? = SweepId.ofPoint(id)?.let { (sweep, point) -> feeder.named(sweep, point) }
+    override fun open(id: JobId): JobEvent.Opened? = SweepId.ofPoint(id)?.let { (sweep, point) ->
+        feeder.named(sweep, point)
+    }
 
-    override suspend fun record(leading: Tenure.Leading, complete: List<FinishedBatch>): Map<JobId, List<Int>>? = endings.done(leading, complete)
+    override suspend fun record(leading: Tenure.Leading, complete: List<FinishedBatch>): Map<JobId, List<Int>>? =
+        endings.done(leading, complete)
 
     private companion object {
         val COLLECT_EVERY = 10.minutes
--- a/src/main/kotlin/org/elderhitch/sweeps/Template.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Template.kt
@@ -29,15 +29,23 @@
     public fun typed(raw: Any): Any {
         val value: Any? = when (type) {
             ParamType.TEXT -> raw.toString()
+
             ParamType.WHOLE -> raw as? Long ?: raw.toString().trim().toLongOrNull()
-            ParamType.NUMBER -> (raw as? Number)?.toDouble() ?: raw.toString().trim().toDoubleOrNull()?.takeIf { it.isFinite() }
+
+            ParamType.NUMBER -> (raw as? Number)?.toDouble()
+                ?: raw.toString().trim().toDoubleOrNull()?.takeIf { it.isFinite() }
+
             ParamType.FLAG -> raw as? Boolean ?: raw.toString().trim().lowercase().toBooleanStrictOrNull()
         }
         if (value == null) throw BadPoint(name, "\"${raw.toString().take(SHOWN)}\" is no ${type.name.lowercase()}")
         if (value is String && value.length > LONGEST) throw BadPoint(name, "over $LONGEST characters")
         if (value is String && value.any { it < ' ' }) throw BadPoint(name, "has control characters")
         val number = (value as? Number)?.toDouble()
-        if (number != null && (least != null && number < least || most != null && number > most)) throw BadPoint(name, "$value is not from ${least ?: "any"} to ${most ?: "any"}")
+        if (number != null &&
+            (least != null && number < least || most != null && number > most)
+        ) {
+            throw BadPoint(name, "$value is not from ${least ?: "any"} to ${most ?: "any"}")
+        }
         if (choices != null && value !in choices) throw BadPoint(name, "$value is none of $choices")
         return value
     }
@@ -49,13 +57,19 @@
 }
 
 /** A native job's body with places `${name}`, and the parameters that fill them. Pure: the same values give the same job. */
-public class Template private constructor(public val params: Map<String, Param>, private val body: Map<String, Any?>, private val order: List<Param>) {
+public class Template private constructor(
+    public val params: Map<String, Param>,
+    private val body: Map<String, Any?>,
+    private val order: List<Param>,
+) {
     /** The point's parameters, defaults filled in. Throws [BadPoint]. */
     public fun values(given: Map<String, Any?>): Map<String, Any> {
         given.keys.firstOrNull { it !in params }?.let { throw BadPoint(it, "no parameter of the template") }
         val values = HashMap<String, Any>()
         for (param in order) {
-            val raw = given[param.name] ?: param.default?.let { if (it is String) fill(it, values) else it } ?: throw BadPoint(param.name, "no value and no default")
+            val raw =
+                given[param.name] ?: param.default?.let { if (it is String) fill(it, values) else it }
+                    ?: throw BadPoint(param.name, "no value and no default")
             values[param.name] = param.typed(raw)
         }
         return values
@@ -77,8 +91,11 @@
 
     private fun fill(value: Any?, values: Map<String, Any>): Any? = when (value) {
         // A text that is one place and nothing else has the parameter's type.
-        is String -> PLACE.matchEntire(value)?.let { values[it.groupValues[1]] } ?: PLACE.replace(value) { values[it.groupValues[1]].toString().let(Regex::escapeReplacement) }
+        is String -> PLACE.matchEntire(value)?.let { values[it.groupValues[1]] }
+            ?: PLACE.replace(value) { values[it.groupValues[1]].toString().let(Regex::escapeReplacement) }
+
         is List<*> -> value.map { fill(it, values) }
+
         else -> value
     }
 
@@ -94,12 +111,21 @@
 
         /** Throws [BadTemplate]. */
         public fun parse(params: JsonObject?, job: JsonObject): Template {
-            val read = params?.names.orEmpty().map { name -> param(name, params?.objectOrNull(name) ?: throw BadTemplate("params.$name: must be an object")) }
+            val read = params?.names.orEmpty().map { name ->
+                param(
+                    name,
+                    params?.objectOrNull(name) ?: throw BadTemplate("params.$name: must be an object"),
+                )
+            }
             if (read.size > MOST_PARAMS) throw BadTemplate("params: over $MOST_PARAMS")
             val body = job.names.associateWith { job.raw(it) }
             body.keys.firstOrNull { it in RESERVED }?.let { throw BadTemplate("job.$it: is not a template's") }
             val byName = read.associateBy { it.name }
-            for ((field, value) in body) places(value).firstOrNull { it !in byName }?.let { throw BadTemplate("job.$field: $it is no parameter") }
+            for ((field, value) in body) {
+                places(value).firstOrNull {
+                    it !in byName
+                }?.let { throw BadTemplate("job.$field: $it is no parameter") }
+            }
             return Template(byName, body, ordered(byName))
         }
 
@@ -111,14 +137,34 @@
 
         private fun param(name: String, from: JsonObject): Param = try {
             if (!NAME.matches(name)) throw BadTemplate("params.$name: a name is letters, digits and _, at most 40")
-            from.names.firstOrNull { it !in PARAM_FIELDS }?.let { throw BadTemplate("params.$name.$it: unknown; known are ${PARAM_FIELDS.sorted()}") }
+            from.names.firstOrNull {
+                it !in PARAM_FIELDS
+            }?.let { throw BadTemplate("params.$name.$it: unknown; known are ${PARAM_FIELDS.sorted()}") }
             val word = from.stringOrNull("type") ?: "text"
-            val type = ParamType.entries.firstOrNull { it.name.lowercase() == word } ?: throw BadTemplate("params.$name.type: $word is none of ${ParamType.entries.map { it.name.lowercase() }}")
+            val type =
+                ParamType.entries.firstOrNull { it.name.lowercase() == word }
+                    ?: throw BadTemplate(
+                        "params.$name.type: $word is none of ${ParamType.entries.map {
+                            it.name.lowercase()
+                        }}",
+                    )
             val bounds = listOf("least", "most").map { from.raw(it) as? Number }
-            listOf("least", "most").forEachIndexed { n, key -> if (from.has(key) && bounds[n] == null) throw BadTemplate("params.$name.$key: must be a number") }
+            listOf("least", "most").forEachIndexed { n, key ->
+                if (from.has(key) &&
+                    bounds[n] == null
+                ) {
+                    throw BadTemplate("params.$name.$key: must be a number")
+                }
+            }
             val plain = Param(name, type, null, bounds[0]?.toDouble(), bounds[1]?.toDouble(), null)
-            val choices = (from.raw("choices") as? List<*>)?.map { plain.typed(it ?: throw BadTemplate("params.$name.choices: null")) }
-            if (choices != null && (choices.isEmpty() || choices.size > MOST_CHOICES)) throw BadTemplate("params.$name.choices: not from 1 to $MOST_CHOICES")
+            val choices = (from.raw("choices") as? List<*>)?.map {
+                plain.typed(it ?: throw BadTemplate("params.$name.choices: null"))
+            }
+            if (choices != null &&
+                (choices.isEmpty() || choices.size > MOST_CHOICES)
+            ) {
+                throw BadTemplate("params.$name.choices: not from 1 to $MOST_CHOICES")
+            }
             Param(name, type, from.raw("default"), bounds[0]?.toDouble(), bounds[1]?.toDouble(), choices).also { made ->
                 made.default?.let { if (places(it).isEmpty()) made.typed(it) }
             }
@@ -133,8 +179,21 @@
             val done = LinkedHashMap<String, Param>()
             fun add(param: Param, path: List<String>) {
                 if (param.name in done) return
-                if (param.name in path) throw BadTemplate("params.${param.name}.default: goes in a circle: ${(path + param.name).joinToString(" -> ")}")
-                for (name in places(param.default)) add(params[name] ?: throw BadTemplate("params.${param.name}.default: $name is no parameter"), path + param.name)
+                if (param.name in
+                    path
+                ) {
+                    throw BadTemplate(
+                        "params.${param.name}.default: goes in a circle: ${(path + param.name).joinToString(
+                            " -> ",
+                        )}",
+                    )
+                }
+                for (name in places(param.default)) {
+                    add(
+                        params[name] ?: throw BadTemplate("params.${param.name}.default: $name is no parameter"),
+                        path + param.name,
+                    )
+                }
                 done[param.name] = param
             }
             params.values.forEach { add(it, emptyList()) }
--- a/src/main/kotlin/org/elderhitch/sweeps/Work.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Work.kt
@@ -26,13 +26,23 @@
         for (account in accounts) took.recordValue(((account?.usefulS ?: 0.0) * TENTHS).toLong().coerceIn(0, LONGEST))
         val seen = accounts.filterNotNull()
         return Work(
-            completed + accounts.size, attempts + seen.sumOf { it.attempts }, lost + seen.sumOf { it.lost }, usefulS + seen.sumOf { it.usefulS },
-            lostS + seen.sumOf { it.lostS }, least + accounts.count { it == null || it.lowerBound }, took,
+            completed + accounts.size,
+            attempts + seen.sumOf { it.attempts },
+            lost + seen.sumOf { it.lost },
+            usefulS + seen.sumOf { it.usefulS },
+            lostS + seen.sumOf { it.lostS },
+            least + accounts.count { it == null || it.lowerBound },
+            took,
         )
     }
 
     public operator fun plus(other: Work): Work = Work(
-        completed + other.completed, attempts + other.attempts, lost + other.lost, usefulS + other.usefulS, lostS + other.lostS, least + other.least,
+        completed + other.completed,
+        attempts + other.attempts,
+        lost + other.lost,
+        usefulS + other.usefulS,
+        lostS + other.lostS,
+        least + other.least,
         when {
             durations == null -> other.durations
             other.durations == null -> durations
@@ -41,10 +51,16 @@
     )
 
     /** Task-seconds that the given share of the completed points took at most, to within a hundredth; null: none completed. */
-    public fun percentile(share: Double): Double? = durations?.getValueAtPercentile(share * PERCENT)?.let { it / TENTHS }
+    public fun percentile(share: Double): Double? =
+        durations?.getValueAtPercentile(share * PERCENT)?.let { it / TENTHS }
 
     public fun encode(): Map<String, Any?> = linkedMapOf(
-        "n" to completed, "tries" to attempts, "lost" to lost, "useful" to rounded(usefulS), "wasted" to rounded(lostS), "least" to least,
+        "n" to completed,
+        "tries" to attempts,
+        "lost" to lost,
+        "useful" to rounded(usefulS),
+        "wasted" to rounded(lostS),
+        "least" to least,
         "hist" to durations?.let(::packed),
     ).filterValues { it != null }
 
@@ -69,7 +85,12 @@
 
         /** Throws [MalformedJson]. */
         public fun decode(from: JsonObject): Work = Work(
-            from.count("n"), from.count("tries"), from.count("lost"), from.amount("useful"), from.amount("wasted"), from.count("least"),
+            from.count("n"),
+            from.count("tries"),
+            from.count("lost"),
+            from.amount("useful"),
+            from.amount("wasted"),
+            from.count("least"),
             from.stringOrNull("hist")?.let(::unpacked),
         )
 
--- a/src/main/kotlin/org/elderhitch/workers/CommandList.kt
+++ b/src/main/kotlin/org/elderhitch/workers/CommandList.kt
@@ -15,7 +15,11 @@
         val placements = worker.placements.values.toList()
         placements.forEach { p -> p.stop?.let { stop(p, it, list) } }
         for (p in placements) {
-            if (p.stop != null || p.certainty == Certainty.REPORTED || p.certainty == Certainty.ASSIGNED && now < p.sendFrom) continue
+            if (p.stop != null || p.certainty == Certainty.REPORTED ||
+                p.certainty == Certainty.ASSIGNED && now < p.sendFrom
+            ) {
+                continue
+            }
             if (p.certainty == Certainty.ASSIGNED && now > p.sendBy) {
                 table.jobs[p.task.job]?.let { table.remove(it, p) }
             } else if (list.size < MAX_COMMANDS) {
@@ -28,7 +32,11 @@
         }
         for (task in worker.tasks) {
             if (list.size >= MAX_COMMANDS) break
-            if (task.phase == TaskPhase.EXITED && mayForget(worker, task)) list.add(Command.Forget(task.task, task.attempt))
+            if (task.phase == TaskPhase.EXITED &&
+                mayForget(worker, task)
+            ) {
+                list.add(Command.Forget(task.task, task.attempt))
+            }
         }
         return if (list.size > MAX_COMMANDS) list.subList(0, MAX_COMMANDS) else list
     }
@@ -42,11 +50,23 @@
     fun endings(worker: WorkerState, named: List<TaskReport>, complete: Boolean, mayStart: Boolean): List<Command>? {
         val stops = LinkedHashSet<Command>()
         for (task in named) {
-            if (task.phase != TaskPhase.EXITED && table.hasEnded(task.task.job, complete) ?: return null) stops.add(Command.Stop(task.task, task.attempt, Duration.ZERO))
+            if (task.phase != TaskPhase.EXITED &&
+                table.hasEnded(task.task.job, complete) ?: return null
+            ) {
+                stops.add(Command.Stop(task.task, task.attempt, Duration.ZERO))
+            }
         }
         for (p in worker.placements.values) {
             if (table.jobs[p.task.job]?.ended == false || p.certainty == Certainty.ASSIGNED) continue
-            if (p.certainty == Certainty.REPORTED) stops.add(Command.Stop(p.task, p.attempt, Duration.ZERO)) else if (p.onItsWay && !mayStart) return null
+            if (p.certainty ==
+                Certainty.REPORTED
+            ) {
+                stops.add(Command.Stop(p.task, p.attempt, Duration.ZERO))
+            } else if (p.onItsWay &&
+                !mayStart
+            ) {
+                return null
+            }
         }
         return stops.toList().takeIf { mayStart || it.size <= MAX_COMMANDS }
     }
@@ -57,7 +77,9 @@
             p.answered = true
             list.add(Command.Start(p.task, p.attempt))
         }
-        if (p.certainty == Certainty.REPORTED && (p.phase != TaskPhase.SAVING || grace == Duration.ZERO) || p.onItsWay) {
+        if (p.certainty == Certainty.REPORTED && (p.phase != TaskPhase.SAVING || grace == Duration.ZERO) ||
+            p.onItsWay
+        ) {
             p.stopSent = true
             val stop = Command.Stop(p.task, p.attempt, grace)
             if (stop !in list) list.add(stop)
--- a/src/main/kotlin/org/elderhitch/workers/Consolidation.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Consolidation.kt
@@ -28,7 +28,11 @@
         if (now < nextMove || tried[machine].let { it != null && now - it < TRY_AGAIN }) return
         tried[machine] = now
         val placements = worker.placements.values.toList()
-        if (placements.isEmpty() || !placements.all { movable(it, now) } || !allFit(worker, placements, catalog, usable)) return
+        if (placements.isEmpty() || !placements.all { movable(it, now) } ||
+            !allFit(worker, placements, catalog, usable)
+        ) {
+            return
+        }
         nextMove = now + BETWEEN_MOVES
         worker.drainedUntil = now + DRAIN
         log.info("machine drained machine={} tasks={}", machine, placements.size)
@@ -38,10 +42,17 @@
     private fun movable(placement: Placement, now: Moment): Boolean {
         val job = table.jobs[placement.task.job] ?: return false
         val since = placement.runsSince ?: return false
-        return job.spec.kind == JobKind.SERVICE && !job.ended && placement.stop == null && placement.phase == TaskPhase.RUNNING && now - since > SETTLED
+        return job.spec.kind == JobKind.SERVICE && !job.ended && placement.stop == null &&
+            placement.phase == TaskPhase.RUNNING &&
+            now - since > SETTLED
     }
 
-    private fun allFit(from: WorkerState, placements: List<Placement>, catalog: Catalog, usable: (WorkerState) -> Boolean): Boolean {
+    private fun allFit(
+        from: WorkerState,
+        placements: List<Placement>,
+        catalog: Catalog,
+        usable: (WorkerState) -> Boolean,
+    ): Boolean {
         val free = HashMap<MachineId, Resources>()
         val zones = HashMap<JobState, MutableMap<Zone, Int>>()
         val others = table.workers.values.filter { it !== from && usable(it) && it.placements.isNotEmpty() && !it.spot }
@@ -51,8 +62,16 @@
             inZones.merge(p.zone, -1, Int::plus)
             val target = others.firstOrNull { other ->
                 val type = catalog.types[other.type] ?: return@firstOrNull false
-                val zoneAllows = if (job.spec.oneZone) other.zone == p.zone else job.spec.zoneAllows(inZones, other.zone)
-                zoneAllows && job.spec.mayUse(other.type, other.zone, other.spot) && job.spec.image in other.cachedImages(type.cacheGb) &&
+                val zoneAllows = if (job.spec.oneZone) {
+                    other.zone == p.zone
+                } else {
+                    job.spec.zoneAllows(
+                        inZones,
+                        other.zone,
+                    )
+                }
+                zoneAllows && job.spec.mayUse(other.type, other.zone, other.spot) &&
+                    job.spec.image in other.cachedImages(type.cacheGb) &&
                     job.spec.need.fitsIn(free.getOrPut(other.id) { freeOn(other, type.resources) })
             } ?: return false
             inZones.merge(target.zone, 1, Int::plus)
--- a/src/main/kotlin/org/elderhitch/workers/Conversation.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Conversation.kt
@@ -28,7 +28,13 @@
     private val onSettled: () -> Unit,
 ) {
     /** [cycle]: gives away the room that a report brought, before it is answered. */
-    fun report(leading: Tenure.Leading, report: Report, now: Moment, tableComplete: Boolean, cycle: (WorkerState) -> Unit): ReportAnswer {
+    fun report(
+        leading: Tenure.Leading,
+        report: Report,
+        now: Moment,
+        tableComplete: Boolean,
+        cycle: (WorkerState) -> Unit,
+    ): ReportAnswer {
         if (report.term > leading.term) {
             ports.leadership(LeadershipMessage.TermSeen(report.term))
             return ReportAnswer.Elsewhere(null)
@@ -43,15 +49,26 @@
         if (order != null && report.order <= order) {
             // But one that a command to the worker's own address has overtaken is no late one: it waits for its answer.
             if (now - worker.calledAt > WorkerTimes.ANSWER_WAIT) return ReportAnswer.Elsewhere(null)
-            val stops = commands.endings(worker, report.tasks + worker.tasks, tableComplete, mayStart = false) ?: return ReportAnswer.Elsewhere(null)
+            val stops =
+                commands.endings(worker, report.tasks + worker.tasks, tableComplete, mayStart = false)
+                    ?: return ReportAnswer.Elsewhere(null)
             renew(leading, worker, report, now)
             return ReportAnswer.Accepted(leading.term, stops)
         }
         heard(leading, worker, report, now)
         val obeys = report.term == leading.term
-        if (obeys && tableComplete) settle(worker, report) else if (!obeys && takeover.closing(now)) return ReportAnswer.Elsewhere(null)
+        if (obeys &&
+            tableComplete
+        ) {
+            settle(worker, report)
+        } else if (!obeys &&
+            takeover.closing(now)
+        ) {
+            return ReportAnswer.Elsewhere(null)
+        }
         val mayCommand = obeys && tableComplete && leading.mayCommand(now)
-        val stops = commands.endings(worker, report.tasks, tableComplete, mayCommand) ?: return ReportAnswer.Elsewhere(null)
+        val stops =
+            commands.endings(worker, report.tasks, tableComplete, mayCommand) ?: return ReportAnswer.Elsewhere(null)
         // It is answered in any case, so its session goes on: the scheduling cycle may give it something in this very answer.
         renew(leading, worker, report, now)
         // It may still execute an earlier leader's command; its list counts once it has seen our term. And without the
@@ -107,7 +124,9 @@
         if (!worker.settled) {
             worker.settled = true
             takeover.heard(worker.id)
-            events.info("worker settled", worker.id) { "worker settled machine=${worker.id} by=report tasks=${report.tasks.size}" }
+            events.info("worker settled", worker.id) {
+                "worker settled machine=${worker.id} by=report tasks=${report.tasks.size}"
+            }
             table.dirty = true
         }
         reconciler.apply(worker, report, inReply)
@@ -125,7 +144,11 @@
             val address = worker.address
             val session = worker.order?.session
             if (worker === answering || worker.calling) continue
-            if (address == null || session == null || worker.unreachable || worker.lastWord + workerTimes.report - now < WORTH_CALLING) continue
+            if (address == null || session == null || worker.unreachable ||
+                worker.lastWord + workerTimes.report - now < WORTH_CALLING
+            ) {
+                continue
+            }
             val urgent = commands.urgent(worker, now)
             if (worker.placements.values.none { it.certainty == Certainty.ASSIGNED }) workers.remove()
             if (urgent.isEmpty()) continue
@@ -136,10 +159,19 @@
     }
 
     private fun given(worker: WorkerState, commands: List<Command>, now: Moment) {
-        for (command in commands) when (command) {
-            is Command.Start -> orders.started(command.task, now)
-            is Command.Stop -> orders.stopped(command.task, asked = worker.notice != null || table.jobs[command.task.job]?.ended != false, now)
-            is Command.Forget -> orders.gave(OrderKind.REAP, 1, now)
+        for (command in commands) {
+            when (command) {
+                is Command.Start -> orders.started(command.task, now)
+
+                is Command.Stop -> orders.stopped(
+                    command.task,
+                    asked =
+                    worker.notice != null || table.jobs[command.task.job]?.ended != false,
+                    now,
+                )
+
+                is Command.Forget -> orders.gave(OrderKind.REAP, 1, now)
+            }
         }
     }
 
@@ -151,11 +183,18 @@
         val outcome = message.outcome
         if (outcome == CommandOutcome.Unknown) {
             // Bound to this worker until it shows them, or its session ends; each answer to it repeats them.
-            events.info("start unanswered", worker.id) { "start unanswered machine=${worker.id} starts=${message.starts.size}" }
+            events.info("start unanswered", worker.id) {
+                "start unanswered machine=${worker.id} starts=${message.starts.size}"
+            }
             return
         }
         worker.loose.removeAll(message.starts)
-        val placements = message.starts.mapNotNull { (task, attempt) -> worker.placements[task]?.takeIf { it.attempt == attempt } }
+        val placements = message.starts.mapNotNull { (task, attempt) ->
+            worker.placements[task]?.takeIf {
+                it.attempt ==
+                    attempt
+            }
+        }
         placements.forEach { it.onItsWay = false }
         if (outcome is CommandOutcome.Executed) {
             val report = outcome.report
@@ -167,10 +206,22 @@
         }
         if (outcome == CommandOutcome.Unreachable) worker.unreachable = true
         // Unless an answer to a report brought the same start: then the next report tells.
-        for (p in placements) if (p.certainty == Certainty.SENT && !p.answered) table.jobs[p.task.job]?.let { table.remove(it, p) }
+        for (p in placements) {
+            if (p.certainty == Certainty.SENT &&
+                !p.answered
+            ) {
+                table.jobs[p.task.job]?.let { table.remove(it, p) }
+            }
+        }
     }
 
-    fun asked(leading: Tenure.Leading, machine: MachineId, outcome: CommandOutcome, now: Moment, tableComplete: Boolean) {
+    fun asked(
+        leading: Tenure.Leading,
+        machine: MachineId,
+        outcome: CommandOutcome,
+        now: Moment,
+        tableComplete: Boolean,
+    ) {
         if (machine in roster.gone) return
         inquiry.took(machine, connection = outcome != CommandOutcome.Unreachable, now)
         if (outcome !is CommandOutcome.Executed) orders.regrets(RegretKind.ASK_IN_VAIN)
--- a/src/main/kotlin/org/elderhitch/workers/CycleFeed.kt
+++ b/src/main/kotlin/org/elderhitch/workers/CycleFeed.kt
@@ -12,10 +12,10 @@
 import org.elderhitch.jobs.Priority
 import org.elderhitch.jobs.Resources
 import org.elderhitch.leadership.Tenure
+import org.elderhitch.placement.CycleInput
 import org.elderhitch.placement.JobView
 import org.elderhitch.placement.KeptFree
 import org.elderhitch.placement.MachineView
-import org.elderhitch.placement.CycleInput
 import org.elderhitch.placement.Tenant
 import org.elderhitch.placement.VictimView
 import org.elderhitch.quota.QuotaLedger
@@ -28,7 +28,12 @@
 import kotlin.time.DurationUnit
 
 /** Makes the input of a scheduling cycle from the table. What did not change on a machine is not looked at again. */
-internal class CycleFeed(private val table: TaskTable, private val faults: Faults, private val teams: Map<TeamName, Team>, objectives: List<Objective>) {
+internal class CycleFeed(
+    private val table: TaskTable,
+    private val faults: Faults,
+    private val teams: Map<TeamName, Team>,
+    objectives: List<Objective>,
+) {
     private val runs = RunTimes()
     private val due = DueTimes(objectives, runs)
     private val arrivals = Arrivals()
@@ -53,19 +58,49 @@
         }
         val quota = QuotaLedger(teams, reserved + unknown(catalog))
         for (job in table.jobs.values) {
-            if (job.placements.isNotEmpty()) quota.add(job.spec.team, job.spec.need * job.copies, lasts = job.spec.kind == JobKind.SERVICE)
+            if (job.placements.isNotEmpty()) {
+                quota.add(
+                    job.spec.team,
+                    job.spec.need * job.copies,
+                    lasts =
+                    job.spec.kind == JobKind.SERVICE,
+                )
+            }
+        }
+        for (worker in table.workers.values) {
+            for (job in worker.strangers) {
+                table.departed(job)?.let {
+                    quota.add(it.team, it.need)
+                }
+            }
         }
-        for (worker in table.workers.values) for (job in worker.strangers) table.departed(job)?.let { quota.add(it.team, it.need) }
-        val views = ordered(table.jobs.values.mapNotNull { job -> jobView(job, leading, mayHide, now)?.let { job to it } }, catalog, refused, now)
+        val views = ordered(
+            table.jobs.values.mapNotNull { job ->
+                jobView(job, leading, mayHide, now)?.let { job to it }
+            },
+            catalog,
+            refused,
+            now,
+        )
             .flatMap { if (mustBegin(it, quota, now)) it.begun() else listOf(it) }
         val machines = ArrayList<MachineView>()
         for (worker in table.workers.values) {
             if (!usable(worker)) continue
             worker.forgive(now)
-            if (worker.view?.fetching?.isNotEmpty() == true && now - worker.viewedAt > FETCH_SEEN_AFTER) worker.changed()
+            if (worker.view?.fetching?.isNotEmpty() == true &&
+                now - worker.viewedAt > FETCH_SEEN_AFTER
+            ) {
+                worker.changed()
+            }
             (worker.view ?: view(worker, catalog, now)?.also { worker.view = it })?.let(machines::add)
         }
-        return CycleInput(machines, views, quota, keptFree + awaited(leading, mayHide), wholeMachines = table.jobs.values.any { it.isGang }, rush = rush, now = now, besideGpu = besideGpu(), expected = arrivals.expected(now), coming = coming)
+        return CycleInput(
+            machines, views, quota, keptFree + awaited(leading, mayHide),
+            wholeMachines = table.jobs.values.any {
+                it.isGang
+            },
+            rush = rush, now = now, besideGpu = besideGpu(), expected = arrivals.expected(now), coming = coming,
+        )
     }
 
     /**
@@ -77,9 +112,22 @@
         for (job in table.jobs.values) {
             val spec = job.spec
             // Once the takeover is settled nothing hides, and nothing is counted.
-            if (job.ended || job.isGang || spec.priority == Priority.LOW || job.version > leading.counter || !mayHide(spec)) continue
+            if (job.ended || job.isGang || spec.priority == Priority.LOW || job.version > leading.counter ||
+                !mayHide(spec)
+            ) {
+                continue
+            }
             val missing = spec.tasks - job.done.count - job.placements.size
-            if (missing > 0) sums.merge(spec.jobClass to spec.priority, KeptFree(spec, missing)) { a, b -> KeptFree(b.spec, a.tasks + b.tasks) }
+            if (missing >
+                0
+            ) {
+                sums.merge(spec.jobClass to spec.priority, KeptFree(spec, missing)) { a, b ->
+                    KeptFree(
+                        b.spec,
+                        a.tasks + b.tasks,
+                    )
+                }
+            }
         }
         return sums.values.toList()
     }
@@ -95,7 +143,10 @@
     private fun unknown(catalog: Catalog): Resources {
         var sum = Resources.NONE
         for (worker in table.workers.values) {
-            if (worker.strangers.any { table.departed(it) == null }) sum += catalog.resources(worker.type) ?: Resources.NONE
+            if (worker.strangers.any { table.departed(it) == null }) {
+                sum +=
+                    catalog.resources(worker.type) ?: Resources.NONE
+            }
         }
         return sum
     }
@@ -129,11 +180,27 @@
             tenants.add(Tenant(job.spec, (p.runsSince ?: now) + runs.expected(job.spec)))
             // What is in use is not what a cache drops; what is being fetched is given up when its task goes.
             val there = p.certainty == Certainty.REPORTED && p.phase != TaskPhase.FETCHING
-            if (there) worker.usesImage(job.spec.image, job.spec.imageGb) else if (job.spec.image !in cached) fetching.merge(job.spec.image, left(p, job.spec, type, now), ::minOf)
+            if (there) {
+                worker.usesImage(job.spec.image, job.spec.imageGb)
+            } else if (job.spec.image !in
+                cached
+            ) {
+                fetching.merge(job.spec.image, left(p, job.spec, type, now), ::minOf)
+            }
             when {
                 p.stop != null -> leaving += job.spec.need
+
                 !job.isGang && p.certainty == Certainty.REPORTED && job.spec.priority < Priority.PRODUCTION ->
-                    victims.add(VictimView(p.task, job.spec.priority, job.spec.need, p.runsSince.takeUnless { job.spec.saves }))
+                    victims.add(
+                        VictimView(
+                            p.task,
+                            job.spec.priority,
+                            job.spec.need,
+                            p.runsSince.takeUnless {
+                                job.spec.saves
+                            },
+                        ),
+                    )
             }
         }
         return MachineView(
@@ -161,7 +228,9 @@
         if (job.isGang) {
             if (job.gang.broken) {
                 // Members that still wait would only wait in vain.
-                job.placements.values.toList().filter { it.phase != TaskPhase.RUNNING }.forEach { table.stop(job, it, Duration.ZERO) }
+                job.placements.values.toList().filter {
+                    it.phase != TaskPhase.RUNNING
+                }.forEach { table.stop(job, it, Duration.ZERO) }
                 if (job.placements.isNotEmpty()) return null
             }
             if (job.gang.started || job.placements.values.any { it.stop != null }) return null
@@ -178,21 +247,54 @@
         }
         if (pending.isEmpty()) return null
         val join = if (job.isGang && job.placements.isNotEmpty()) job.gang.attempt else null
-        return JobView(job.spec, job.version, pending, job.zones(), join, probe = probes != null, atFault = faults.atFault(job))
+        return JobView(
+            job.spec,
+            job.version,
+            pending,
+            job.zones(),
+            join,
+            probe = probes != null,
+            atFault = faults.atFault(job),
+        )
     }
 
     /**
      * Says of each job by when it should start. That not all of a class can be in time is known only where nothing more is to be rented for it; else a
      * job was put off that a booting machine would have taken (seen: photographs sorted within 180 s 0.82 to 0.70).
      */
-    private fun ordered(jobs: List<Pair<JobState, JobView>>, catalog: Catalog, refused: Set<Market>, now: Moment): List<JobView> {
+    private fun ordered(
+        jobs: List<Pair<JobState, JobView>>,
+        catalog: Catalog,
+        refused: Set<Market>,
+        now: Moment,
+    ): List<JobView> {
         val (arrays, whole) = jobs.partition { it.first.spec.kind == JobKind.ARRAY }
         val held = HashMap<String, Double>()
-        for (job in table.jobs.values) if (job.placements.isNotEmpty()) held.merge(job.spec.jobClass, job.placements.size * job.spec.need.weight, Double::plus)
+        for (job in table.jobs.values) {
+            if (job.placements.isNotEmpty()) {
+                held.merge(
+                    job.spec.jobClass,
+                    job.placements.size * job.spec.need.weight,
+                    Double::plus,
+                )
+            }
+        }
         val dues = HashMap<JobId, Due>()
         for ((name, its) in arrays.groupBy { it.first.spec.jobClass }) {
             val full = refused.isNotEmpty() && its.all { (job, _) -> refused.containsAll(catalog.markets(job.spec)) }
-            dues += DueTimes.among(its.map { (job, view) -> due.waiting(job.spec, job.openedAt, view.pending.size) }, if (full) held[name] ?: 0.0 else 0.0, now)
+            dues +=
+                DueTimes.among(
+                    its.map { (job, view) ->
+                        due.waiting(job.spec, job.openedAt, view.pending.size)
+                    },
+                    if (full) {
+                        held[name]
+                            ?: 0.0
+                    } else {
+                        0.0
+                    },
+                    now,
+                )
         }
         for ((job, _) in whole) dues[job.id] = due.ofWhole(job.spec, job.openedAt, now)
         return jobs.map { (job, view) -> dues.getValue(job.id).let { view.due(it.at, it.late) } }
@@ -205,7 +307,8 @@
     private fun mustBegin(view: JobView, quota: QuotaLedger, now: Moment): Boolean {
         val job = table.jobs[view.spec.id] ?: return false
         val alone = job.spec.kind == JobKind.ARRAY && !job.spec.spread && !job.spec.oneZone && !view.probe
-        return alone && job.placements.isEmpty() && job.done.count == 0 && now - job.openedAt > BEGIN_AFTER && !quota.allows(job.spec.team, job.spec.need * view.pending.size)
+        return alone && job.placements.isEmpty() && job.done.count == 0 && now - job.openedAt > BEGIN_AFTER &&
+            !quota.allows(job.spec.team, job.spec.need * view.pending.size)
     }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/workers/DemandReport.kt
+++ b/src/main/kotlin/org/elderhitch/workers/DemandReport.kt
@@ -15,10 +15,18 @@
      * Machines that report and may be given tasks. One that has just come up may not, until that is recorded: it counts as
      * booting. As a machine of no use it counted for nothing, and others were rented in its place.
      */
-    fun uses(catalog: Catalog, now: Moment, cleared: Set<MachineId>, usable: (WorkerState) -> Boolean): List<MachineUse> =
+    fun uses(
+        catalog: Catalog,
+        now: Moment,
+        cleared: Set<MachineId>,
+        usable: (WorkerState) -> Boolean,
+    ): List<MachineUse> =
         table.workers.values.filter { it.settled && it.id in cleared }.map { use(it, catalog, now, usable(it)) }
 
-    fun services(): List<JobSpec> = table.jobs.values.filter { it.spec.kind == JobKind.SERVICE && !it.ended && it.hold == null }.map { it.spec }
+    fun services(): List<JobSpec> = table.jobs.values.filter {
+        it.spec.kind == JobKind.SERVICE && !it.ended &&
+            it.hold == null
+    }.map { it.spec }
 
     private fun use(worker: WorkerState, catalog: Catalog, now: Moment, usable: Boolean): MachineUse {
         var busy = Resources.NONE
@@ -34,7 +42,12 @@
             if (endsWithin(job, p, boot * ENDING_SHARE, now)) ending += job.spec.need
         }
         return MachineUse(
-            worker.id, busy, yielding, ending, serving, usable,
+            worker.id,
+            busy,
+            yielding,
+            ending,
+            serving,
+            usable,
             // A silent machine isn't idle: it may be cut off, and what it runs is counted as lost only for its lease's sake.
             idle = if (now - worker.lastReport <= suspectAfter && worker.isEmpty) now - worker.idleSince else null,
             faulty = worker.sick,
--- a/src/main/kotlin/org/elderhitch/workers/DueTimes.kt
+++ b/src/main/kotlin/org/elderhitch/workers/DueTimes.kt
@@ -44,7 +44,11 @@
         val its = aims[spec.jobClass]
         val runs = runs.expected(spec)
         val finish = its?.finish.orEmpty() + listOfNotNull(spec.deadline)
-        val spans = (its?.start.orEmpty() + finish.map { maxOf(it - runs, it * LEAST_SHARE) }).ifEmpty { listOf(longest) }.sorted()
+        val spans = (
+            its?.start.orEmpty() + finish.map {
+                maxOf(it - runs, it * LEAST_SHARE)
+            }
+            ).ifEmpty { listOf(longest) }.sorted()
         return spans + listOf(spans.last() * 2, spans.last() * 4)
     }
 
@@ -65,7 +69,22 @@
             }
             val byDue = compareBy<Entry>({ it.at }, { it.job.id.text })
             val left = TreeSet(byDue)
-            for (job in waiting) left.add(Entry(job, job.aims.indexOfFirst { it >= now }.let { if (it < 0) job.aims.lastIndex else it }))
+            for (job in waiting) {
+                left.add(
+                    Entry(
+                        job,
+                        job.aims.indexOfFirst { it >= now }.let {
+                            if (it <
+                                0
+                            ) {
+                                job.aims.lastIndex
+                            } else {
+                                it
+                            }
+                        },
+                    ),
+                )
+            }
             val inTime = TreeSet(compareByDescending<Entry> { it.takes }.thenBy { it.job.id.text })
             val due = HashMap<JobId, Due>()
             var full = Duration.ZERO
--- a/src/main/kotlin/org/elderhitch/workers/EventLog.kt
+++ b/src/main/kotlin/org/elderhitch/workers/EventLog.kt
@@ -9,7 +9,11 @@
  * rest is counted and told in one line when the span is over. 33,424 lines of one kind on one simulated day cost processor time
  * where it was shortest, and hid all others.
  */
-internal class EventLog(private val clock: SteadyClock, private val info: (String) -> Unit, private val error: (String) -> Unit) {
+internal class EventLog(
+    private val clock: SteadyClock,
+    private val info: (String) -> Unit,
+    private val error: (String) -> Unit,
+) {
     private class Span(val began: Moment) {
         val machines = HashSet<MachineId>()
         var withheld = 0
@@ -47,7 +51,11 @@
 
     private fun close(cause: String, span: Span) {
         spans.remove(cause)
-        if (span.withheld > 0) info("more of the same event=\"$cause\" count=${span.withheld} in_s=${SPAN.inWholeSeconds}")
+        if (span.withheld >
+            0
+        ) {
+            info("more of the same event=\"$cause\" count=${span.withheld} in_s=${SPAN.inWholeSeconds}")
+        }
     }
 
     internal companion object {
--- a/src/main/kotlin/org/elderhitch/workers/Explanation.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Explanation.kt
@@ -21,7 +21,15 @@
     private val teams: Map<TeamName, Team>,
 ) {
     /** Null: no such open job in the leader's table. */
-    fun of(leading: Tenure.Leading, id: JobId, catalog: Catalog, refused: Set<Market>, now: Moment, tableComplete: Boolean, usable: (WorkerState) -> Boolean): List<String>? {
+    fun of(
+        leading: Tenure.Leading,
+        id: JobId,
+        catalog: Catalog,
+        refused: Set<Market>,
+        now: Moment,
+        tableComplete: Boolean,
+        usable: (WorkerState) -> Boolean,
+    ): List<String>? {
         if (!tableComplete) return listOf("a takeover: the leader is still reading what is recorded")
         val job = table.jobs[id]?.takeUnless { it.ended } ?: return null
         val lines = ArrayList<String>()
@@ -43,20 +51,49 @@
             }
         }.eachCount().toSortedMap()
         val parts = phases.entries.joinToString("") { ", ${it.value} ${it.key}" }
-        lines.add("of ${job.spec.tasks} tasks ${job.done.count} done$parts; ${job.tally.attempts} starts seen, ${job.tally.lost} lost, in this term")
+        lines.add(
+            "of ${job.spec.tasks} tasks ${job.done.count} done$parts; ${job.tally.attempts} starts seen, ${job.tally.lost} lost, in this term",
+        )
         val cut = job.placements.values.count { silence.isCutOff(it.zone) }
         if (cut > 0) lines.add("$cut of its tasks are in a zone that is cut off")
     }
 
-    private fun waits(leading: Tenure.Leading, job: JobState, catalog: Catalog, refused: Set<Market>, now: Moment, lines: MutableList<String>, usable: (WorkerState) -> Boolean) {
+    private fun waits(
+        leading: Tenure.Leading,
+        job: JobState,
+        catalog: Catalog,
+        refused: Set<Market>,
+        now: Moment,
+        lines: MutableList<String>,
+        usable: (WorkerState) -> Boolean,
+    ) {
         val spec = job.spec
         if (job.version <= leading.counter && takeover.mayHide(spec, roster.known, catalog)) {
             lines.add("waits for a takeover: ${takeover.unheard.size} machines that may run it have not reported yet")
         }
-        if (!leading.mayCommand(now)) lines.add("waits for the state service: the leader can't prove that it leads and knows all that is recorded")
-        if (job.notBefore > now) lines.add("at fault: failed on ${job.erredOn.size} machines and runs on none; tried again in ${(job.notBefore - now).inWholeSeconds} s")
-        faults.probes(job)?.let { lines.add("failed on ${job.erredOn.size} machines: no more than a few tasks are tried at a time") }
-        if (job.isGang && job.gang.broken) lines.add("the gang broke: waits for its members to exit before the next attempt")
+        if (!leading.mayCommand(
+                now,
+            )
+        ) {
+            lines.add(
+                "waits for the state service: the leader can't prove that it leads and knows all that is recorded",
+            )
+        }
+        if (job.notBefore >
+            now
+        ) {
+            lines.add(
+                "at fault: failed on ${job.erredOn.size} machines and runs on none; tried again in ${(job.notBefore - now).inWholeSeconds} s",
+            )
+        }
+        faults.probes(job)?.let {
+            lines.add("failed on ${job.erredOn.size} machines: no more than a few tasks are tried at a time")
+        }
+        if (job.isGang &&
+            job.gang.broken
+        ) {
+            lines.add("the gang broke: waits for its members to exit before the next attempt")
+        }
         limit(job)?.let(lines::add)
         val fitting = catalog.fitting(spec).map { it.name }.toSet()
         if (fitting.isEmpty()) {
@@ -71,9 +108,14 @@
     private fun confined(spec: JobSpec, catalog: Catalog, refused: Set<Market>): String? {
         val fitting = catalog.fitting(spec)
         if (fitting.size == catalog.types.size) return null
-        val up = table.workers.values.count { spec.mayUse(it.type, it.zone, it.spot) && fitting.any { type -> type.name == it.type } }
+        val up = table.workers.values.count {
+            spec.mayUse(it.type, it.zone, it.spot) &&
+                fitting.any { type -> type.name == it.type }
+        }
         val more = if (refused.containsAll(catalog.markets(spec))) "none more to be had" else "more can be rented"
-        return "waits for room of ${spec.need.cpus} CPUs on ${fitting.joinToString(" or ") { it.name.name }}: $up up, $more; others leave them as their tasks end"
+        return "waits for room of ${spec.need.cpus} CPUs on ${fitting.joinToString(" or ") {
+            it.name.name
+        }}: $up up, $more; others leave them as their tasks end"
     }
 
     private fun limit(job: JobState): String? {
@@ -87,7 +129,13 @@
         return "waits for its team's limit: ${used.cpus} of $cpus CPUs in use, ${atOnce.cpus} needed"
     }
 
-    private fun room(job: JobState, catalog: Catalog, fitting: Set<org.elderhitch.jobs.MachineType>, lines: MutableList<String>, usable: (WorkerState) -> Boolean) {
+    private fun room(
+        job: JobState,
+        catalog: Catalog,
+        fitting: Set<org.elderhitch.jobs.MachineType>,
+        lines: MutableList<String>,
+        usable: (WorkerState) -> Boolean,
+    ) {
         val spec = job.spec
         val allowed = table.workers.values.filter { it.type in fitting && spec.mayUse(it.type, it.zone, it.spot) }
         val ready = allowed.filter(usable)
@@ -99,7 +147,8 @@
             if (roomy == 0) {
                 "waits for room: none of ${ready.size} usable machines$place has $what free; $booting are booting"
             } else {
-                "$roomy of ${ready.size} usable machines$place have $what free; $booting are booting" + (if (job.isGang) "; a gang starts only when all its tasks fit at once" else "")
+                "$roomy of ${ready.size} usable machines$place have $what free; $booting are booting" +
+                    (if (job.isGang) "; a gang starts only when all its tasks fit at once" else "")
             },
         )
         val shunned = allowed.count { spec.id in it.shunnedBy }
--- a/src/main/kotlin/org/elderhitch/workers/Faults.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Faults.kt
@@ -32,11 +32,24 @@
     /** What such a job does says nothing of the machines that it was on. */
     private fun cordon(job: JobState, now: Moment) {
         val back = ERROR_BACKOFF * (1 shl minOf(job.erredOn.size - JOB_AT_FAULT, MAX_DOUBLINGS))
-        if (job.notBefore < now) log.info("job at fault job={} machines={} again_ms={}", job.id, job.erredOn.size, back.inWholeMilliseconds)
+        if (job.notBefore <
+            now
+        ) {
+            log.info(
+                "job at fault job={} machines={} again_ms={}",
+                job.id,
+                job.erredOn.size,
+                back.inWholeMilliseconds,
+            )
+        }
         job.notBefore = now + minOf(back, MAX_BACKOFF)
         for (id in job.erredOn) {
             val worker = table.workers[id] ?: continue
-            if (worker.erredJobs.remove(job.id) != null && worker.erredJobs.isEmpty()) worker.doubtedUntil = Moment.NEVER
+            if (worker.erredJobs.remove(job.id) != null &&
+                worker.erredJobs.isEmpty()
+            ) {
+                worker.doubtedUntil = Moment.NEVER
+            }
         }
     }
 
@@ -59,11 +72,18 @@
 
     private fun judge(worker: WorkerState, now: Moment) {
         if (worker.sick || worker.erredJobs.values.sum() < ERRORS_AT_FAULT) return
-        val proven = worker.erredJobs.keys.any { id: JobId -> table.jobs[id]?.let { runsWell(it, worker, now) } ?: false }
+        val proven = worker.erredJobs.keys.any { id: JobId ->
+            table.jobs[id]?.let { runsWell(it, worker, now) } ?: false
+        }
         if (worker.erredJobs.size < JOBS_AT_FAULT && !proven) return
         worker.sick = true
         worker.erredJobs.keys.forEach { table.jobs[it]?.erredOn?.remove(worker.id) }
-        log.info("machine faulty machine={} errors={} jobs={}", worker.id, worker.erredJobs.values.sum(), worker.erredJobs.size)
+        log.info(
+            "machine faulty machine={} errors={} jobs={}",
+            worker.id,
+            worker.erredJobs.values.sum(),
+            worker.erredJobs.size,
+        )
     }
 
     /** Enough to blame a machine: that a task of the job is seen running for a moment is not. */
@@ -73,8 +93,8 @@
         }
 
     /** Enough not to blame the job. */
-    private fun runsSomewhere(job: JobState, besides: WorkerState?): Boolean =
-        job.done.count > 0 || job.placements.values.any { it.worker !== besides && it.worker.erredJobs.isEmpty() && it.runsSince != null }
+    private fun runsSomewhere(job: JobState, besides: WorkerState?): Boolean = job.done.count > 0 ||
+        job.placements.values.any { it.worker !== besides && it.worker.erredJobs.isEmpty() && it.runsSince != null }
 
     private companion object {
         val ERROR_SHUN = 300.seconds
--- a/src/main/kotlin/org/elderhitch/workers/FinishedNews.kt
+++ b/src/main/kotlin/org/elderhitch/workers/FinishedNews.kt
@@ -9,7 +9,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** Tasks that have completed and are not recorded yet, on their way to the state service: one batch at a time. */
-internal class FinishedNews(private val table: TaskTable, private val clock: SteadyClock, private val wall: WallClock, private val ports: ForemanPorts) {
+internal class FinishedNews(
+    private val table: TaskTable,
+    private val clock: SteadyClock,
+    private val wall: WallClock,
+    private val ports: ForemanPorts,
+) {
     private var recording = false
     private var lastParts = Moment.NEVER
 
@@ -28,8 +33,22 @@
         val parts = now - lastParts > PARTS_EVERY
         val news = table.jobs.values.filter { !it.ended && it.done.count > it.finished.count && (parts || it.done.all) }
         // Kept jobs are recorded many at a time and whole: their keeper packs them, once a scheduling cycle.
-        val batches = (news.filter { !it.kept }.take(MAX_BATCHES) + if (parts) news.filter { it.kept && it.done.all } else emptyList())
-            .map { FinishedBatch(it.id, it.version, it.done, it.done.beyond(it.finished), if (it.done.all) account(leading, it) else null, it.holdKey != null, it.blockVersions, it.kept) }
+        val batches = (
+            news.filter { !it.kept }.take(MAX_BATCHES) +
+                if (parts) news.filter { it.kept && it.done.all } else emptyList()
+            )
+            .map {
+                FinishedBatch(
+                    it.id,
+                    it.version,
+                    it.done,
+                    it.done.beyond(it.finished),
+                    if (it.done.all) account(leading, it) else null,
+                    it.holdKey != null,
+                    it.blockVersions,
+                    it.kept,
+                )
+            }
         if (batches.isEmpty()) return
         recording = true
         if (parts) lastParts = now
--- a/src/main/kotlin/org/elderhitch/workers/Foreman.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Foreman.kt
@@ -18,10 +18,10 @@
 import org.elderhitch.leadership.Tenure
 import org.elderhitch.leadership.TenureTimes
 import org.elderhitch.leadership.Term
-import org.elderhitch.placement.KeptFree
-import org.elderhitch.placement.SchedulingCycle
 import org.elderhitch.placement.CycleInput
 import org.elderhitch.placement.CycleOutput
+import org.elderhitch.placement.KeptFree
+import org.elderhitch.placement.SchedulingCycle
 import org.elderhitch.recovery.Reconciliations
 import org.elderhitch.settings.NodeName
 import org.elderhitch.settings.Objective
@@ -72,7 +72,8 @@
     private val inquiry = Inquiry(table, takeover, workerTimes, wakefulness, ports, reconciliations.orders)
     private val roster = Roster()
     private val delegates = ZoneDelegates(own, nodeZones, times, table, takeover, roster, ports)
-    private val silence = Silence(table, takeover, workerTimes, leases, TICK, nodeZones.values.toSet(), inquiry, wakefulness, events, ports, delegates, silentReturnShare)
+    private val silence =
+        Silence(table, takeover, workerTimes, leases, TICK, nodeZones.values.toSet(), inquiry, wakefulness, events, ports, delegates, silentReturnShare)
     private val consolidation = Consolidation(table)
     private val feed = CycleFeed(table, faults, teams, objectives)
     private val demand = DemandReport(table, silence.suspectAfter)
@@ -80,7 +81,9 @@
     private val news = FinishedNews(table, clock, wall, ports)
     private val explanation = Explanation(table, faults, takeover, silence, roster, teams)
     private val conversation =
-        Conversation(table, takeover, reconciler, commands, silence, inquiry, roster, workerTimes, events, ports, reconciliations.orders, { hinted[it] }, ::checkTakeover)
+        Conversation(table, takeover, reconciler, commands, silence, inquiry, roster, workerTimes, events, ports, reconciliations.orders, {
+            hinted[it]
+        }, ::checkTakeover)
     private var hinted: Map<MachineId, Map<Image, Double>> = emptyMap()
     private var lastHint = Moment.NEVER
     private var keptFree: List<KeptFree> = emptyList()
@@ -116,48 +119,105 @@
     override fun receive(message: ForemanMessage) {
         when (message) {
             is ForemanMessage.ReportIn -> message.reply.complete(report(message.report))
+
             is ForemanMessage.Job -> jobEvent(message.event)
+
             is ForemanMessage.TenureIs -> tenureIs(message.tenure)
+
             is ForemanMessage.TableComplete -> if (message.term == term()) {
                 tableComplete = true
                 table.dirty = true
             }
+
             is ForemanMessage.Inventory -> inventory(message)
+
             is ForemanMessage.MachineKnown -> {
                 roster.rented(message.machine, clock.now())
                 table.dirty = true
             }
+
             is ForemanMessage.MachineCleared -> {
                 roster.clear(message.machine)
                 table.dirty = true
             }
+
             is ForemanMessage.MachineGone -> machineGone(message.machine, message.proof)
+
             is ForemanMessage.CatalogIs -> {
                 catalog = message.catalog
                 table.dirty = true
             }
+
             is ForemanMessage.ImagesHinted -> if (leading() == null) hinted = message.images
+
             is ForemanMessage.FormerEnded -> if (message.term == term()) takeover.formerEnded = true
+
             is ForemanMessage.FormerStopped -> if (message.term == term()) takeover.formerStopped()
+
             is ForemanMessage.KeepFree -> {
                 keptFree = message.kept
                 refused = message.refused
             }
+
             is ForemanMessage.Recorded -> if (message.term == term()) news.recorded(message.finished)
-            is ForemanMessage.Commanded -> leading()?.takeIf { it.term == message.term }?.let { conversation.commanded(it, message, clock.now()) }
+
+            is ForemanMessage.Commanded -> leading()?.takeIf {
+                it.term == message.term
+            }?.let { conversation.commanded(it, message, clock.now()) }
+
             is ForemanMessage.MachinesListed -> inquiry.listed(message.where)
-            is ForemanMessage.Asked -> leading()?.takeIf { it.term == message.term }?.let { conversation.asked(it, message.machine, message.outcome, clock.now(), tableComplete) }
+
+            is ForemanMessage.Asked -> leading()?.takeIf {
+                it.term == message.term
+            }?.let { conversation.asked(it, message.machine, message.outcome, clock.now(), tableComplete) }
+
             is ForemanMessage.Drain -> drain(message.machine)
+
             is ForemanMessage.Cordon -> cordon(message.machines)
+
             is ForemanMessage.Spared -> table.workers[message.machine]?.let { silence.spared(it) }
+
             is ForemanMessage.HoldJob -> hold(message)
+
             is ForemanMessage.HoldWritten -> if (message.term == term()) holds.written(message.id, message.outcome)
-            is ForemanMessage.AccountOf -> message.reply.complete(leading()?.let { l -> table.jobs[message.id]?.let { news.account(l, it) } })
-            is ForemanMessage.Explain -> message.reply.complete(leading()?.let { explanation.of(it, message.id, catalog, refused, clock.now(), tableComplete) { w -> usable(w, clock.now()) } })
-            is ForemanMessage.Survey -> message.reply.complete(leading()?.takeIf { tableComplete }?.let { table.whereabouts() })
-            is ForemanMessage.AtFault -> message.reply.complete(leading()?.takeIf { tableComplete }?.let { table.jobs.values.filter { !it.ended && faults.atFault(it) }.map { it.id }.toSet() })
-            is ForemanMessage.NameDelegate -> message.reply.complete(leading()?.let { delegates.name(it, message.node, tableComplete, clock.now()) })
+
+            is ForemanMessage.AccountOf -> message.reply.complete(
+                leading()?.let { l ->
+                    table.jobs[message.id]?.let { news.account(l, it) }
+                },
+            )
+
+            is ForemanMessage.Explain -> message.reply.complete(
+                leading()?.let {
+                    explanation.of(it, message.id, catalog, refused, clock.now(), tableComplete) { w ->
+                        usable(w, clock.now())
+                    }
+                },
+            )
+
+            is ForemanMessage.Survey -> message.reply.complete(
+                leading()?.takeIf {
+                    tableComplete
+                }?.let { table.whereabouts() },
+            )
+
+            is ForemanMessage.AtFault -> message.reply.complete(
+                leading()?.takeIf { tableComplete }?.let {
+                    table.jobs.values.filter {
+                        !it.ended &&
+                            faults.atFault(it)
+                    }.map { it.id }.toSet()
+                },
+            )
+
+            is ForemanMessage.NameDelegate -> message.reply.complete(
+                leading()?.let {
+                    delegates.name(it, message.node, tableComplete, clock.now())
+                },
+            )
+
             is ForemanMessage.DelegateNamed -> delegates.named(message.grant)
+
             ForemanMessage.Tick -> tick()
         }
     }
@@ -191,7 +251,12 @@
     private fun inventory(message: ForemanMessage.Inventory) {
         if (message.term != term()) return
         roster.inventory(message.mayRun, message.fresh, clock.now())
-        takeover.inventory(message.mayRun.map { it.id }.filter { table.workers[it]?.settled != true && it !in roster.gone }.toSet())
+        takeover.inventory(
+            message.mayRun.map { it.id }.filter {
+                table.workers[it]?.settled != true &&
+                    it !in roster.gone
+            }.toSet(),
+        )
         table.dirty = true
         checkTakeover()
     }
@@ -206,22 +271,34 @@
         if (event !is JobEvent.Proven) table.dirty = true
         when (event) {
             is JobEvent.Opened -> {
-                log.debug("job opened job={} class={} tasks={} image={}", event.spec.id, event.spec.jobClass, event.spec.tasks, event.spec.image)
+                log.debug(
+                    "job opened job={} class={} tasks={} image={}",
+                    event.spec.id,
+                    event.spec.jobClass,
+                    event.spec.tasks,
+                    event.spec.image,
+                )
                 feed.opened(event.spec, clock.now())
                 table.open(event)
             }
+
             is JobEvent.Finished -> table.finished(event)
+
             is JobEvent.Ended -> table.jobs[event.id]?.let { job ->
                 val leading = leading()
                 if (leading != null && job.finished.count > 0) {
-                    val blocks = (0 until job.spec.tasks).filter { it in job.finished }.map(FinishedTasks::blockOf).toSet()
+                    val blocks = (0 until job.spec.tasks).filter {
+                        it in job.finished
+                    }.map(FinishedTasks::blockOf).toSet()
                     ports.forget(leading, job.id, blocks)
                 }
                 holds.ended(job.id)
                 if (leading != null && job.holdKey != null) ports.forgetHold(leading, job.id)
                 table.end(job)
             }
+
             is JobEvent.Held -> holds.heard(leading(), event.id, event.key)
+
             is JobEvent.Proven -> {
                 table.proven = event.since
                 ports.leadership(LeadershipMessage.Proven(event.since))
@@ -235,7 +312,9 @@
             message.reply.complete(HoldAnswer.NotNow("no leader here that may command"))
             return
         }
-        holds.ask(leading, message.id, message.kind, message.reason, { takeover.mayHide(it, roster.known, catalog) }, message.reply)
+        holds.ask(leading, message.id, message.kind, message.reason, {
+            takeover.mayHide(it, roster.known, catalog)
+        }, message.reply)
     }
 
     private fun lost(job: JobState, placement: Placement) {
@@ -249,7 +328,9 @@
 
     private fun report(report: Report): ReportAnswer {
         val now = clock.now()
-        val leading = leading() ?: return delegates.answer(report, now) ?: ReportAnswer.Elsewhere((tenure as? Tenure.Following)?.leader)
+        val leading =
+            leading()
+                ?: return delegates.answer(report, now) ?: ReportAnswer.Elsewhere((tenure as? Tenure.Following)?.leader)
         return conversation.report(leading, report, now, tableComplete) { worker ->
             if (table.dirty && leading.mayCommand(now) && now > cycleAgain) cycle(leading, now, answering = worker)
         }
@@ -300,22 +381,54 @@
         lastCycle = now
         drainNoticed()
         val usable = { worker: WorkerState -> usable(worker, now) }
-        val input = feed.input(leading, { takeover.mayHide(it, roster.known, catalog) }, takeover.reserved(roster.known, catalog), catalog, keptFree, now, roster.mostlyBooting(catalog, now), roster.booting(catalog, now), refused, usable)
+        val input = feed.input(
+            leading, {
+                takeover.mayHide(it, roster.known, catalog)
+            },
+            takeover.reserved(
+                roster.known,
+                catalog,
+            ),
+            catalog, keptFree, now, roster.mostlyBooting(catalog, now), roster.booting(catalog, now), refused, usable,
+        )
         val output = SchedulingCycle(input).decide()
         val held = GangStart(workerTimes.gangWait, table, catalog).heldBack(output.placed)
-        for (placed in output.placed) assign(placed.task, placed.machine, placed.joinAttempt, now, held[placed.task] ?: Duration.ZERO)
+        for (placed in output.placed) {
+            assign(
+                placed.task,
+                placed.machine,
+                placed.joinAttempt,
+                now,
+                held[placed.task] ?: Duration.ZERO,
+            )
+        }
         for (task in output.stopped) {
             val job = table.jobs[task.job] ?: continue
             val p = job.placements[task.index] ?: continue
-            events.info("task stopped for room", p.worker.id) { "task stopped for room task=$task machine=${p.worker.id}" }
+            events.info("task stopped for room", p.worker.id) {
+                "task stopped for room task=$task machine=${p.worker.id}"
+            }
             table.stop(job, p, if (job.spec.saves) job.spec.saveTakes + SAVE_MARGIN else Duration.ZERO)
         }
         // A scheduling cycle that took longer than its budget sends nothing, and neither does a leader whose window has closed.
         val decided = clock.now()
-        if (leading.mayCommand(decided) && decided - now < times.cycleBudget) conversation.sendUrgent(leading, decided, answering)
+        if (leading.mayCommand(decided) &&
+            decided - now < times.cycleBudget
+        ) {
+            conversation.sendUrgent(leading, decided, answering)
+        }
         if (now - lastDemand > DEMAND_EVERY) {
             lastDemand = now
-            ports.fleet(FleetMessage.Demand(output.unplaced, demand.uses(catalog, now, roster.cleared, usable), demand.services(), takeover.settled, silence.cutZones, output.scarce))
+            ports.fleet(
+                FleetMessage.Demand(
+                    output.unplaced,
+                    demand.uses(catalog, now, roster.cleared, usable),
+                    demand.services(),
+                    takeover.settled,
+                    silence.cutZones,
+                    output.scarce,
+                ),
+            )
         }
         rest(input, output, now)
     }
@@ -327,8 +440,14 @@
         if (log.isDebugEnabled) {
             log.debug(
                 "cycle machines={} jobs={} placed={} unplaced={} visits={} kept={} took_ms={} free_cpus={}", input.machines.size, input.jobs.size,
-                output.placed.size, output.unplaced.sumOf { it.count }, output.visits, output.kept, (ended - began).inWholeMilliseconds,
-                input.machines.groupBy { it.type }.map { (type, its) -> "$type:${its.size}:${its.sumOf { it.free.cpus }.toInt()}" },
+                output.placed.size,
+                output.unplaced.sumOf {
+                    it.count
+                },
+                output.visits, output.kept, (ended - began).inWholeMilliseconds,
+                input.machines.groupBy {
+                    it.type
+                }.map { (type, its) -> "$type:${its.size}:${its.sumOf { it.free.cpus }.toInt()}" },
             )
         }
     }
@@ -361,7 +480,11 @@
     }
 
     private fun usable(worker: WorkerState, now: Moment): Boolean =
-        worker.settled && worker.lease?.unanswered == false && worker.notice == null && !worker.sick && !worker.unreachable && now > worker.doubtedUntil && now > worker.drainedUntil && worker.id in roster.cleared &&
+        worker.settled && worker.lease?.unanswered == false && worker.notice == null && !worker.sick &&
+            !worker.unreachable &&
+            now > worker.doubtedUntil &&
+            now > worker.drainedUntil &&
+            worker.id in roster.cleared &&
             !silence.isSuspect(worker, now) && worker.releaseAsked == Moment.NEVER
 
     private fun assign(task: TaskId, machine: MachineId, join: Attempt?, now: Moment, held: Duration) {
--- a/src/main/kotlin/org/elderhitch/workers/ForemanMessages.kt
+++ b/src/main/kotlin/org/elderhitch/workers/ForemanMessages.kt
@@ -1,6 +1,8 @@
 package org.elderhitch.workers
 
 import kotlinx.coroutines.CompletableDeferred
+import org.elderhitch.delegates.Grant
+import org.elderhitch.delegates.Named
 import org.elderhitch.fleet.Catalog
 import org.elderhitch.fleet.FleetMessage
 import org.elderhitch.fleet.Machine
@@ -20,8 +22,6 @@
 import org.elderhitch.placement.KeptFree
 import org.elderhitch.settings.NodeName
 import org.elderhitch.store.Revision
-import org.elderhitch.delegates.Grant
-import org.elderhitch.delegates.Named
 
 public sealed interface ReportAnswer {
     public data class Accepted(val term: Term, val commands: List<Command>) : ReportAnswer
@@ -42,7 +42,8 @@
     public data class TableComplete(val term: Term) : Knowledge
 
     /** All machines that may run something of an earlier term, and those that never were given anything. */
-    public data class Inventory(val term: Term, val mayRun: Collection<Machine>, val fresh: Collection<Machine>) : ForemanMessage
+    public data class Inventory(val term: Term, val mayRun: Collection<Machine>, val fresh: Collection<Machine>) :
+        ForemanMessage
 
     /** A machine that is ours to use, its intent being recorded. */
     public data class MachineKnown(val machine: Machine) : ForemanMessage
@@ -62,6 +63,7 @@
 
     /** The former leader has surely stopped answering workers by now. */
     public data class FormerStopped(val term: Term) : ForemanMessage
+
     /** Room that less important work leaves alone; [refused]: where nothing was to be rented lately. */
     public data class KeepFree(val kept: List<KeptFree>, val refused: Set<Market> = emptySet()) : ForemanMessage
     public data class Recorded(val term: Term, val finished: Map<JobId, List<Int>>) : ForemanMessage
@@ -89,8 +91,14 @@
         val starts: Set<Pair<TaskId, Attempt>>,
         val outcome: CommandOutcome,
     ) : ForemanMessage
+
     /** The wish to hold a job: only the leader knows whether something of it was started. */
-    public data class HoldJob(val id: JobId, val kind: HoldKind, val reason: String, val reply: CompletableDeferred<HoldAnswer>) : ForemanMessage
+    public data class HoldJob(
+        val id: JobId,
+        val kind: HoldKind,
+        val reason: String,
+        val reply: CompletableDeferred<HoldAnswer>,
+    ) : ForemanMessage
     public data class HoldWritten(val term: Term, val id: JobId, val outcome: HoldWrite) : ForemanMessage
 
     /** What this term has seen of a job's work; null: this node doesn't lead, or doesn't know the job. */
--- a/src/main/kotlin/org/elderhitch/workers/GangStart.kt
+++ b/src/main/kotlin/org/elderhitch/workers/GangStart.kt
@@ -15,7 +15,13 @@
 internal class GangStart(private val wait: Duration, private val table: TaskTable, private val catalog: Catalog) {
     fun heldBack(placed: List<Placed>): Map<TaskId, Duration> {
         val gangs = LinkedHashMap<JobId, MutableList<Placed>>()
-        for (p in placed) if (p.joinAttempt == null && table.jobs[p.task.job]?.isGang == true) gangs.getOrPut(p.task.job) { ArrayList() }.add(p)
+        for (p in placed) {
+            if (p.joinAttempt == null &&
+                table.jobs[p.task.job]?.isGang == true
+            ) {
+                gangs.getOrPut(p.task.job) { ArrayList() }.add(p)
+            }
+        }
         val held = HashMap<TaskId, Duration>()
         for (members in gangs.values) {
             val fetches = members.associate { it.task to fetch(it) }
--- a/src/main/kotlin/org/elderhitch/workers/GangState.kt
+++ b/src/main/kotlin/org/elderhitch/workers/GangState.kt
@@ -42,7 +42,11 @@
 
     /** A member is gone. Before the start it is replaced; after it, the rest must go before the next attempt. */
     fun lost(membersLeft: Boolean) {
-        if (!membersLeft) reset() else if (started) broken = true
+        if (!membersLeft) {
+            reset()
+        } else if (started) {
+            broken = true
+        }
     }
 }
 
--- a/src/main/kotlin/org/elderhitch/workers/Holds.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Holds.kt
@@ -42,16 +42,36 @@
     }
 
     /** [mayHide]: whether an unreported task of the job may run on a machine that has not reported yet. */
-    fun ask(leading: Tenure.Leading, id: JobId, kind: HoldKind, reason: String, mayHide: (JobSpec) -> Boolean, reply: CompletableDeferred<HoldAnswer>) {
+    fun ask(
+        leading: Tenure.Leading,
+        id: JobId,
+        kind: HoldKind,
+        reason: String,
+        mayHide: (JobSpec) -> Boolean,
+        reply: CompletableDeferred<HoldAnswer>,
+    ) {
         val job = table.jobs[id]?.takeUnless { it.ended }
         val refusal = when {
             job == null -> HoldAnswer.NoSuchJob
+
             job.hold != null -> HoldAnswer.Held
+
             job.holding -> HoldAnswer.NotNow("a hold is being recorded")
-            job.version <= leading.counter && mayHide(job.spec) -> HoldAnswer.NotNow("a machine that may run it has not reported yet")
-            kind == HoldKind.SUSPENDED && !job.spec.saves -> HoldAnswer.Inconsistent("its tasks can't save, so stopping them would lose their work")
+
+            job.version <= leading.counter && mayHide(
+                job.spec,
+            ) -> HoldAnswer.NotNow("a machine that may run it has not reported yet")
+
+            kind == HoldKind.SUSPENDED && !job.spec.saves -> HoldAnswer.Inconsistent(
+                "its tasks can't save, so stopping them would lose their work",
+            )
+
             kind == HoldKind.SUSPENDED && job.placements.isEmpty() -> HoldAnswer.Inconsistent("nothing of it runs")
-            kind == HoldKind.USER && job.placements.isNotEmpty() -> HoldAnswer.Inconsistent("something of it has been started")
+
+            kind == HoldKind.USER && job.placements.isNotEmpty() -> HoldAnswer.Inconsistent(
+                "something of it has been started",
+            )
+
             else -> null
         }
         if (job == null || refusal != null) {
@@ -101,7 +121,13 @@
     fun stopSuspended() {
         for (id in suspended) {
             val job = table.jobs[id]?.takeUnless { it.ended } ?: continue
-            for (p in job.placements.values.toList()) if (p.stop == null) table.stop(job, p, job.spec.saveTakes + SAVE_MARGIN)
+            for (p in job.placements.values.toList()) {
+                if (p.stop ==
+                    null
+                ) {
+                    table.stop(job, p, job.spec.saveTakes + SAVE_MARGIN)
+                }
+            }
         }
     }
 
@@ -110,7 +136,14 @@
         val most = rules.of(job.spec.jobClass).attempts ?: return
         if (job.hold != null || job.holding || job.ended || job.tally.failuresOf(index) < most) return
         log.info("job held job={} rule=attempts task={} starts={}", job.id, index, job.tally.failuresOf(index))
-        begin(leading, job, Hold.of(HoldKind.ATTEMPTS, "class ${job.spec.jobClass} has the rule attempts = $most, and task $index was started so often in vain"))
+        begin(
+            leading,
+            job,
+            Hold.of(
+                HoldKind.ATTEMPTS,
+                "class ${job.spec.jobClass} has the rule attempts = $most, and task $index was started so often in vain",
+            ),
+        )
     }
 
     fun ended(id: JobId) {
--- a/src/main/kotlin/org/elderhitch/workers/ImageHints.kt
+++ b/src/main/kotlin/org/elderhitch/workers/ImageHints.kt
@@ -20,7 +20,8 @@
     /** Images by machine; the images on the fewest machines are left out if not all fit into [valueBytes]. */
     public fun encode(used: Map<MachineId, Map<Image, Double>>, valueBytes: Int): Map<String, Any?> {
         val machines = used.filterValues { it.isNotEmpty() }.keys.mapNotNull { id -> numbered(id)?.let { id to it } }
-        val form = machines.groupBy { it.second.prefix to it.second.width }.maxByOrNull { it.value.size } ?: return emptyMap()
+        val form =
+            machines.groupBy { it.second.prefix to it.second.width }.maxByOrNull { it.value.size } ?: return emptyMap()
         val first = form.value.minOf { it.second.number }
         val sizes = HashMap<Image, Double>()
         val on = HashMap<Image, BitSet>()
@@ -30,8 +31,14 @@
                 on.getOrPut(image) { BitSet() }.set(numbered.number - first)
             }
         }
-        val images = on.entries.sortedWith(compareByDescending<Map.Entry<Image, BitSet>> { it.value.cardinality() }.thenBy { it.key.name })
-            .map { (image, bits) -> listOf(image.name, sizes[image], Base64.getEncoder().encodeToString(bits.toByteArray())) }
+        val images = on.entries.sortedWith(
+            compareByDescending<Map.Entry<Image, BitSet>> {
+                it.value.cardinality()
+            }.thenBy { it.key.name },
+        )
+            .map { (image, bits) ->
+                listOf(image.name, sizes[image], Base64.getEncoder().encodeToString(bits.toByteArray()))
+            }
         val head = linkedMapOf<String, Any?>("prefix" to form.key.first, "width" to form.key.second, "first" to first)
         var kept = images.size
         while (true) {
--- a/src/main/kotlin/org/elderhitch/workers/Inquiry.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Inquiry.kt
@@ -70,14 +70,22 @@
 
     /** In a zone that seems to be cut off only a few are asked: one answer tells that it isn't. */
     fun ask(leading: Tenure.Leading, now: Moment, isCutOff: (Zone) -> Boolean) {
-        var may = pace.allow(takeover.unheard.size, now - maxOf(leading.claimedAt, wakefulness.since), takeover.formerEnded)
+        var may = pace.allow(
+            takeover.unheard.size,
+            now - maxOf(leading.claimedAt, wakefulness.since),
+            takeover.formerEnded,
+        )
         for (id in takeover.unheard) {
             if (may == 0) break
             if (ask(leading, id, table.workers[id]?.address ?: addresses[id], now)) may--
         }
         val asked = HashMap<Zone, Int>()
         for (worker in table.workers.values) {
-            if (now - maxOf(worker.lastWord, leading.claimedAt, wakefulness.since) <= overdueAfter || worker.releaseAsked != Moment.NEVER) continue
+            if (now - maxOf(worker.lastWord, leading.claimedAt, wakefulness.since) <= overdueAfter ||
+                worker.releaseAsked != Moment.NEVER
+            ) {
+                continue
+            }
             if (isCutOff(worker.zone) && asked.merge(worker.zone, 1, Int::plus).let { it != null && it > FEW }) continue
             ask(leading, worker.id, worker.address, now)
         }
--- a/src/main/kotlin/org/elderhitch/workers/Lease.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Lease.kt
@@ -18,7 +18,8 @@
     val longest: Duration = lease.stretched() + MARGIN
 
     /** Whoever led before a claim answers nobody longer than its window and its hold time; from then on every lease that it kept alive is over. */
-    fun overAfterClaim(claimed: Moment, times: TenureTimes): Moment = claimed + (times.window + times.hold + lease).stretched() + MARGIN
+    fun overAfterClaim(claimed: Moment, times: TenureTimes): Moment =
+        claimed + (times.window + times.hold + lease).stretched() + MARGIN
 
     /** Whether leases that end at [end] do so within one lease's time. */
     fun endSoon(end: Moment, now: Moment): Boolean = end - now < lease
@@ -69,8 +70,10 @@
     /** The worker said something, by whatever way, that is not [Word.STALE]; it was sent at [at] at the latest. */
     fun told(session: Long, at: Moment, obeys: Boolean): LeaseBelief = when {
         session > this.session -> LeaseBelief(session, at, this.obeys || obeys, unanswered = true, ended = session - 1)
+
         // Until it knew our term an earlier leader may have answered it.
         !this.obeys -> copy(renewedBy = maxOf(renewedBy, at), obeys = obeys)
+
         else -> this
     }
 
--- a/src/main/kotlin/org/elderhitch/workers/Reconciler.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Reconciler.kt
@@ -5,8 +5,8 @@
 import org.elderhitch.recovery.Here
 import org.elderhitch.recovery.JobStanding
 import org.elderhitch.recovery.NamedTask
-import org.elderhitch.recovery.TaskRow
 import org.elderhitch.recovery.TaskReconciliation
+import org.elderhitch.recovery.TaskRow
 import org.elderhitch.recovery.TaskVerdict
 import org.elderhitch.time.Moment
 import org.elderhitch.time.SteadyClock
@@ -50,7 +50,17 @@
     }
 
     private fun stranger(worker: WorkerState, task: TaskReport) {
-        val row = TaskReconciliation.row(NamedTask(JobStanding.UNKNOWN, true, task.phase != TaskPhase.EXITED, false, false, Here.NOTHING, Elsewhere.NOTHING))
+        val row = TaskReconciliation.row(
+            NamedTask(
+                JobStanding.UNKNOWN,
+                true,
+                task.phase != TaskPhase.EXITED,
+                false,
+                false,
+                Here.NOTHING,
+                Elsewhere.NOTHING,
+            ),
+        )
         reconciled(row)
         if (row.verdict == TaskVerdict.STOP) worker.strangers += task.task.job
     }
@@ -72,10 +82,17 @@
         reconciled(row)
         val placement = when (row.verdict) {
             TaskVerdict.KEEP -> own ?: return
+
             TaskVerdict.ADOPT, TaskVerdict.SWAP, TaskVerdict.SURPLUS -> take(worker, job, task, row, elsewhere)
+
             TaskVerdict.FINISH -> return finished(worker, job, task, own)
+
             TaskVerdict.LOSE -> return lose(worker, job, task, own ?: return)
-            TaskVerdict.LEAVE -> return events.error("no such task", worker.id) { "no such task task=${task.task} machine=${worker.id} of=${job.spec.tasks}" }
+
+            TaskVerdict.LEAVE -> return events.error("no such task", worker.id) {
+                "no such task task=${task.task} machine=${worker.id} of=${job.spec.tasks}"
+            }
+
             TaskVerdict.STOP, TaskVerdict.REAP -> return
         }
         if (log.isDebugEnabled && (placement.phase != task.phase || placement.certainty != Certainty.REPORTED)) {
@@ -112,8 +129,20 @@
     )
 
     /** Puts what the worker reports into the table, beside what else it has of the task. */
-    private fun take(worker: WorkerState, job: JobState, task: TaskReport, row: TaskRow, elsewhere: Placement?): Placement {
-        if (elsewhere != null) events.error("task on two machines", worker.id) { "task on two machines task=${task.task} here=${worker.id} there=${elsewhere.worker.id}" }
+    private fun take(
+        worker: WorkerState,
+        job: JobState,
+        task: TaskReport,
+        row: TaskRow,
+        elsewhere: Placement?,
+    ): Placement {
+        if (elsewhere !=
+            null
+        ) {
+            events.error("task on two machines", worker.id) {
+                "task on two machines task=${task.task} here=${worker.id} there=${elsewhere.worker.id}"
+            }
+        }
         if (row.verdict == TaskVerdict.SWAP && elsewhere != null) table.demote(job, elsewhere)
         if (row == TaskRow.TWICE_UNSENT && elsewhere != null) table.remove(job, elsewhere)
         val placement = if (row.verdict == TaskVerdict.SURPLUS) {
@@ -159,11 +188,16 @@
                 placement.failed = true
                 faults.erred(worker, job, task, now)
             }
+
             ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN -> {
-                events.info("start refused ${task.cause}", worker.id) { "start refused task=${task.task} machine=${worker.id} cause=${task.cause}" }
+                events.info("start refused ${task.cause}", worker.id) {
+                    "start refused task=${task.task} machine=${worker.id} cause=${task.cause}"
+                }
                 worker.shun(job.id, now + REFUSED_PAUSE)
             }
+
             ExitCause.INCOMPLETE, ExitCause.PEERS -> job.gang.gaveUp()
+
             else -> Unit
         }
         table.remove(job, placement)
--- a/src/main/kotlin/org/elderhitch/workers/Report.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Report.kt
@@ -114,12 +114,14 @@
         val attempt = command.attempt.number
         return when (command) {
             is Command.Start -> linkedMapOf("call" to "start", "crate" to task, "cast" to attempt)
+
             is Command.Stop -> linkedMapOf(
                 "call" to "kill",
                 "crate" to task,
                 "cast" to attempt,
                 "windDownS" to command.grace.toDouble(DurationUnit.SECONDS),
             )
+
             is Command.Forget -> linkedMapOf("call" to "reap", "crate" to task, "cast" to attempt)
         }
     }
--- a/src/main/kotlin/org/elderhitch/workers/Roster.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Roster.kt
@@ -50,14 +50,17 @@
     }
 
     /** More machines are on their way up than are there. Those that are late may never come: nothing waits for them. */
-    fun mostlyBooting(catalog: Catalog, now: Moment): Boolean = mayRun.size < machines.values.count { boots(it, catalog, now) }
+    fun mostlyBooting(catalog: Catalog, now: Moment): Boolean =
+        mayRun.size < machines.values.count { boots(it, catalog, now) }
 
     /** Machines on their way up, by type. */
-    fun booting(catalog: Catalog, now: Moment): Map<MachineType, Int> = machines.values.filter { boots(it, catalog, now) }.groupingBy { it.type }.eachCount()
+    fun booting(catalog: Catalog, now: Moment): Map<MachineType, Int> =
+        machines.values.filter { boots(it, catalog, now) }.groupingBy { it.type }.eachCount()
 
     private fun boots(machine: Machine, catalog: Catalog, now: Moment): Boolean {
         val since = rentedAt[machine.id]
-        return machine.id !in mayRun && since != null && catalog.types[machine.type].let { it != null && now - since < it.boot * LATE_BOOT }
+        return machine.id !in mayRun && since != null &&
+            catalog.types[machine.type].let { it != null && now - since < it.boot * LATE_BOOT }
     }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/workers/Silence.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Silence.kt
@@ -46,7 +46,8 @@
         /** Of all, those whose next report should have come. */
         var overdue = 0
         val majoritySilent: Boolean get() = silent + unheard >= CUT_LEAST && silent + unheard > heard
-        val majorityOverdue: Boolean get() = overdue + unheard >= CUT_LEAST && (overdue + unheard) * 2 > heard + silent + unheard
+        val majorityOverdue: Boolean get() = overdue + unheard >= CUT_LEAST &&
+            (overdue + unheard) * 2 > heard + silent + unheard
     }
 
     private val log = LoggerFactory.getLogger("elderhitch.workers")
@@ -54,7 +55,18 @@
     /** A worker silent for so long gets nothing new. */
     val suspectAfter: Duration = workerTimes.report * 2.5 + 500.milliseconds
     private val releaseAfter = workerTimes.reportAtLatest + WorkerTimes.ANSWER_WAIT + NEXT_NODE * 2.0
-    private val reconciliation = MachineReconciliation(SilenceTimes(workerTimes.reportAtLatest, releaseAfter, leases.longest, UNLISTED_PATIENCE, UNASKED_MARGIN, UNHEARD_MARGIN, CUT_PATIENCE))
+    private val reconciliation =
+        MachineReconciliation(
+            SilenceTimes(
+                workerTimes.reportAtLatest,
+                releaseAfter,
+                leases.longest,
+                UNLISTED_PATIENCE,
+                UNASKED_MARGIN,
+                UNHEARD_MARGIN,
+                CUT_PATIENCE,
+            ),
+        )
     private val pace = ReturnPace(silentReturnShare)
 
     /** When the return of machines was asked for that have said nothing in this term. */
@@ -89,7 +101,8 @@
     }
 
     /** It may be about to lose all that it runs, and would lose what it is given: it says nothing, or only answers what it is asked. */
-    fun isSuspect(worker: WorkerState, now: Moment): Boolean = now - minOf(worker.lastWord, renewedBy(worker)) > suspectAfter
+    fun isSuspect(worker: WorkerState, now: Moment): Boolean =
+        now - minOf(worker.lastWord, renewedBy(worker)) > suspectAfter
 
     /** When a report of it was last answered, here or by a lease delegate that is away. */
     private fun renewedBy(worker: WorkerState): Moment = maxOf(worker.lastReport, delegates.renewedBy(worker.zone))
@@ -111,7 +124,9 @@
             if (quietFor > suspectAfter) hearing.silent++ else hearing.heard++
             if (quietFor > overdueAfter) hearing.overdue++
             if (worker.outlived(now, leases, delegates.lastAnswer(worker.zone)) && worker.placements.isNotEmpty()) {
-                events.info("lease over", worker.id) { "worker settled machine=${worker.id} by=lease tasks=${worker.placements.size}" }
+                events.info("lease over", worker.id) {
+                    "worker settled machine=${worker.id} by=lease tasks=${worker.placements.size}"
+                }
                 table.loseAll(worker)
             }
         }
@@ -120,7 +135,9 @@
         val quiet = quiet(zones)
         val mayResign = now - leading.claimedAt > RESIGN_AFTER && heard + silent >= RESIGN_LEAST
         if (mayResign && (silent > heard * 2 || quiet.size == zones.size)) {
-            ports.leadership(LeadershipMessage.Resign("$silent of ${silent + heard} workers silent, quiet zones ${quiet.size}"))
+            ports.leadership(
+                LeadershipMessage.Resign("$silent of ${silent + heard} workers silent, quiet zones ${quiet.size}"),
+            )
             return
         }
         if (hearsNobody(leading, now)) {
@@ -131,9 +148,18 @@
         // Machines of an earlier term that never said a word in this one.
         val unheard = takeover.unheard.filter { it !in table.workers }
         unheard.forEach { id -> known[id]?.let { zones.getOrPut(it.zone) { Hearing() }.unheard++ } }
-        missingZones = zones.filter { (zone, its) -> its.unheard >= CUT_LEAST && its.heard + its.silent == 0 && zone in nodeZones }.keys
+        missingZones =
+            zones.filter { (zone, its) ->
+                its.unheard >= CUT_LEAST && its.heard + its.silent == 0 && zone in nodeZones
+            }.keys
         doubtfulZones = zones.filterValues { it.majorityOverdue }.keys + quiet
-        val cut = if (now - leading.claimedAt > suspectAfter) zones.filterValues { it.majoritySilent }.keys + quiet else emptySet()
+        val cut = if (now - leading.claimedAt >
+            suspectAfter
+        ) {
+            zones.filterValues { it.majoritySilent }.keys + quiet
+        } else {
+            emptySet()
+        }
         if (cut != cutZones) log.info("zones cut off zones={} silent={}", cut, silent + unheard.size)
         for (zone in cutZones - cut) reopenedAt[zone] = now
         cutZones = cut
@@ -148,7 +174,8 @@
         val unheard = takeover.unheard
         if (table.workers.isNotEmpty() || unheard.size < RESIGN_LEAST || now - resignedDeafAt < DEAF_AGAIN) return false
         val waited = waited(leading, now)
-        return waited > releaseAfter || waited > UNLISTED_PATIENCE && unheard.count(inquiry::isUnreachable) * 3 > unheard.size * 2
+        return waited > releaseAfter ||
+            waited > UNLISTED_PATIENCE && unheard.count(inquiry::isUnreachable) * 3 > unheard.size * 2
     }
 
     /** How long this term has been able to hear anybody. */
@@ -156,7 +183,8 @@
 
     private fun listeningSince(leading: Tenure.Leading): Moment = maxOf(leading.claimedAt, wakefulness.since, closedAt)
 
-    private fun listeningSince(worker: WorkerState, leading: Tenure.Leading): Moment = maxOf(worker.lastWord, listeningSince(leading))
+    private fun listeningSince(worker: WorkerState, leading: Tenure.Leading): Moment =
+        maxOf(worker.lastWord, listeningSince(leading))
 
     /**
      * Zones that no report came from for longer than chance allows. Reports of many workers come evenly spread: the more
@@ -168,13 +196,19 @@
         for ((zone, hearing) in zones) {
             val ticks = quietTicks.merge(zone, 1, Int::plus) ?: 1
             val workers = hearing.heard + hearing.silent
-            val longest = QUIET_MARGIN + minOf(workerTimes.reportAtLatest, workerTimes.report * (QUIET_REPORTS / workers))
+            val longest =
+                QUIET_MARGIN + minOf(workerTimes.reportAtLatest, workerTimes.report * (QUIET_REPORTS / workers))
             if (workers >= CUT_LEAST && tick * ticks > longest) quiet.add(zone)
         }
         return quiet
     }
 
-    private fun release(leading: Tenure.Leading, now: Moment, unheard: List<MachineId>, known: Map<MachineId, Machine>) {
+    private fun release(
+        leading: Tenure.Leading,
+        now: Moment,
+        unheard: List<MachineId>,
+        known: Map<MachineId, Machine>,
+    ) {
         val wanted = ArrayList<Wanted>()
         for (worker in table.workers.values) {
             if (now - worker.releaseAsked <= RELEASE_AGAIN) continue
@@ -187,17 +221,28 @@
             judge(worker.id, worker.zone, unheard = false, worker.settled, unreported, now, mute)?.let(wanted::add)
         }
         val waited = waited(leading, now)
-        for (id in unheard) if (now - (unheardAsked[id] ?: Moment.NEVER) > RELEASE_AGAIN) judge(id, known[id]?.zone, unheard = true, settled = false, waited, now)?.let(wanted::add)
+        for (id in unheard) {
+            if (now - (unheardAsked[id] ?: Moment.NEVER) >
+                RELEASE_AGAIN
+            ) {
+                judge(id, known[id]?.zone, unheard = true, settled = false, waited, now)?.let(wanted::add)
+            }
+        }
         val may = wanted.groupBy { it.zone }.values.flatMap { its ->
             val (proven, silent) = its.partition { it.row.proven }
             // Of a zone that nobody knows, nothing is known to pace by either.
             val zone = its.first().zone ?: return@flatMap its
-            proven + silent.sortedByDescending { it.quiet }.take(pace.allow(zone, known.values.count { it.zone == zone }, silent.size, now))
+            proven +
+                silent.sortedByDescending {
+                    it.quiet
+                }.take(pace.allow(zone, known.values.count { it.zone == zone }, silent.size, now))
         }
         val (gone, silent) = may.partition { it.unheard }
         for (one in silent) {
             table.workers[one.id]?.releaseAsked = now
-            events.info("worker silent", one.id) { "worker silent machine=${one.id} for_ms=${one.quiet.inWholeMilliseconds} because=${one.row.name.lowercase()}" }
+            events.info("worker silent", one.id) {
+                "worker silent machine=${one.id} for_ms=${one.quiet.inWholeMilliseconds} because=${one.row.name.lowercase()}"
+            }
         }
         gone.forEach { unheardAsked[it.id] = now }
         if (silent.isNotEmpty()) ports.fleet(FleetMessage.Release(silent.map { it.id }, ReturnReason.SILENT))
@@ -205,12 +250,30 @@
     }
 
     /** A machine whose silence has lasted for as long as its standing asks. */
-    private class Wanted(val id: MachineId, val zone: Zone?, val row: SilenceRow, val quiet: Duration, val unheard: Boolean)
+    private class Wanted(
+        val id: MachineId,
+        val zone: Zone?,
+        val row: SilenceRow,
+        val quiet: Duration,
+        val unheard: Boolean,
+    )
 
-    private fun judge(id: MachineId, zone: Zone?, unheard: Boolean, settled: Boolean, quiet: Duration, now: Moment, mute: Boolean = false): Wanted? {
+    private fun judge(
+        id: MachineId,
+        zone: Zone?,
+        unheard: Boolean,
+        settled: Boolean,
+        quiet: Duration,
+        now: Moment,
+        mute: Boolean = false,
+    ): Wanted? {
         if (quiet <= reconciliation.least) return null
         val machine = SilentMachine(
-            unheard, settled, inquiry.isUnlisted(id), inquiry.unreachableSince(id), inquiry.wasAskedInVain(id), lastWord[zone],
+            unheard, settled,
+            inquiry.isUnlisted(
+                id,
+            ),
+            inquiry.unreachableSince(id), inquiry.wasAskedInVain(id), lastWord[zone],
             zone in doubtfulZones, zone in cutZones, zone in missingZones, mute,
         )
         val endsSoon = takeover.endsSoon(now)
--- a/src/main/kotlin/org/elderhitch/workers/Takeover.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Takeover.kt
@@ -16,7 +16,11 @@
  * What is still unclear of earlier terms: machines that may run something and have not said what. While any is left,
  * tasks that no report names may be there, and so may the quota that they use.
  */
-internal class Takeover(private val times: TenureTimes, private val leases: LeaseTimes, private val clock: SteadyClock) {
+internal class Takeover(
+    private val times: TenureTimes,
+    private val leases: LeaseTimes,
+    private val clock: SteadyClock,
+) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
     private var term = Term.NONE
     private var silent: HashSet<MachineId>? = null
@@ -87,7 +91,13 @@
     fun mayHide(job: JobSpec, known: Map<MachineId, Machine>, catalog: Catalog): Boolean {
         if (settled) return false
         val unheard = silent ?: return true
-        return unheard.any { id -> known[id]?.let { job.mayUse(it.type, it.zone, it.spot) && catalog.resources(it.type)?.let(job.need::fitsIn) != false } ?: true }
+        return unheard.any { id ->
+            known[id]?.let {
+                job.mayUse(it.type, it.zone, it.spot) &&
+                    catalog.resources(it.type)?.let(job.need::fitsIn) != false
+            }
+                ?: true
+        }
     }
 
     /** How many machines of a zone may still run what nobody has reported; null: it isn't known which there are. */
--- a/src/main/kotlin/org/elderhitch/workers/Tally.kt
+++ b/src/main/kotlin/org/elderhitch/workers/Tally.kt
@@ -45,7 +45,11 @@
         if (placement.stop != null) return
         lost++
         // A member of a gang that waited in vain for the others, or a fetch that was cut short, says nothing of the task.
-        if (counting && (placement.failed || placement.runsSince != null)) (failures ?: HashMap<Int, Int>().also { failures = it }).merge(placement.task.index, 1, Int::plus)
+        if (counting &&
+            (placement.failed || placement.runsSince != null)
+        ) {
+            (failures ?: HashMap<Int, Int>().also { failures = it }).merge(placement.task.index, 1, Int::plus)
+        }
     }
 
     fun failuresOf(index: Int): Int = failures?.get(index) ?: 0
@@ -54,7 +58,8 @@
         failures = null
     }
 
-    private fun ran(placement: Placement, now: Moment): Duration = placement.runsSince?.let { now - it } ?: Duration.ZERO
+    private fun ran(placement: Placement, now: Moment): Duration =
+        placement.runsSince?.let { now - it } ?: Duration.ZERO
 
     fun account(job: JobState, now: Moment, wall: WallTime, lowerBound: Boolean): Account {
         var serving = useful
--- a/src/main/kotlin/org/elderhitch/workers/TaskTable.kt
+++ b/src/main/kotlin/org/elderhitch/workers/TaskTable.kt
@@ -54,7 +54,9 @@
         dirty = true
     }
 
-    fun open(event: JobEvent.Opened): JobState = jobs.getOrPut(event.spec.id) { JobState(event.spec, event.version, clock.now(), event.kept) }
+    fun open(event: JobEvent.Opened): JobState = jobs.getOrPut(event.spec.id) {
+        JobState(event.spec, event.version, clock.now(), event.kept)
+    }
 
     /** Tasks of a job that are recorded as finished. */
     fun finished(event: JobEvent.Finished) {
@@ -67,7 +69,15 @@
     /** An open job that a worker names, perhaps one that was not opened here yet; null: it has ended. */
     fun named(id: JobId): JobState? = jobs[id] ?: keeps(id)?.let(::open)
 
-    fun place(job: JobState, task: TaskId, attempt: Attempt, worker: WorkerState, certainty: Certainty, sendBy: Moment, sendFrom: Moment = Moment.NEVER): Placement {
+    fun place(
+        job: JobState,
+        task: TaskId,
+        attempt: Attempt,
+        worker: WorkerState,
+        certainty: Certainty,
+        sendBy: Moment,
+        sendFrom: Moment = Moment.NEVER,
+    ): Placement {
         val placement = Placement(task, attempt, worker, certainty, sendBy, sendFrom)
         job.placements[task.index] = placement
         put(job, placement)
@@ -150,13 +160,17 @@
 
     /** Where each task is by this table, surplus copies not counted. */
     fun whereabouts(): Map<TaskId, MachineId> =
-        jobs.values.flatMap { it.placements.values }.filter { it.certainty != Certainty.ASSIGNED }.associate { it.task to it.worker.id }
+        jobs.values.flatMap { it.placements.values }.filter { it.certainty != Certainty.ASSIGNED }.associate {
+            it.task to
+                it.worker.id
+        }
 
     /** What a task takes of a job that ended lately; null: it is not known. */
     fun departed(id: JobId): JobSpec? = departed[id]?.first
 
     /** Whether the ending of a job that a worker names has been read here; null: it is not open here, and may have been recorded after what is known. */
-    fun hasEnded(id: JobId, complete: Boolean): Boolean? = named(id)?.ended ?: if (complete || id in departed) true else null
+    fun hasEnded(id: JobId, complete: Boolean): Boolean? =
+        named(id)?.ended ?: if (complete || id in departed) true else null
 
     fun end(job: JobState) {
         if (!job.ended) job.endedAfter = proven
--- a/src/main/kotlin/org/elderhitch/workers/WorkerLine.kt
+++ b/src/main/kotlin/org/elderhitch/workers/WorkerLine.kt
@@ -32,19 +32,35 @@
     private val questions = Semaphore(QUESTIONS_AT_ONCE)
 
     /** [entitled] is asked last, when its turn has come: commands don't wait in line beyond the leader's window. */
-    public suspend fun send(to: Address, term: Term, session: Long, commands: List<Command>, entitled: () -> Boolean): CommandOutcome =
-        turns.withPermit {
-            if (!entitled()) return CommandOutcome.NotExecuted
-            when (val delivery = transport.deliver(to, "POST", "/do", ReportCodec.encodeDirect(term, session, commands), CONNECT, TIMEOUT)) {
-                is Delivery.Answered -> when (delivery.response.status) {
-                    OK -> executed(delivery.response.body)
-                    CONFLICT, BAD -> CommandOutcome.NotExecuted
-                    else -> CommandOutcome.Unknown
-                }
-                Delivery.NotSent -> CommandOutcome.Unreachable
-                Delivery.Unknown -> CommandOutcome.Unknown
+    public suspend fun send(
+        to: Address,
+        term: Term,
+        session: Long,
+        commands: List<Command>,
+        entitled: () -> Boolean,
+    ): CommandOutcome = turns.withPermit {
+        if (!entitled()) return CommandOutcome.NotExecuted
+        when (
+            val delivery = transport.deliver(
+                to,
+                "POST",
+                "/do",
+                ReportCodec.encodeDirect(term, session, commands),
+                CONNECT,
+                TIMEOUT,
+            )
+        ) {
+            is Delivery.Answered -> when (delivery.response.status) {
+                OK -> executed(delivery.response.body)
+                CONFLICT, BAD -> CommandOutcome.NotExecuted
+                else -> CommandOutcome.Unknown
             }
+
+            Delivery.NotSent -> CommandOutcome.Unreachable
+
+            Delivery.Unknown -> CommandOutcome.Unknown
         }
+    }
 
     /**
      * What a worker says, once it knows our term. Two connections must fail before it counts as unreachable: a single
@@ -54,12 +70,22 @@
         var first = transport.deliver(at, "GET", "/inspect", null, ASK_CONNECT, TIMEOUT)
         if (first == Delivery.NotSent) first = transport.deliver(at, "GET", "/inspect", null, ASK_CONNECT, TIMEOUT)
         val said = when (first) {
-            is Delivery.Answered -> executed(first.response.body) as? CommandOutcome.Executed ?: return CommandOutcome.Unknown
+            is Delivery.Answered -> executed(first.response.body) as? CommandOutcome.Executed
+                ?: return CommandOutcome.Unknown
+
             Delivery.NotSent -> return CommandOutcome.Unreachable
+
             Delivery.Unknown -> return CommandOutcome.Unknown
         }
         if (said.report.term >= term || !entitled()) return said
-        val told = transport.deliver(at, "POST", "/do", ReportCodec.encodeDirect(term, said.report.order.session, emptyList()), CONNECT, TIMEOUT)
+        val told = transport.deliver(
+            at,
+            "POST",
+            "/do",
+            ReportCodec.encodeDirect(term, said.report.order.session, emptyList()),
+            CONNECT,
+            TIMEOUT,
+        )
         if (told is Delivery.Answered && told.response.status == OK) executed(told.response.body) else said
     }
 
--- a/src/main/kotlin/org/elderhitch/workers/WorkerState.kt
+++ b/src/main/kotlin/org/elderhitch/workers/WorkerState.kt
@@ -1,12 +1,12 @@
 package org.elderhitch.workers
 
 import org.elderhitch.http.Address
+import org.elderhitch.jobs.FinishedTasks
 import org.elderhitch.jobs.Hold
 import org.elderhitch.jobs.Image
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.JobSpec
 import org.elderhitch.jobs.MachineType
-import org.elderhitch.jobs.FinishedTasks
 import org.elderhitch.jobs.TaskId
 import org.elderhitch.placement.MachineView
 import org.elderhitch.settings.Zone
@@ -188,7 +188,12 @@
     }
 }
 
-internal class JobState(val spec: JobSpec, val version: Revision, val openedAt: Moment = Moment.NEVER, val kept: Boolean = false) {
+internal class JobState(
+    val spec: JobSpec,
+    val version: Revision,
+    val openedAt: Moment = Moment.NEVER,
+    val kept: Boolean = false,
+) {
     /** Recorded as finished. */
     val finished = FinishedTasks(spec.tasks)
 
@@ -232,7 +237,11 @@
     }
 
     /** Its tasks on machines or on their way there, surplus copies included. */
-    fun everywhere(): Sequence<Placement> = placements.values.asSequence() + surplus?.values.orEmpty().asSequence().flatten()
+    fun everywhere(): Sequence<Placement> =
+        placements.values.asSequence() + surplus?.values.orEmpty().asSequence().flatten()
 
-    val running: Int get() = placements.values.count { it.certainty == Certainty.REPORTED && it.phase == TaskPhase.RUNNING }
+    val running: Int get() = placements.values.count {
+        it.certainty == Certainty.REPORTED &&
+            it.phase == TaskPhase.RUNNING
+    }
 }
--- a/src/main/kotlin/org/elderhitch/workers/ZoneDelegates.kt
+++ b/src/main/kotlin/org/elderhitch/workers/ZoneDelegates.kt
@@ -1,15 +1,15 @@
 package org.elderhitch.workers
 
+import org.elderhitch.delegates.Grant
+import org.elderhitch.delegates.LeaseDelegate
+import org.elderhitch.delegates.Named
+import org.elderhitch.delegates.Promises
+import org.elderhitch.delegates.ZoneStanding
 import org.elderhitch.leadership.Tenure
 import org.elderhitch.leadership.TenureTimes
 import org.elderhitch.settings.NodeName
 import org.elderhitch.settings.Zone
 import org.elderhitch.time.Moment
-import org.elderhitch.delegates.Grant
-import org.elderhitch.delegates.Named
-import org.elderhitch.delegates.Promises
-import org.elderhitch.delegates.LeaseDelegate
-import org.elderhitch.delegates.ZoneStanding
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -91,14 +91,27 @@
         if (report.zone == zone && answering != (term != null)) {
             answering = term != null
             if (answering) {
-                log.info("lease delegate answers zone={} term={} left_ms={}", zone, term, delegate.grant?.let { (it.until - now).inWholeMilliseconds })
+                log.info(
+                    "lease delegate answers zone={} term={} left_ms={}",
+                    zone,
+                    term,
+                    delegate.grant?.let {
+                        (
+                            it.until -
+                                now
+                            ).inWholeMilliseconds
+                    },
+                )
             } else {
                 log.info("lease delegate rests zone={}", zone)
             }
         }
         if (term == null) return null
         // Of a job that isn't open here nothing is known for sure; of one that was seen to end, everything.
-        val ended = report.tasks.filter { it.phase != TaskPhase.EXITED && table.hasEnded(it.task.job, complete = false) == true }
+        val ended = report.tasks.filter {
+            it.phase != TaskPhase.EXITED &&
+                table.hasEnded(it.task.job, complete = false) == true
+        }
         return ReportAnswer.Accepted(term, ended.map { task -> Command.Stop(task.task, task.attempt, Duration.ZERO) })
     }
 
--- a/src/main/kotlin/org/ggf/drmaa/Exceptions.kt
+++ b/src/main/kotlin/org/ggf/drmaa/Exceptions.kt
@@ -8,22 +8,27 @@
 public abstract class SessionException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
 /** The job is not in the state that the action needs. */
-public abstract class InconsistentStateException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
+public abstract class InconsistentStateException @JvmOverloads constructor(message: String? = null) :
+    DrmaaException(message)
 
 /** An attribute of a job template can't be what it was set to. */
-public abstract class InvalidAttributeException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
+public abstract class InvalidAttributeException @JvmOverloads constructor(message: String? = null) :
+    DrmaaException(message)
 
 /** Another session is active in this [Session]. */
-public class AlreadyActiveSessionException @JvmOverloads constructor(message: String? = null) : SessionException(message)
+public class AlreadyActiveSessionException @JvmOverloads constructor(message: String? = null) :
+    SessionException(message)
 
 /** The user may not do this. */
 public class AuthorizationException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
 /** Two attributes contradict each other. */
-public class ConflictingAttributeValuesException @JvmOverloads constructor(message: String? = null) : InvalidAttributeException(message)
+public class ConflictingAttributeValuesException @JvmOverloads constructor(message: String? = null) :
+    InvalidAttributeException(message)
 
 /** The default contact string can't be used. */
-public class DefaultContactStringException @JvmOverloads constructor(message: String? = null) : SessionException(message)
+public class DefaultContactStringException @JvmOverloads constructor(message: String? = null) :
+    SessionException(message)
 
 /** The scheduler's rules or limits don't allow it, now or ever. */
 public class DeniedByDrmException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
@@ -41,19 +46,23 @@
 public class ExitTimeoutException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
 /** The job can't be held in its present state. */
-public class HoldInconsistentStateException @JvmOverloads constructor(message: String? = null) : InconsistentStateException(message)
+public class HoldInconsistentStateException @JvmOverloads constructor(message: String? = null) :
+    InconsistentStateException(message)
 
 /** Something went wrong that no other exception names. */
 public class InternalException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
 /** The text of an attribute has not the form that it needs. */
-public class InvalidAttributeFormatException @JvmOverloads constructor(message: String? = null) : InvalidAttributeException(message)
+public class InvalidAttributeFormatException @JvmOverloads constructor(message: String? = null) :
+    InvalidAttributeException(message)
 
 /** The value of an attribute is out of its range. */
-public class InvalidAttributeValueException @JvmOverloads constructor(message: String? = null) : InvalidAttributeException(message)
+public class InvalidAttributeValueException @JvmOverloads constructor(message: String? = null) :
+    InvalidAttributeException(message)
 
 /** The contact string is none. */
-public class InvalidContactStringException @JvmOverloads constructor(message: String? = null) : SessionException(message)
+public class InvalidContactStringException @JvmOverloads constructor(message: String? = null) :
+    SessionException(message)
 
 /** No such job in this session, or its result is gone. */
 public class InvalidJobException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
@@ -65,19 +74,24 @@
 public class NoActiveSessionException @JvmOverloads constructor(message: String? = null) : SessionException(message)
 
 /** No contact string was given, and there is no default. */
-public class NoDefaultContactStringException @JvmOverloads constructor(message: String? = null) : SessionException(message)
+public class NoDefaultContactStringException @JvmOverloads constructor(message: String? = null) :
+    SessionException(message)
 
 /** The job can't be released in its present state. */
-public class ReleaseInconsistentStateException @JvmOverloads constructor(message: String? = null) : InconsistentStateException(message)
+public class ReleaseInconsistentStateException @JvmOverloads constructor(message: String? = null) :
+    InconsistentStateException(message)
 
 /** The job can't be resumed in its present state. */
-public class ResumeInconsistentStateException @JvmOverloads constructor(message: String? = null) : InconsistentStateException(message)
+public class ResumeInconsistentStateException @JvmOverloads constructor(message: String? = null) :
+    InconsistentStateException(message)
 
 /** The job can't be suspended in its present state. */
-public class SuspendInconsistentStateException @JvmOverloads constructor(message: String? = null) : InconsistentStateException(message)
+public class SuspendInconsistentStateException @JvmOverloads constructor(message: String? = null) :
+    InconsistentStateException(message)
 
 /** The scheduler can't take it now; later it may. */
 public class TryLaterException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
 /** An optional attribute that this implementation doesn't have. */
-public class UnsupportedAttributeException @JvmOverloads constructor(message: String? = null) : InvalidAttributeException(message)
+public class UnsupportedAttributeException @JvmOverloads constructor(message: String? = null) :
+    InvalidAttributeException(message)
--- a/src/main/kotlin/org/ggf/drmaa/PartialTimestamp.kt
+++ b/src/main/kotlin/org/ggf/drmaa/PartialTimestamp.kt
@@ -17,7 +17,9 @@
  * Months count from 0, as in [java.util.Calendar]. The zone is the user's own unless an offset (in minutes) is set.
  */
 @Suppress("LongParameterList")
-public class PartialTimestamp() : Cloneable, java.io.Serializable {
+public class PartialTimestamp() :
+    Cloneable,
+    java.io.Serializable {
     private val fields = IntArray(FIELDS) { UNSET }
     private val modifiers = IntArray(FIELDS)
 
@@ -33,11 +35,22 @@
         set(DAY_OF_MONTH, dayOfMonth)
     }
 
-    public constructor(month: Int, dayOfMonth: Int, hour: Int, minute: Int, second: Int) : this(dayOfMonth, hour, minute, second) {
+    public constructor(month: Int, dayOfMonth: Int, hour: Int, minute: Int, second: Int) : this(
+        dayOfMonth,
+        hour,
+        minute,
+        second,
+    ) {
         set(MONTH, month)
     }
 
-    public constructor(year: Int, month: Int, dayOfMonth: Int, hour: Int, minute: Int, second: Int) : this(month, dayOfMonth, hour, minute, second) {
+    public constructor(year: Int, month: Int, dayOfMonth: Int, hour: Int, minute: Int, second: Int) : this(
+        month,
+        dayOfMonth,
+        hour,
+        minute,
+        second,
+    ) {
         set(CENTURY, year / YEARS)
         set(YEAR, year % YEARS)
     }
@@ -56,7 +69,9 @@
     /** [IllegalArgumentException] for a value out of the field's range; [UNSET] takes the field away. */
     public fun set(field: Int, value: Int) {
         val range = RANGES.getOrNull(field) ?: throw IllegalArgumentException("no field $field")
-        require(value == UNSET || value in range) { "${NAMES[field]}: $value is not from ${range.first} to ${range.last}" }
+        require(value == UNSET || value in range) {
+            "${NAMES[field]}: $value is not from ${range.first} to ${range.last}"
+        }
         fields[field] = value
     }
 
@@ -85,7 +100,14 @@
     }
 
     /** Null where the user's own zone counts. */
-    private val offset: ZoneId? get() = if (isSet(ZONE_OFFSET)) ZoneOffset.ofTotalSeconds(fields[ZONE_OFFSET] * SECONDS) else null
+    private val offset: ZoneId? get() = if (isSet(
+            ZONE_OFFSET,
+        )
+    ) {
+        ZoneOffset.ofTotalSeconds(fields[ZONE_OFFSET] * SECONDS)
+    } else {
+        null
+    }
 
     public fun getTime(): Date = Date(getTimeInMillis())
 
@@ -94,7 +116,13 @@
     /** The time that is meant at [now] in [zone]: a pure function. Throws [IllegalArgumentException] for a date that never is. */
     internal fun resolve(now: Instant, zone: ZoneId): Instant {
         val here = ZonedDateTime.ofInstant(now, zone).toLocalDateTime()
-        val minute = if (isSet(MINUTE)) fields[MINUTE] else if (isSet(HOUR_OF_DAY)) 0 else here.minute
+        val minute = if (isSet(MINUTE)) {
+            fields[MINUTE]
+        } else if (isSet(HOUR_OF_DAY)) {
+            0
+        } else {
+            here.minute
+        }
         val second = if (isSet(SECOND)) fields[SECOND] else 0
         val fixed = candidates(here).firstNotNullOfOrNull { (year, month, day, hour) ->
             val time = try {
@@ -113,15 +141,37 @@
 
     /** The times in question, soonest first. A day that not every month has comes up within eight years. */
     private fun candidates(here: LocalDateTime): Sequence<Guess> = sequence {
-        val years = if (isSet(YEAR)) listOf(century(here) * YEARS + fields[YEAR]) else (here.year..here.year + LEAP_GAP).toList()
+        val years = if (isSet(
+                YEAR,
+            )
+        ) {
+            listOf(century(here) * YEARS + fields[YEAR])
+        } else {
+            (here.year..here.year + LEAP_GAP).toList()
+        }
         for (year in years) {
             for (month in if (isSet(MONTH)) fields[MONTH]..fields[MONTH] else 0 until MONTHS) {
                 val days = Year.of(year).atMonth(month + 1).lengthOfMonth()
                 val day = fields[DAY_OF_MONTH]
                 if (day != UNSET && day > days) continue
                 for (d in if (day != UNSET) day..day else 1..days) {
-                    if (!isSet(YEAR) && LocalDateTime.of(year, month + 1, d, LAST_HOUR, LAST_MINUTE).isBefore(here)) continue
-                    for (hour in if (isSet(HOUR_OF_DAY)) fields[HOUR_OF_DAY]..fields[HOUR_OF_DAY] else 0..LAST_HOUR) yield(Guess(year, month, d, hour))
+                    if (!isSet(YEAR) &&
+                        LocalDateTime.of(year, month + 1, d, LAST_HOUR, LAST_MINUTE).isBefore(here)
+                    ) {
+                        continue
+                    }
+                    for (hour in if (isSet(
+                            HOUR_OF_DAY,
+                        )
+                    ) {
+                        fields[HOUR_OF_DAY]..fields[HOUR_OF_DAY]
+                    } else {
+                        0..LAST_HOUR
+                    }) {
+                        yield(
+                            Guess(year, month, d, hour),
+                        )
+                    }
                 }
             }
         }
@@ -167,7 +217,8 @@
         private const val LEAP_GAP = 8
         private const val SECONDS = 60
         private const val HASH = 31
-        private val NAMES = listOf("century", "year", "month", "day of month", "hour", "minute", "second", "zone offset")
+        private val NAMES =
+            listOf("century", "year", "month", "day of month", "hour", "minute", "second", "zone offset")
 
         // A leap second is told as the last of the minute; offsets reach 18 hours either way.
         private val RANGES = listOf(0..99, 0..99, 0..11, 1..31, 0..23, 0..59, 0..59, -1080..1080)
@@ -182,7 +233,12 @@
             if (time.isSet(PartialTimestamp.CENTURY)) append(two(PartialTimestamp.CENTURY))
             append(two(PartialTimestamp.YEAR)).append('/')
         }
-        if (time.isSet(PartialTimestamp.MONTH)) append((time.get(PartialTimestamp.MONTH) + 1).toString().padStart(2, '0')).append('/')
+        if (time.isSet(
+                PartialTimestamp.MONTH,
+            )
+        ) {
+            append((time.get(PartialTimestamp.MONTH) + 1).toString().padStart(2, '0')).append('/')
+        }
         if (time.isSet(PartialTimestamp.DAY_OF_MONTH)) append(two(PartialTimestamp.DAY_OF_MONTH)).append(' ')
         if (time.isSet(PartialTimestamp.HOUR_OF_DAY)) append(two(PartialTimestamp.HOUR_OF_DAY))
         append(':')
@@ -191,13 +247,25 @@
         if (time.isSet(PartialTimestamp.ZONE_OFFSET)) {
             val offset = time.get(PartialTimestamp.ZONE_OFFSET)
             val size = Math.abs(offset)
-            append(if (offset < 0) " -" else " +").append((size / HOUR).toString().padStart(2, '0')).append(':').append((size % HOUR).toString().padStart(2, '0'))
+            append(
+                if (offset <
+                    0
+                ) {
+                    " -"
+                } else {
+                    " +"
+                },
+            ).append(
+                (size / HOUR).toString().padStart(2, '0'),
+            ).append(':').append((size % HOUR).toString().padStart(2, '0'))
         }
     }
 
     @Throws(ParseException::class)
     public fun parse(text: String): PartialTimestamp {
-        val match = FORM.matchEntire(text.trim()) ?: throw ParseException("not of the form [[[[CC]YY/]MM/]DD] hh:mm[:ss] [{-|+}UU:uu]: $text", 0)
+        val match =
+            FORM.matchEntire(text.trim())
+                ?: throw ParseException("not of the form [[[[CC]YY/]MM/]DD] hh:mm[:ss] [{-|+}UU:uu]: $text", 0)
         val (century, year, month, day, hour, minute, second) = match.destructured
         val (sign, hours, minutes) = match.groupValues.takeLast(OFFSET_GROUPS)
         val time = PartialTimestamp()
@@ -205,7 +273,12 @@
             for ((field, value) in listOf(century, year, month, day, hour, minute, second).withIndex()) {
                 if (value.isNotEmpty()) time.set(field, value.toInt() - (if (field == PartialTimestamp.MONTH) 1 else 0))
             }
-            if (sign.isNotEmpty()) time.set(PartialTimestamp.ZONE_OFFSET, (hours.toInt() * HOUR + minutes.toInt()) * (if (sign == "-") -1 else 1))
+            if (sign.isNotEmpty()) {
+                time.set(
+                    PartialTimestamp.ZONE_OFFSET,
+                    (hours.toInt() * HOUR + minutes.toInt()) * (if (sign == "-") -1 else 1),
+                )
+            }
         } catch (e: IllegalArgumentException) {
             throw ParseException("$text: ${e.message}", 0)
         }
@@ -215,6 +288,9 @@
     private companion object {
         const val HOUR = 60
         const val OFFSET_GROUPS = 3
-        val FORM = Regex("(?:(?:(?:(\\d\\d)?(\\d\\d)/)?(\\d\\d)/)?(\\d\\d)\\s+)?(\\d\\d):(\\d\\d)(?::(\\d\\d))?(?:\\s*([+-])(\\d\\d):(\\d\\d))?")
+        val FORM =
+            Regex(
+                "(?:(?:(?:(\\d\\d)?(\\d\\d)/)?(\\d\\d)/)?(\\d\\d)\\s+)?(\\d\\d):(\\d\\d)(?::(\\d\\d))?(?:\\s*([+-])(\\d\\d):(\\d\\d))?",
+            )
     }
 }
--- a/src/main/kotlin/org/ggf/drmaa/Session.kt
+++ b/src/main/kotlin/org/ggf/drmaa/Session.kt
@@ -121,7 +121,10 @@
 }
 
 /** A version of the specification. */
-public class Version(private val major: Int, private val minor: Int) : Cloneable, java.io.Serializable, Comparable<Version> {
+public class Version(private val major: Int, private val minor: Int) :
+    Cloneable,
+    java.io.Serializable,
+    Comparable<Version> {
     public fun getMajor(): Int = major
 
     public fun getMinor(): Int = minor
@@ -147,7 +150,8 @@
     private var inputStream: Boolean = false,
     private var outputStream: Boolean = false,
     private var errorStream: Boolean = false,
-) : Cloneable, java.io.Serializable {
+) : Cloneable,
+    java.io.Serializable {
     public fun getInputStream(): Boolean = inputStream
 
     public fun setInputStream(inputStream: Boolean) {
@@ -166,13 +170,15 @@
         this.errorStream = errorStream
     }
 
-    private val bits: Int get() = (if (inputStream) 1 else 0) + (if (outputStream) 2 else 0) + (if (errorStream) ERROR else 0)
+    private val bits: Int get() = (if (inputStream) 1 else 0) + (if (outputStream) 2 else 0) +
+        (if (errorStream) ERROR else 0)
 
     override fun equals(other: Any?): Boolean = other is FileTransferMode && bits == other.bits
 
     override fun hashCode(): Int = bits
 
-    override fun toString(): String = (if (errorStream) "e" else "") + (if (inputStream) "i" else "") + (if (outputStream) "o" else "")
+    override fun toString(): String =
+        (if (errorStream) "e" else "") + (if (inputStream) "i" else "") + (if (outputStream) "o" else "")
 
     public override fun clone(): Any = FileTransferMode(inputStream, outputStream, errorStream)
 
