--- a/src/main/kotlin/org/elderhitch/app/Rehearsal.kt
+++ b/src/main/kotlin/org/elderhitch/app/ClassArchiveTraining.kt
@@ -29,7 +29,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The daemon against the stand-ins on loopback: for a first try by hand, and for the build's class archive. */
-internal object Rehearsal {
+internal object ClassArchiveTraining {
     private val log = LoggerFactory.getLogger("elderhitch.standin")
     private const val MACHINES_PER_ZONE = 8
     private const val SOCKETS = 256
@@ -92,7 +92,8 @@
     }
 
     /**
-     * Ends the process whatever happens: its threads would keep it, and the build that waits for it, for ever. Seen: another
+     * Ends the process whatever happens: its threads would keep it, and the build that waits for it, for ever. Seen:
+     * another
      * process had taken a port between its choice and its use.
      */
     fun run() {
@@ -167,7 +168,12 @@
     fun exampleJob(id: String, kind: String): Map<String, Any?> = linkedMapOf(
         "id" to id, "lotClass" to "example", "desk" to "team", "lotKind" to kind, "urgency" to "normal", "crates" to 2,
         "cores" to 4.0, "accelerators" to 1.0, "memGb" to 8.0, "catchImage" to "img-1", "pullGb" to 1.0, "rigs" to null,
-        "hall" to null, "samePlace" to false, "spread" to false, "borrowedRigs" to true, "haulS" to 1.0, "tallyS" to 0.0,
+        "hall" to null,
+        "samePlace" to false,
+        "spread" to false,
+        "borrowedRigs" to true,
+        "haulS" to 1.0,
+        "tallyS" to 0.0,
         "stowS" to 0.0, "closingS" to null,
     )
 
--- a/src/main/kotlin/org/elderhitch/app/Commands.kt
+++ b/src/main/kotlin/org/elderhitch/app/Commands.kt
@@ -84,7 +84,7 @@
     override fun run(): Unit = ask("GET", "/work/$id")
 }
 
-internal class Withdraw : Ask("withdraw") {
+internal class Cancel : Ask("withdraw") {
     private val id by argument(help = "the job's id")
 
     override fun help(context: Context): String = "Cancel a job"
@@ -134,7 +134,7 @@
     override fun help(context: Context): String =
         "Run a state service, a cloud and workers of our own, to try a controller out"
 
-    override fun run(): Unit = Rehearsal.standIns(
+    override fun run(): Unit = ClassArchiveTraining.standIns(
         config,
         nodes?.split(',')?.associate {
             it.substringBefore('=') to
@@ -151,5 +151,5 @@
     override fun help(context: Context): String =
         "Run a controller against the stand-ins for some seconds; the build makes its class archive so"
 
-    override fun run(): Unit = Rehearsal.run()
+    override fun run(): Unit = ClassArchiveTraining.run()
 }
--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -5,51 +5,51 @@
 import kotlinx.coroutines.launch
 import org.elderhitch.cluster.Cluster
 import org.elderhitch.cluster.ClusterPorts
-import org.elderhitch.delegates.Grant
-import org.elderhitch.delegates.Named
+import org.elderhitch.delegates.DelegationGrant
+import org.elderhitch.delegates.DelegationOffer
 import org.elderhitch.features.FeatureContext
 import org.elderhitch.features.FeatureSet
 import org.elderhitch.features.Features
 import org.elderhitch.fleet.Catalog
-import org.elderhitch.fleet.CatalogKeeper
+import org.elderhitch.fleet.CatalogRefresher
+import org.elderhitch.fleet.CloudCallScheduler
 import org.elderhitch.fleet.CloudClient
-import org.elderhitch.fleet.CloudTurns
 import org.elderhitch.fleet.FleetMessage
 import org.elderhitch.fleet.FleetPolicy
 import org.elderhitch.fleet.FleetPorts
-import org.elderhitch.fleet.Renter
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.fleet.ProvisioningActor
+import org.elderhitch.heartbeat.WorkerClient
 import org.elderhitch.http.Handler
 import org.elderhitch.http.Request
 import org.elderhitch.http.Response
 import org.elderhitch.http.Transport
 import org.elderhitch.jobs.Admission
-import org.elderhitch.jobs.EndRecord
+import org.elderhitch.jobs.CompletionWriter
 import org.elderhitch.jobs.Footprint
-import org.elderhitch.jobs.JobBook
-import org.elderhitch.jobs.JobDesk
 import org.elderhitch.jobs.JobEvent
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.JobMessage
-import org.elderhitch.jobs.Recorder
+import org.elderhitch.jobs.JobRegistry
+import org.elderhitch.jobs.JobService
 import org.elderhitch.jobs.TaskId
+import org.elderhitch.jobs.TerminalRecord
 import org.elderhitch.leadership.Incarnation
 import org.elderhitch.leadership.Leadership
 import org.elderhitch.leadership.LeadershipMessage
-import org.elderhitch.leadership.Tenure
-import org.elderhitch.leadership.TenureTimes
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.leadership.LeadershipTimeouts
 import org.elderhitch.leadership.Term
+import org.elderhitch.scheduler.SchedulerActor
+import org.elderhitch.scheduler.SchedulerMessage
 import org.elderhitch.settings.NodeName
 import org.elderhitch.settings.Settings
-import org.elderhitch.store.Feed
-import org.elderhitch.store.RateBudget
+import org.elderhitch.store.RequestRateLimiter
 import org.elderhitch.store.StateClient
-import org.elderhitch.time.Moment
+import org.elderhitch.store.StateWatch
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.elderhitch.time.WallClock
-import org.elderhitch.workers.Foreman
-import org.elderhitch.workers.ForemanMessage
-import org.elderhitch.workers.MachineId
-import org.elderhitch.workers.WorkerLine
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -62,7 +62,7 @@
     policy: FleetPolicy,
     transport: Transport,
     private val clock: SteadyClock,
-    wall: WallClock,
+    wallClock: WallClock,
     random: Random,
     features: Features = Features.NONE,
     private val bound: Footprint = Footprint.bound(Runtime.getRuntime().maxMemory()),
@@ -72,13 +72,13 @@
     onUnserved: (reason: String) -> Unit = { error(it) },
 ) {
     private val incarnation = Incarnation(random.nextLong().toULong().toString(RADIX))
-    private val times = TenureTimes.of(settings.workers)
-    private val meters = Meters(clock)
-    private val stateRequests = RateBudget(clock, share(settings.stateLimits.requestsPerS, FOLLOWER_SHARE))
-    private val stateWrites = RateBudget(clock, share(settings.stateLimits.writesPerS, FOLLOWER_SHARE))
-    private var lastContact = Moment.NEVER
+    private val times = LeadershipTimeouts.of(settings.workers)
+    private val metrics = Metrics(clock)
+    private val stateRequests = RequestRateLimiter(clock, share(settings.stateLimits.requestsPerS, FOLLOWER_SHARE))
+    private val stateWrites = RequestRateLimiter(clock, share(settings.stateLimits.writesPerS, FOLLOWER_SHARE))
+    private var lastContact = MonotonicInstant.NEVER
     private var failing = false
-    private var probedAt = Moment.NEVER
+    private var probedAt = MonotonicInstant.NEVER
     private var acting: Term? = null
     private var orderedOfCloud: Map<String, Any?> = emptyMap()
 
@@ -87,45 +87,76 @@
             failing = !answered
             if (answered) lastContact = clock.now()
         }
-    private val book: JobBook = JobBook(scope, ::jobEvent)
+    private val jobRegistry: JobRegistry = JobRegistry(scope, ::jobEvent)
     private val leadership: Leadership = Leadership(scope, settings.node, incarnation, client, times, clock, random)
     private val cloud = CloudClient(
         transport,
         settings.cloud,
-        RateBudget(
+        RequestRateLimiter(
             clock,
-            settings.cloudLimits.requestsPerS * CloudTurns.USABLE,
+            settings.cloudLimits.requestsPerS * CloudCallScheduler.USABLE,
         ),
     )
-    private val wiring: ForemanWiring = ForemanWiring(
+    private val wiring: SchedulerWiring = SchedulerWiring(
         scope, client,
-        Recorder(
+        CompletionWriter(
             client,
-            book,
+            jobRegistry,
             settings.stateLimits.txnOps,
         ),
-        book, WorkerLine(transport), leadership, ::featureSet,
-        settings.stateLimits.valueBytes, ::entitled, ::cutOff, { renter }, { foreman.tell(it) },
+        jobRegistry, WorkerClient(transport), leadership, ::featureSet,
+        settings.stateLimits.valueBytes, ::entitled, ::cutOff, { provisioning }, { scheduler.tell(it) },
     )
-    private val foreman: Foreman =
-        Foreman(scope, times, settings.workers, settings.teams, settings.objectives, settings.node, settings.nodeZones, clock, wiring, wall, features.rules, onCycle, policy.silentReturnShare, settings.cpuShare) {
-            featureSet().keeper(it)?.open(it)
+    private val scheduler: SchedulerActor =
+        SchedulerActor(
+            scope,
+            times,
+            settings.workers,
+            settings.teams,
+            settings.objectives,
+            settings.node,
+            settings.nodeZones,
+            clock,
+            wiring,
+            wallClock,
+            features.rules,
+            onCycle,
+            policy.silentReturnShare,
+            settings.cpuShare,
+        ) {
+            featureSet().jobProvider(it)?.open(it)
         }
-    private val renter: Renter =
-        Renter(scope, cloud, client, policy, settings.instantClasses, settings.cloudLimits, clock, fleetPorts())
-    private val catalog: CatalogKeeper =
-        CatalogKeeper(scope, cloud, client, settings.stateLimits.valueBytes, { feed.loaded }, ::catalogIs)
-    private val feed: Feed =
-        Feed(scope, client, clock, FeedFan(book, renter, catalog, foreman, leadership, ::featureSet, onUnserved))
-    private val leaderDesk: LeaderDesk =
-        LeaderDesk(foreman, {
-            leadership.tenure.value
+    private val provisioning: ProvisioningActor =
+        ProvisioningActor(
+            scope,
+            cloud,
+            client,
+            policy,
+            settings.instantClasses,
+            settings.cloudLimits,
+            clock,
+            fleetPorts(),
+        )
+    private val catalog: CatalogRefresher =
+        CatalogRefresher(scope, cloud, client, settings.stateLimits.valueBytes, { stateWatch.loaded }, ::catalogIs)
+    private val stateWatch: StateWatch =
+        StateWatch(
+            scope,
+            client,
+            clock,
+            WatchDispatcher(jobRegistry, provisioning, catalog, scheduler, leadership, ::featureSet, onUnserved),
+        )
+    private val leaderDesk: LeaderRpcHandler =
+        LeaderRpcHandler(scheduler, {
+            leadership.leadershipState.value
         }) { leader, path, body, timeout -> cluster.atLeader(leader, path, body, timeout) }
-    private val desk = JobDesk(
-        book, feed, client, settings.teams, { catalog.canEverRun(it) }, settings.stateLimits.valueBytes, wall,
+    private val jobService = JobService(
+        jobRegistry, stateWatch, client, settings.teams, {
+            catalog.canEverRun(it)
+        }, settings.stateLimits.valueBytes, wallClock,
         {
             leaderDesk.account(it.id)
-        }, features.rules, Admission(bound) { cluster.leastBound() }, { featureSet().keeper(it) },
+        }, features.rules, Admission(bound) { cluster.leastBound() }, { featureSet().jobProvider(it) },
         { id, record -> cluster.tellEnded(id, record) },
     )
     private val cluster: Cluster =
@@ -133,8 +164,8 @@
     private val features: FeatureSet = FeatureSet(
         features.factories.map {
             it.make(
-                FeatureContext(scope, settings, clock, wall, random, client, desk, meters, feed::sync, {
-                    leadership.tenure.value
+                FeatureContext(scope, settings, clock, wallClock, random, client, jobService, metrics, stateWatch::sync, {
+                    leadership.leadershipState.value
                 }, leaderDesk::hold, ::jobEvent, { id: JobId ->
                     wiring.running[id]
                         ?: 0
@@ -142,8 +173,10 @@
             )
         },
     )
-    private val edge: Edge =
-        Edge(desk, foreman, cluster, ::reachesState, { feed.loaded }, meters, this.features, leaderDesk, ::status)
+    private val edge: RequestRouter =
+        RequestRouter(jobService, scheduler, cluster, ::reachesState, {
+            stateWatch.loaded
+        }, metrics, this.features, leaderDesk, ::status)
 
     /** For users, workers and probes. */
     public val clients: Handler get() = edge
@@ -152,19 +185,19 @@
     public val peers: Handler get() = cluster
 
     public fun start() {
-        book.start()
-        foreman.start()
-        renter.start()
+        jobRegistry.start()
+        scheduler.start()
+        provisioning.start()
         leadership.start()
-        scope.launch { leadership.tenure.collect(::tenureIs) }
+        scope.launch { leadership.leadershipState.collect(::tenureIs) }
         features.start()
-        feed.start()
-        catalog.start(leadership.tenure)
+        stateWatch.start()
+        catalog.start(leadership.leadershipState)
         cluster.start()
-        meters.gauge("jobs.running_tasks") { wiring.running.values.sum() }
-        meters.gauge("jobs.open_bytes") { book.footprint.bytes }
-        meters.gauge("jobs.most_bytes") { (cluster.leastBound() ?: bound).bytes }
-        meters.gauge("term") { (leadership.tenure.value as? Tenure.Leading)?.term?.number ?: 0 }
+        metrics.gauge("jobs.running_tasks") { wiring.running.values.sum() }
+        metrics.gauge("jobs.open_bytes") { jobRegistry.footprint.bytes }
+        metrics.gauge("jobs.most_bytes") { (cluster.leastBound() ?: bound).bytes }
+        metrics.gauge("term") { (leadership.leadershipState.value as? LeadershipState.Leader)?.term?.number ?: 0 }
     }
 
     /** Where the leader believes each task to be; null: this node doesn't lead. */
@@ -178,8 +211,10 @@
     private fun reachesState(): Boolean = !failing && clock.now() - lastContact < CONTACT_FRESH
 
     /**
-     * The leader is not heard, and neither is any other node of its zone, or the state service. Two zones that can't reach each other both reach the state
-     * service: the workers of the one without the leader were refused by its nodes, and all that ran there ended with their leases (566 tasks of a drawn day).
+     * The leader is not heard, and neither is any other node of its zone, or the state service. Two zones that can't
+     * reach each other both reach the state
+     * service: the workers of the one without the leader were refused by its nodes, and all that ran there ended with
+     * their leases (566 tasks of a drawn day).
      * Where nothing changes the state service says nothing for long, and half of the workers' lease could be
      * over before [reachesState] notices that it is gone: it is asked.
      */
@@ -195,70 +230,75 @@
         val now = clock.now()
         if (lastContact > probedAt && now - lastContact > PROBE_AFTER) {
             probedAt = now
-            scope.launch { feed.sync() }
+            scope.launch { stateWatch.sync() }
         }
         return failing || lastContact <= probedAt && now - probedAt > PROBE_PATIENCE
     }
 
-    private fun tenureIs(tenure: Tenure) {
-        foreman.tell(ForemanMessage.TenureIs(tenure))
-        renter.tell(FleetMessage.TenureIs(tenure))
-        val part = if (tenure is Tenure.Leading) LEADER_SHARE else FOLLOWER_SHARE
+    private fun tenureIs(leadershipState: LeadershipState) {
+        scheduler.tell(SchedulerMessage.LeadershipChanged(leadershipState))
+        provisioning.tell(FleetMessage.LeadershipChanged(leadershipState))
+        val part = if (leadershipState is LeadershipState.Leader) LEADER_SHARE else FOLLOWER_SHARE
         stateRequests.setRate(share(settings.stateLimits.requestsPerS, part))
         stateWrites.setRate(share(settings.stateLimits.writesPerS, part))
-        val term = (tenure as? Tenure.Leading)?.term
+        val term = (leadershipState as? LeadershipState.Leader)?.term
         if (term == acting) return
         if (acting != null) features.termEnds()
         acting = term
-        if (tenure is Tenure.Leading) {
-            complete(tenure)
-            scope.launch { prove(tenure) }
+        if (leadershipState is LeadershipState.Leader) {
+            complete(leadershipState)
+            scope.launch { prove(leadershipState) }
         }
     }
 
     /** A term starts to act once all that was recorded before its claim is known here. */
-    private fun complete(leading: Tenure.Leading) {
+    private fun complete(leader: LeadershipState.Leader) {
         cluster.checkFormer()
         scope.launch {
-            while (!feed.sync() || !featureSet().prepare()) {
+            while (!stateWatch.sync() || !featureSet().prepare()) {
                 delay(SYNC_RETRY)
-                if ((leadership.tenure.value as? Tenure.Leading)?.term != leading.term) return@launch
+                if ((leadership.leadershipState.value as? LeadershipState.Leader)?.term != leader.term) return@launch
             }
-            foreman.tell(ForemanMessage.TableComplete(leading.term))
-            renter.tell(FleetMessage.TableComplete(leading.term))
-            if (acting == leading.term) features.termBegins(leading)
+            scheduler.tell(SchedulerMessage.JobsLoaded(leader.term))
+            provisioning.tell(FleetMessage.IntentsLoaded(leader.term))
+            if (acting == leader.term) features.termBegins(leader)
         }
     }
 
-    /** A leader's rights rest on what it knows, which ages: as often as it renews its lease it asks for all that it may lack. */
-    private suspend fun prove(leading: Tenure.Leading) {
-        while ((leadership.tenure.value as? Tenure.Leading)?.term ==
-            leading.term
-        ) {
-            delay(if (feed.prove()) times.renewEvery else PROVE_RETRY)
+    /**
+     * A leader's rights rest on what it knows, which ages: as often as it renews its lease it asks for all that it may
+     * lack.
+     */
+    private suspend fun prove(leader: LeadershipState.Leader) {
+        while ((leadership.leadershipState.value as? LeadershipState.Leader)?.term == leader.term) {
+            delay(if (stateWatch.prove()) times.renewEvery else PROVE_RETRY)
         }
     }
 
     private fun jobEvent(event: JobEvent) {
-        foreman.tell(ForemanMessage.Job(event))
-        if (event is JobEvent.Opened) renter.tell(FleetMessage.JobOpened(event.spec))
+        scheduler.tell(SchedulerMessage.JobChanged(event))
+        if (event is JobEvent.Opened) provisioning.tell(FleetMessage.JobOpened(event.spec))
     }
 
     private fun catalogIs(known: Catalog) {
-        foreman.tell(ForemanMessage.CatalogIs(known))
-        renter.tell(FleetMessage.CatalogIs(known))
+        scheduler.tell(SchedulerMessage.CatalogChanged(known))
+        provisioning.tell(FleetMessage.CatalogChanged(known))
     }
 
-    private fun entitled(claimed: Tenure.Leading): Boolean =
-        (leadership.tenure.value as? Tenure.Leading)?.let { it.term == claimed.term && it.mayCommand(clock.now()) }
+    private fun entitled(claimed: LeadershipState.Leader): Boolean =
+        (leadership.leadershipState.value as? LeadershipState.Leader)?.let {
+            it.term == claimed.term &&
+                it.maySendCommands(clock.now())
+        }
             ?: false
 
     private fun fleetPorts(): FleetPorts = object : FleetPorts {
-        override fun foreman(message: ForemanMessage) = foreman.tell(message)
+        override fun scheduler(message: SchedulerMessage) = scheduler.tell(message)
 
         override fun leadership(message: LeadershipMessage) = leadership.tell(message)
 
-        override fun entitled(tenure: Tenure.Leading): Boolean = this@Controller.entitled(tenure)
+        override fun entitled(leadershipState: LeadershipState.Leader): Boolean =
+            this@Controller.entitled(leadershipState)
 
         override fun ordered(counts: Map<String, Any?>) {
             orderedOfCloud = counts
@@ -266,7 +306,7 @@
     }
 
     private fun clusterPorts(): ClusterPorts = object : ClusterPorts {
-        override fun tenure(): Tenure = leadership.tenure.value
+        override fun leadershipState(): LeadershipState = leadership.leadershipState.value
 
         override fun reachesState(): Boolean = this@Controller.reachesState()
 
@@ -274,23 +314,23 @@
 
         override fun bound(): Footprint = bound
 
-        override fun termSeen(term: Term) = leadership.tell(LeadershipMessage.TermSeen(term))
+        override fun termSeen(term: Term) = leadership.tell(LeadershipMessage.TermObserved(term))
 
-        override fun formerEnded(term: Term) = foreman.tell(ForemanMessage.FormerEnded(term))
+        override fun previousLeaderEnded(term: Term) = scheduler.tell(SchedulerMessage.PreviousLeaderEnded(term))
 
-        override fun formerStopped(term: Term) = foreman.tell(ForemanMessage.FormerStopped(term))
+        override fun previousLeadersStopped(term: Term) = scheduler.tell(SchedulerMessage.PreviousLeadersStopped(term))
 
-        override suspend fun nameDelegate(node: NodeName): Named? = leaderDesk.nameDelegate(node)
+        override suspend fun nameDelegate(node: NodeName): DelegationOffer? = leaderDesk.nameDelegate(node)
 
-        override fun delegateNamed(grant: Grant) = foreman.tell(ForemanMessage.DelegateNamed(grant))
+        override fun delegateNamed(grant: DelegationGrant) = scheduler.tell(SchedulerMessage.DelegationGranted(grant))
 
         override val longestGrant: Duration = times.window + times.hold
 
-        override fun ended(endings: Map<JobId, EndRecord>) = endings.forEach { (id, record) ->
-            book.tell(JobMessage.EndedElsewhere(id, record))
+        override fun ended(endings: Map<JobId, TerminalRecord>) = endings.forEach { (id, record) ->
+            jobRegistry.tell(JobMessage.TerminalStateReceived(id, record))
         }
 
-        override fun leaderCounts(counts: Map<JobId, Int>) = book.tell(JobMessage.Running(counts))
+        override fun leaderCounts(counts: Map<JobId, Int>) = jobRegistry.tell(JobMessage.RunningCounts(counts))
 
         override suspend fun serve(request: Request): Response = edge.serveHere(request)
 
@@ -298,17 +338,25 @@
     }
 
     private fun status(): Map<String, Any?> {
-        val tenure = leadership.tenure.value
+        val leadershipState = leadership.leadershipState.value
         return linkedMapOf(
             "node" to settings.node.text,
             "run" to incarnation.text,
-            "leading" to (tenure is Tenure.Leading),
-            "leader" to if (tenure is Tenure.Following) tenure.leader?.text else settings.node.text,
-            "term" to if (tenure is Tenure.Leading) tenure.term.number else (tenure as Tenure.Following).term.number,
+            "leading" to (leadershipState is LeadershipState.Leader),
+            "leader" to
+                if (leadershipState is LeadershipState.Follower) leadershipState.leader?.text else settings.node.text,
+            "term" to
+                if (
+                    leadershipState is LeadershipState.Leader
+                ) {
+                    leadershipState.term.number
+                } else {
+                    (leadershipState as LeadershipState.Follower).term.number
+                },
             "reaches_state" to reachesState(),
             "features" to features.status(),
             "orders" to mapOf("workers" to wiring.ordered, "cloud" to orderedOfCloud),
-            "meters" to meters.read(),
+            "meters" to metrics.read(),
         )
     }
 
--- a/src/main/kotlin/org/elderhitch/app/LeaderDesk.kt
+++ b/src/main/kotlin/org/elderhitch/app/LeaderRpcHandler.kt
@@ -2,75 +2,80 @@
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.withTimeoutOrNull
-import org.elderhitch.delegates.Named
+import org.elderhitch.delegates.DelegationOffer
+import org.elderhitch.fleet.MachineId
 import org.elderhitch.http.HttpServer
 import org.elderhitch.http.Request
 import org.elderhitch.http.Response
-import org.elderhitch.jobs.Account
 import org.elderhitch.jobs.HoldKind
+import org.elderhitch.jobs.HoldResult
+import org.elderhitch.jobs.JobAccount
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.TaskId
 import org.elderhitch.json.Json
 import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
-import org.elderhitch.leadership.Tenure
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.scheduler.SchedulerActor
+import org.elderhitch.scheduler.SchedulerMessage
 import org.elderhitch.settings.NodeName
-import org.elderhitch.workers.Foreman
-import org.elderhitch.workers.ForemanMessage
-import org.elderhitch.workers.HoldAnswer
-import org.elderhitch.workers.MachineId
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /** Carries a question to the node that leads; null: it doesn't answer. */
-public fun interface LeaderLine {
+public fun interface LeaderRpcClient {
     public suspend fun ask(leader: NodeName, path: String, body: ByteArray, timeout: Duration): Response?
 }
 
 /** What only the leader can tell or decide of a job, asked from any node: of its own table here, or handed on to it. */
-public class LeaderDesk(private val foreman: Foreman, private val tenure: () -> Tenure, private val line: LeaderLine) {
+public class LeaderRpcHandler(
+    private val scheduler: SchedulerActor,
+    private val leadershipState: () -> LeadershipState,
+    private val line: LeaderRpcClient,
+) {
     private val log = LoggerFactory.getLogger("elderhitch.app")
 
     /** Null: nobody who leads could be asked in the short time that a withdrawal may wait. */
-    public suspend fun account(id: JobId): Account? {
-        if (leads()) return withTimeoutOrNull(SOON) { here { ForemanMessage.AccountOf(id, it) } }
+    public suspend fun account(id: JobId): JobAccount? {
+        if (leads()) return withTimeoutOrNull(SOON) { here { SchedulerMessage.GetAccount(id, it) } }
         val answer = there("account", mapOf("id" to id.text), SOON) ?: return null
-        return decoded { answer.objectOrNull("acct")?.let(Account::decode) }
+        return decoded { answer.objectOrNull("acct")?.let(JobAccount::decode) }
     }
 
     /** Null: no leader answers. Empty: the leader knows no such open job. */
     public suspend fun explain(id: JobId): List<String>? {
-        if (leads()) return here<List<String>?> { ForemanMessage.Explain(id, it) }.orEmpty()
+        if (leads()) return here<List<String>?> { SchedulerMessage.ExplainJob(id, it) }.orEmpty()
         return there("explain", mapOf("id" to id.text), PATIENT)?.let { answer ->
             decoded { answer.stringsOrNull("lines").orEmpty() }
         }
     }
 
-    public suspend fun hold(id: JobId, kind: HoldKind, reason: String): HoldAnswer {
-        if (leads()) return here { ForemanMessage.HoldJob(id, kind, reason, it) }
+    public suspend fun hold(id: JobId, kind: HoldKind, reason: String): HoldResult {
+        if (leads()) return here { SchedulerMessage.HoldJob(id, kind, reason, it) }
         val answer =
             there("hold", mapOf("id" to id.text, "kind" to kind.name, "why" to reason), LONG)
-                ?: return HoldAnswer.NotNow("no leader answers")
+                ?: return HoldResult.NotNow("no leader answers")
         val why = answer.stringOrNull("why").orEmpty()
         return when (answer.stringOrNull("hold")) {
-            "held" -> HoldAnswer.Held
-            "inconsistent" -> HoldAnswer.Inconsistent(why)
-            "unknown" -> HoldAnswer.NoSuchJob
-            else -> HoldAnswer.NotNow(why)
+            "held" -> HoldResult.Held
+            "inconsistent" -> HoldResult.Inconsistent(why)
+            "unknown" -> HoldResult.NoSuchJob
+            else -> HoldResult.NotNow(why)
         }
     }
 
     /** Null: this node doesn't lead. */
-    public suspend fun survey(): Map<TaskId, MachineId>? = here { ForemanMessage.Survey(it) }
+    public suspend fun survey(): Map<TaskId, MachineId>? = here { SchedulerMessage.GetPlacements(it) }
 
     /** Null: not now, or this node doesn't lead. */
-    public suspend fun nameDelegate(node: NodeName): Named? = here { ForemanMessage.NameDelegate(node, it) }
+    public suspend fun nameDelegate(node: NodeName): DelegationOffer? =
+        here { SchedulerMessage.RequestDelegation(node, it) }
 
     /** Open jobs that failed wherever they were tried; null: no leader answers. */
     public suspend fun atFault(): Set<JobId>? {
-        if (leads()) return here { ForemanMessage.AtFault(it) }
+        if (leads()) return here { SchedulerMessage.GetFaultyJobs(it) }
         val answer = there("faults", emptyMap(), PATIENT) ?: return null
         return decoded { answer.stringsOrNull("jobs").orEmpty().mapNotNull(JobId::parse).toSet() }
     }
@@ -108,23 +113,23 @@
         return Response(OK, Json.bytes(answer))
     }
 
-    private fun encode(answer: HoldAnswer): Map<String, Any?> = when (answer) {
-        HoldAnswer.Held -> mapOf("hold" to "held")
-        is HoldAnswer.Inconsistent -> mapOf("hold" to "inconsistent", "why" to answer.reason)
-        HoldAnswer.NoSuchJob -> mapOf("hold" to "unknown")
-        is HoldAnswer.NotNow -> mapOf("hold" to "later", "why" to answer.reason)
+    private fun encode(answer: HoldResult): Map<String, Any?> = when (answer) {
+        HoldResult.Held -> mapOf("hold" to "held")
+        is HoldResult.Inconsistent -> mapOf("hold" to "inconsistent", "why" to answer.reason)
+        HoldResult.NoSuchJob -> mapOf("hold" to "unknown")
+        is HoldResult.NotNow -> mapOf("hold" to "later", "why" to answer.reason)
     }
 
-    private fun leads(): Boolean = tenure() is Tenure.Leading
+    private fun leads(): Boolean = leadershipState() is LeadershipState.Leader
 
-    private suspend fun <T> here(message: (CompletableDeferred<T>) -> ForemanMessage): T {
+    private suspend fun <T> here(message: (CompletableDeferred<T>) -> SchedulerMessage): T {
         val reply = CompletableDeferred<T>()
-        foreman.tell(message(reply))
+        scheduler.tell(message(reply))
         return reply.await()
     }
 
     private suspend fun there(path: String, body: Map<String, Any?>, timeout: Duration): JsonObject? {
-        val leader = (tenure() as? Tenure.Following)?.leader ?: return null
+        val leader = (leadershipState() as? LeadershipState.Follower)?.leader ?: return null
         val response = line.ask(leader, path, Json.bytes(body), timeout)?.takeIf { it.status == OK } ?: return null
         return decoded { Json.parseObject(response.body) }
     }
--- a/src/main/kotlin/org/elderhitch/app/Main.kt
+++ b/src/main/kotlin/org/elderhitch/app/Main.kt
@@ -24,7 +24,7 @@
     Logging.configure(System.getenv("LOG_LEVEL"))
     // What the platform starts: "--config FILE" alone is "serve --config FILE".
     val words = if (args.firstOrNull() == "--config") arrayOf("serve", *args) else args
-    val commands = listOf(Serve(), Submit(), Show(), Withdraw(), Explain(), Release(), Status(), StandIns(), Rehearse())
+    val commands = listOf(Serve(), Submit(), Show(), Cancel(), Explain(), Release(), Status(), StandIns(), Rehearse())
     // The daemon starts on a small share of a core: it loads nothing of what others may do.
     val others = if (words.firstOrNull() ==
         "serve"
--- a/src/main/kotlin/org/elderhitch/app/Meters.kt
+++ b/src/main/kotlin/org/elderhitch/app/Metrics.kt
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit
 
 /** Counters and timers of this process, readable at /status. */
-public class Meters(private val clock: SteadyClock) {
+public class Metrics(private val clock: SteadyClock) {
     private val registry = SimpleMeterRegistry()
     private val submissions = Timer.builder("users.submit").register(registry)
     private val shows = Timer.builder("users.show").register(registry)
--- a/src/main/kotlin/org/elderhitch/app/Edge.kt
+++ b/src/main/kotlin/org/elderhitch/app/RequestRouter.kt
@@ -3,36 +3,36 @@
 import kotlinx.coroutines.CompletableDeferred
 import org.elderhitch.cluster.Cluster
 import org.elderhitch.features.FeatureSet
+import org.elderhitch.heartbeat.HeartbeatCodec
+import org.elderhitch.heartbeat.HeartbeatResponse
 import org.elderhitch.http.Handler
 import org.elderhitch.http.HttpServer
 import org.elderhitch.http.Request
 import org.elderhitch.http.Response
-import org.elderhitch.jobs.Answer
-import org.elderhitch.jobs.EndRecord
 import org.elderhitch.jobs.HoldKind
 import org.elderhitch.jobs.JobCodec
-import org.elderhitch.jobs.JobDesk
 import org.elderhitch.jobs.JobId
-import org.elderhitch.jobs.Known
+import org.elderhitch.jobs.JobLookup
+import org.elderhitch.jobs.JobResponse
+import org.elderhitch.jobs.JobService
+import org.elderhitch.jobs.TerminalRecord
 import org.elderhitch.json.Json
 import org.elderhitch.json.MalformedJson
-import org.elderhitch.workers.Foreman
-import org.elderhitch.workers.ForemanMessage
-import org.elderhitch.workers.ReportAnswer
-import org.elderhitch.workers.ReportCodec
+import org.elderhitch.scheduler.SchedulerActor
+import org.elderhitch.scheduler.SchedulerMessage
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
 /** The address of users, workers and the load balancer's probes: paths and statuses, and nothing else. */
-public class Edge(
-    private val desk: JobDesk,
-    private val foreman: Foreman,
+public class RequestRouter(
+    private val jobService: JobService,
+    private val scheduler: SchedulerActor,
     private val cluster: Cluster,
     private val reachesState: () -> Boolean,
     private val ready: () -> Boolean,
-    private val meters: Meters,
+    private val metrics: Metrics,
     private val features: FeatureSet,
-    private val leader: LeaderDesk,
+    private val leader: LeaderRpcHandler,
     private val status: () -> Map<String, Any?>,
 ) : Handler {
     private val log = LoggerFactory.getLogger("elderhitch.app")
@@ -53,7 +53,7 @@
 
         request.path == "/status" -> HttpServer.only("GET", request) { Response(OK, Json.bytes(status())) }
 
-        request.path == "/work" || request.path.startsWith("/work/") -> meters.timed(request) { user(request) }
+        request.path == "/work" || request.path.startsWith("/work/") -> metrics.timed(request) { user(request) }
 
         request.path.startsWith(EXPLAIN) || request.path.startsWith(RELEASE) -> user(request)
 
@@ -63,16 +63,16 @@
 
     private suspend fun report(request: Request): Response {
         val report = try {
-            ReportCodec.decode(request.body)
+            HeartbeatCodec.decode(request.body)
         } catch (e: MalformedJson) {
             return HttpServer.refusal(BAD, e.message.orEmpty())
         }
-        val reply = CompletableDeferred<ReportAnswer>()
-        foreman.tell(ForemanMessage.ReportIn(report, reply))
+        val reply = CompletableDeferred<HeartbeatResponse>()
+        scheduler.tell(SchedulerMessage.HeartbeatReceived(report, reply))
         return when (val answer = reply.await()) {
-            is ReportAnswer.Accepted -> Response(OK, ReportCodec.encode(answer.term, answer.commands))
+            is HeartbeatResponse.Accepted -> Response(OK, HeartbeatCodec.encode(answer.term, answer.commands))
 
-            is ReportAnswer.Elsewhere -> answer.leader?.takeIf(cluster::hears)?.let {
+            is HeartbeatResponse.Redirect -> answer.leader?.takeIf(cluster::hears)?.let {
                 Response(MISDIRECTED, Json.bytes(mapOf("auctioneer" to it.text)))
             }
                 ?: HttpServer.refusal(BUSY, "no leader known here", RETRY)
@@ -98,35 +98,35 @@
     }
 
     private suspend fun explain(text: String): Response {
-        val id = JobId.parse(text) ?: return answer(Answer.Unknown)
-        val shown = desk.show(id)
-        if (shown !is Answer.State && shown != Answer.Unknown) return answer(shown)
+        val id = JobId.parse(text) ?: return answer(JobResponse.Unknown)
+        val shown = jobService.show(id)
+        if (shown !is JobResponse.State && shown != JobResponse.Unknown) return answer(shown)
         val said = features.explain(id)
-        if (shown !is Answer.State && said.isEmpty()) return answer(Answer.Unknown)
-        val lines = said + when (val known = if (shown is Answer.State) desk.lookup(id) else null) {
-            is Known.Ended -> ended(known.record)
+        if (shown !is JobResponse.State && said.isEmpty()) return answer(JobResponse.Unknown)
+        val lines = said + when (val known = if (shown is JobResponse.State) jobService.lookup(id) else null) {
+            is JobLookup.Ended -> ended(known.record)
 
-            is Known.Open -> leader.explain(id)
+            is JobLookup.Open -> leader.explain(id)
                 ?: listOf("no leader answers here; nothing new is started until one does")
 
             else -> emptyList()
         }
-        val standing = (shown as? Answer.State)?.standing?.word
+        val standing = (shown as? JobResponse.State)?.standing?.word
         return Response(OK, Json.bytes(linkedMapOf("id" to id.text, "standing" to standing, "why" to lines)))
     }
 
-    private fun ended(record: EndRecord): List<String> {
+    private fun ended(record: TerminalRecord): List<String> {
         val account = record.account ?: return listOf("ended before accounts were kept")
         val least = if (account.lowerBound) " at least" else ""
         return listOf(
-            "${record.how.name.lowercase()} at ${account.end}, ${record.done} tasks done",
+            "${record.how.word} at ${account.end}, ${record.done} tasks done",
             "started$least ${account.attempts} times, of which ${account.lost} were lost;$least ${account.usefulS} task-seconds useful, ${account.lostS} lost",
         )
     }
 
     /** Lets a job go on that the rule of its class held. Who did it, and why, stands in the log. */
     private suspend fun release(request: Request): Response {
-        val id = JobId.parse(request.path.removePrefix(RELEASE)) ?: return answer(Answer.Unknown)
+        val id = JobId.parse(request.path.removePrefix(RELEASE)) ?: return answer(JobResponse.Unknown)
         val reason = try {
             Json.parseObject(request.body).string("reason")
         } catch (e: MalformedJson) {
@@ -137,8 +137,8 @@
         ) {
             return HttpServer.refusal(BAD, "reason: empty or over $LONGEST_REASON characters")
         }
-        val released = desk.release(id) { it.kind == HoldKind.ATTEMPTS }
-        if (released is Answer.State) {
+        val released = jobService.release(id) { it.kind == HoldKind.ATTEMPTS }
+        if (released is JobResponse.State) {
             log.info(
                 "job released job={} from={} reason=\"{}\"",
                 id,
@@ -151,7 +151,7 @@
             )
         }
         return if (released ==
-            Answer.Unknown
+            JobResponse.Unknown
         ) {
             HttpServer.refusal(NOT_FOUND, "no such job held by a rule")
         } else {
@@ -162,30 +162,33 @@
     private suspend fun work(request: Request): Response {
         val rest = request.path.removePrefix("/work").removePrefix("/")
         return when {
-            rest.isEmpty() -> HttpServer.only("POST", request) { answer(desk.submit(request.body)) }
+            rest.isEmpty() -> HttpServer.only("POST", request) { answer(jobService.submit(request.body)) }
 
             rest.endsWith(WITHDRAW) -> HttpServer.only("POST", request) {
                 val id = JobId.parse(rest.removeSuffix(WITHDRAW))
-                answer(if (id == null) Answer.Unknown else desk.withdraw(id))
+                answer(if (id == null) JobResponse.Unknown else jobService.cancel(id))
             }
 
             '/' in rest -> HttpServer.refusal(NOT_FOUND, "no such path")
 
             else -> HttpServer.only("GET", request) {
                 val id = JobId.parse(rest)
-                answer(if (id == null) Answer.Unknown else desk.show(id))
+                answer(if (id == null) JobResponse.Unknown else jobService.show(id))
             }
         }
     }
 
-    private fun answer(answer: Answer): Response = when (answer) {
-        is Answer.Accepted -> Response(if (answer.isNew) CREATED else OK, JobCodec.standing(answer.id, answer.standing))
-        is Answer.State -> Response(OK, JobCodec.standing(answer.id, answer.standing))
-        is Answer.Malformed -> HttpServer.refusal(BAD, answer.reason)
-        is Answer.NeverRuns -> HttpServer.refusal(UNPROCESSABLE, answer.reason)
-        Answer.Unknown -> HttpServer.refusal(NOT_FOUND, "no such job")
-        is Answer.NotNow -> HttpServer.refusal(BUSY, answer.reason, RETRY)
-        Answer.Full -> Response(BUSY, FULL, mapOf("Retry-After" to FULL_RETRY.inWholeSeconds.toString()))
+    private fun answer(answer: JobResponse): Response = when (answer) {
+        is JobResponse.Accepted -> Response(
+            if (answer.isNew) CREATED else OK,
+            JobCodec.standing(answer.id, answer.standing),
+        )
+        is JobResponse.State -> Response(OK, JobCodec.standing(answer.id, answer.standing))
+        is JobResponse.Malformed -> HttpServer.refusal(BAD, answer.reason)
+        is JobResponse.NeverRuns -> HttpServer.refusal(UNPROCESSABLE, answer.reason)
+        JobResponse.Unknown -> HttpServer.refusal(NOT_FOUND, "no such job")
+        is JobResponse.NotNow -> HttpServer.refusal(BUSY, answer.reason, RETRY)
+        JobResponse.Full -> Response(BUSY, FULL, mapOf("Retry-After" to FULL_RETRY.inWholeSeconds.toString()))
     }
 
     private companion object {
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
@@ -0,0 +1,181 @@
+package org.elderhitch.app
+
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import org.elderhitch.features.FeatureSet
+import org.elderhitch.fleet.FleetMessage
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.fleet.ProvisioningActor
+import org.elderhitch.heartbeat.Command
+import org.elderhitch.heartbeat.WorkerClient
+import org.elderhitch.http.Address
+import org.elderhitch.jobs.CompletionBatch
+import org.elderhitch.jobs.CompletionWriter
+import org.elderhitch.jobs.HoldWriteResult
+import org.elderhitch.jobs.Image
+import org.elderhitch.jobs.JobHold
+import org.elderhitch.jobs.JobId
+import org.elderhitch.jobs.JobMessage
+import org.elderhitch.jobs.JobRegistry
+import org.elderhitch.leadership.Leadership
+import org.elderhitch.leadership.LeadershipMessage
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.leadership.Term
+import org.elderhitch.scheduler.SchedulerMessage
+import org.elderhitch.scheduler.SchedulerPorts
+import org.elderhitch.settings.NodeName
+import org.elderhitch.store.CommitOutcome
+import org.elderhitch.store.Condition
+import org.elderhitch.store.Keys
+import org.elderhitch.store.RequestPriority
+import org.elderhitch.store.Revision
+import org.elderhitch.store.StateClient
+import org.elderhitch.store.Write
+import org.elderhitch.tasks.ImageHints
+import kotlin.time.Duration.Companion.seconds
+
+/** What the foreman asks of the other slices; whatever takes time runs beside it and comes back as a message. */
+internal class SchedulerWiring(
+    private val scope: CoroutineScope,
+    private val client: StateClient,
+    private val completionWriter: CompletionWriter,
+    private val jobRegistry: JobRegistry,
+    private val line: WorkerClient,
+    private val leadership: Leadership,
+    private val features: () -> FeatureSet,
+    private val valueBytes: Int,
+    private val entitled: (LeadershipState.Leader) -> Boolean,
+    private val cutOff: (NodeName) -> Boolean,
+    private val provisioning: () -> ProvisioningActor,
+    private val tell: (SchedulerMessage) -> Unit,
+) : SchedulerPorts {
+    private var lastHint: Map<String, Any?> = emptyMap()
+
+    /** How many tasks of each job run, by the last word. */
+    var running: Map<JobId, Int> = emptyMap()
+        private set
+
+    /** What the last term that was led here ordered of workers, by the last word. */
+    var ordered: Map<String, Any?> = emptyMap()
+        private set
+
+    override fun ordered(counts: Map<String, Any?>) {
+        ordered = counts
+    }
+
+    override fun fleet(message: FleetMessage) = provisioning().tell(message)
+
+    override fun leadership(message: LeadershipMessage) = leadership.tell(message)
+
+    override fun record(leadershipState: LeadershipState.Leader, finished: List<CompletionBatch>) {
+        scope.launch {
+            val recorded = completionWriter.record(leadershipState, finished.filter { !it.kept })
+            var kept: Map<JobId, List<Int>>? = emptyMap()
+            for ((jobProvider, jobs) in finished.filter { it.kept }.groupBy { features().jobProvider(it.job) }) {
+                kept = kept?.let { before -> jobProvider?.record(leadershipState, jobs)?.let { before + it } }
+            }
+            if (recorded == null ||
+                kept == null
+            ) {
+                leadership.tell(LeadershipMessage.TermObserved(Term(leadershipState.term.number + 1)))
+            }
+            tell(SchedulerMessage.CompletionsRecorded(leadershipState.term, recorded.orEmpty() + kept.orEmpty()))
+        }
+    }
+
+    override fun forget(leadershipState: LeadershipState.Leader, job: JobId, blocks: Set<Int>) {
+        if (!features().keepsFinished(job)) scope.launch { completionWriter.forget(leadershipState, job, blocks) }
+    }
+
+    override fun hold(
+        leadershipState: LeadershipState.Leader,
+        job: JobId,
+        version: Revision,
+        before: Revision,
+        hold: JobHold,
+    ) {
+        scope.launch {
+            var unclear = false
+            while (true) {
+                val outcome = when (val written = completionWriter.hold(leadershipState, job, version, before, hold)) {
+                    is CommitOutcome.Committed -> HoldWriteResult.WRITTEN
+
+                    is CommitOutcome.Conflict -> if (Keys.job(job) in written.failed &&
+                        Keys.TERM !in written.failed
+                    ) {
+                        HoldWriteResult.JOB_GONE
+                    } else {
+                        HoldWriteResult.NOT_WRITTEN
+                    }
+
+                    CommitOutcome.Unknown -> HoldWriteResult.UNKNOWN
+
+                    // Says nothing of an earlier try that nobody answered: that one may yet be carried out.
+                    CommitOutcome.Refused, CommitOutcome.NoSuchLease -> if (unclear) HoldWriteResult.UNKNOWN else HoldWriteResult.NOT_WRITTEN
+                }
+                tell(SchedulerMessage.HoldWritten(leadershipState.term, job, outcome))
+                if (outcome != HoldWriteResult.UNKNOWN) return@launch
+                unclear = true
+                // Nothing of the job is started until this is clear: it must become so.
+                delay(HOLD_AGAIN)
+            }
+        }
+    }
+
+    override fun forgetHold(leadershipState: LeadershipState.Leader, job: JobId) {
+        scope.launch { completionWriter.forgetHold(leadershipState, job) }
+    }
+
+    override fun hint(leadershipState: LeadershipState.Leader, images: Map<MachineId, Map<Image, Double>>) {
+        val value = ImageHints.encode(images, valueBytes)
+        if (value == lastHint) return
+        lastHint = value
+        scope.launch {
+            client.commit(
+                listOf(Condition(Keys.TERM, leadershipState.counter)),
+                listOf(Write.Put(Keys.IMAGES, value)),
+                RequestPriority.OTHER,
+            )
+        }
+    }
+
+    override fun ask(leadershipState: LeadershipState.Leader, at: Address, machine: MachineId) {
+        scope.launch {
+            tell(
+                SchedulerMessage.ProbeCompleted(
+                    leadershipState.term,
+                    machine,
+                    line.ask(at, leadershipState.term) {
+                        entitled(leadershipState)
+                    },
+                ),
+            )
+        }
+    }
+
+    override fun command(
+        leadershipState: LeadershipState.Leader,
+        to: Address,
+        machine: MachineId,
+        session: Long,
+        commands: List<Command>,
+    ) {
+        scope.launch {
+            val outcome = line.send(to, leadershipState.term, session, commands) { entitled(leadershipState) }
+            val starts = commands.filterIsInstance<Command.Start>().map { it.task to it.attempt }.toSet()
+            tell(SchedulerMessage.CommandsDelivered(leadershipState.term, machine, session, starts, outcome))
+        }
+    }
+
+    override fun cutOff(leader: NodeName): Boolean = cutOff.invoke(leader)
+
+    override fun running(counts: Map<JobId, Int>) {
+        running = counts
+        jobRegistry.tell(JobMessage.RunningCounts(counts))
+    }
+
+    private companion object {
+        val HOLD_AGAIN = 1.seconds
+    }
+}
--- a/src/main/kotlin/org/elderhitch/cluster/Cluster.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/Cluster.kt
@@ -4,26 +4,23 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import kotlinx.serialization.ExperimentalSerializationApi
-import kotlinx.serialization.Serializable
 import kotlinx.serialization.protobuf.ProtoBuf
-import kotlinx.serialization.protobuf.ProtoNumber
-import org.elderhitch.delegates.FormerTerms
-import org.elderhitch.delegates.Grant
-import org.elderhitch.delegates.Named
+import org.elderhitch.delegates.DelegationGrant
+import org.elderhitch.delegates.PreviousLeaders
 import org.elderhitch.http.Handler
 import org.elderhitch.http.HttpServer
 import org.elderhitch.http.Request
 import org.elderhitch.http.Response
 import org.elderhitch.http.Transport
-import org.elderhitch.jobs.EndRecord
 import org.elderhitch.jobs.Footprint
 import org.elderhitch.jobs.JobId
+import org.elderhitch.jobs.TerminalRecord
 import org.elderhitch.leadership.Incarnation
-import org.elderhitch.leadership.Tenure
+import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.leadership.Term
 import org.elderhitch.settings.NodeName
 import org.elderhitch.settings.Peer
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.elderhitch.time.shortened
 import org.slf4j.LoggerFactory
@@ -31,82 +28,6 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What controllers tell each other about once a second. */
-@OptIn(ExperimentalSerializationApi::class)
-@Serializable
-public data class Hello(
-    @ProtoNumber(1) val node: String,
-    @ProtoNumber(2) val run: String,
-    /** The highest term that the node knows of. */
-    @ProtoNumber(3) val term: Long,
-    @ProtoNumber(4) val leading: Boolean,
-    /** Whether the state service answers this node. */
-    @ProtoNumber(5) val reachesState: Boolean,
-    /** From the leader: how many tasks of each job run. */
-    @ProtoNumber(6) val running: Map<String, Int> = emptyMap(),
-    /** What the node's memory can hold of open jobs, in bytes; 0 from an earlier version. */
-    @ProtoNumber(7) val bound: Long = 0,
-    /** In the leader's answer: for how many milliseconds from the question on the node may answer as lease delegate of its zone; 0: not named now. */
-    @ProtoNumber(8) val delegateMs: Long = 0,
-)
-
-/** A user's request that a node which the state service refuses hands to one that it doesn't. */
-@OptIn(ExperimentalSerializationApi::class)
-@Serializable
-public class Forwarded(
-    @ProtoNumber(1) public val method: String,
-    @ProtoNumber(2) public val path: String,
-    @ProtoNumber(3) public val body: ByteArray,
-    /** The IP number that the request came from; empty: not said. */
-    @ProtoNumber(4) public val from: String = "",
-)
-
-@OptIn(ExperimentalSerializationApi::class)
-@Serializable
-public class ForwardedAnswer(
-    @ProtoNumber(1) public val status: Int,
-    @ProtoNumber(2) public val body: ByteArray,
-    @ProtoNumber(3) public val headers: Map<String, String> = emptyMap(),
-)
-
-/** What this node says of itself, and what it does with what others say. */
-public interface ClusterPorts {
-    public fun tenure(): Tenure
-
-    public fun reachesState(): Boolean
-
-    public fun running(): Map<JobId, Int>
-
-    public fun bound(): Footprint
-
-    public fun termSeen(term: Term)
-
-    public fun formerStopped(term: Term)
-
-    /** The run that led before this term has ended. */
-    public fun formerEnded(term: Term)
-
-    /** As the leader: for how long from now the node may answer as lease delegate; null: not named now. */
-    public suspend fun nameDelegate(node: NodeName): Named?
-
-    /** This node has been named. */
-    public fun delegateNamed(grant: Grant)
-
-    /** No leader names anybody for longer. */
-    public val longestGrant: Duration
-
-    /** Endings that another controller has recorded. */
-    public fun ended(endings: Map<JobId, EndRecord>)
-
-    public fun leaderCounts(counts: Map<JobId, Int>)
-
-    /** Answers a user's request here, whatever it takes, without handing it on. */
-    public suspend fun serve(request: Request): Response
-
-    /** Answers what another node asks of the leader. */
-    public suspend fun lead(request: Request): Response
-}
-
 @OptIn(ExperimentalSerializationApi::class)
 public class Cluster(
     private val scope: CoroutineScope,
@@ -119,14 +40,14 @@
 ) : Handler {
     private class PeerState(val peer: Peer) {
         var reachesState = false
-        var heard = Moment.NEVER
+        var heard = MonotonicInstant.NEVER
         var bound: Footprint? = null
     }
 
     private val log = LoggerFactory.getLogger("elderhitch.cluster")
     private val states = peers.associate { it.name to PeerState(it) }
-    private val endings = EndingTeller(scope, self.text, peers, transport)
-    private val formerTerms = FormerTerms(states.keys)
+    private val endings = TerminalStateBroadcaster(scope, self.text, peers, transport)
+    private val previousLeaders = PreviousLeaders(states.keys)
 
     public fun start() {
         for (state in states.values) {
@@ -139,15 +60,15 @@
         }
     }
 
-    private fun hello(): Hello {
-        val tenure = ports.tenure()
-        val leading = tenure is Tenure.Leading
-        val term = when (tenure) {
-            is Tenure.Leading -> tenure.term
-            is Tenure.Following -> tenure.term
+    private fun hello(): PeerHeartbeat {
+        val leadershipState = ports.leadershipState()
+        val leading = leadershipState is LeadershipState.Leader
+        val term = when (leadershipState) {
+            is LeadershipState.Leader -> leadershipState.term
+            is LeadershipState.Follower -> leadershipState.term
         }
         val running = if (leading) ports.running().entries.associate { it.key.text to it.value } else emptyMap()
-        return Hello(
+        return PeerHeartbeat(
             self.text,
             incarnation.text,
             term.number,
@@ -159,20 +80,20 @@
     }
 
     private suspend fun greet(state: PeerState) {
-        val body = ProtoBuf.encodeToByteArray(Hello.serializer(), hello())
+        val body = ProtoBuf.encodeToByteArray(PeerHeartbeat.serializer(), hello())
         val asked = clock.now()
         val answer = transport.call(state.peer.address, "POST", "/cluster/hello", body, HELLO_TIMEOUT)
         if (answer == null || answer.status != OK) {
             state.reachesState = false
             return
         }
-        val hello = decoded(answer.body, Hello.serializer()) ?: return
+        val hello = decoded(answer.body, PeerHeartbeat.serializer()) ?: return
         heard(hello, asked)
         if (hello.delegateMs != 0L) named(state.peer.name, hello, asked)
     }
 
     /** Counted from when it was asked for: the leader counts from when it answered, and so not shorter. */
-    private fun named(leader: NodeName, hello: Hello, asked: Moment) {
+    private fun named(leader: NodeName, hello: PeerHeartbeat, asked: MonotonicInstant) {
         val span = hello.delegateMs.milliseconds
         if (hello.node != leader.text || !hello.leading || !span.isPositive() || span > ports.longestGrant) {
             log.info(
@@ -184,11 +105,11 @@
             )
             return
         }
-        ports.delegateNamed(Grant(Term(hello.term), leader, asked + span.shortened()))
+        ports.delegateNamed(DelegationGrant(Term(hello.term), leader, asked + span.shortened()))
     }
 
     /** [asked]: when the question was sent that this answers; null: the node spoke by itself. */
-    private fun heard(hello: Hello, asked: Moment?) {
+    private fun heard(hello: PeerHeartbeat, asked: MonotonicInstant?) {
         val node = NodeName(hello.node)
         val state = states[node]
         if (state == null) {
@@ -207,20 +128,20 @@
                 }.toMap(),
             )
         }
-        formerTerms.heard(node, Incarnation(hello.run), Term(hello.term), asked)
+        previousLeaders.heard(node, Incarnation(hello.run), Term(hello.term), asked)
         checkFormer()
     }
 
     /** As a new leader: whether all that answered workers in the name of earlier terms has stopped. */
     public fun checkFormer() {
-        val leading = ports.tenure() as? Tenure.Leading ?: return
-        if (formerTerms.formerEnded(leading)) ports.formerEnded(leading.term)
-        if (formerTerms.allStopped(leading)) ports.formerStopped(leading.term)
+        val leading = ports.leadershipState() as? LeadershipState.Leader ?: return
+        if (previousLeaders.previousLeaderEnded(leading)) ports.previousLeaderEnded(leading.term)
+        if (previousLeaders.allStopped(leading)) ports.previousLeadersStopped(leading.term)
     }
 
     override suspend fun handle(request: Request): Response = when (request.path) {
         "/cluster/hello" -> {
-            val hello = decoded(request.body, Hello.serializer())
+            val hello = decoded(request.body, PeerHeartbeat.serializer())
             if (hello == null) {
                 HttpServer.refusal(BAD, "no hello")
             } else {
@@ -231,7 +152,7 @@
                 val mine = named?.takeIf { own.leading && own.term == it.term.number }
                 binary(
                     ProtoBuf.encodeToByteArray(
-                        Hello.serializer(),
+                        PeerHeartbeat.serializer(),
                         own.copy(
                             delegateMs =
                             mine?.span?.inWholeMilliseconds ?: 0,
@@ -241,8 +162,8 @@
             }
         }
 
-        EndingTeller.PATH -> {
-            val news = decoded(request.body, EndingNews.serializer())
+        TerminalStateBroadcaster.PATH -> {
+            val news = decoded(request.body, TerminalStateBroadcast.serializer())
             when {
                 news == null -> HttpServer.refusal(BAD, "no news")
 
@@ -266,7 +187,8 @@
     }
 
     private suspend fun handedOn(request: Request, serve: suspend (Request) -> Response): Response {
-        val forwarded = decoded(request.body, Forwarded.serializer()) ?: return HttpServer.refusal(BAD, "no request")
+        val forwarded =
+            decoded(request.body, ForwardedRequest.serializer()) ?: return HttpServer.refusal(BAD, "no request")
         val answer =
             serve(
                 Request(
@@ -281,14 +203,14 @@
             )
         return binary(
             ProtoBuf.encodeToByteArray(
-                ForwardedAnswer.serializer(),
-                ForwardedAnswer(answer.status, answer.body, answer.headers),
+                ForwardedResponse.serializer(),
+                ForwardedResponse(answer.status, answer.body, answer.headers),
             ),
         )
     }
 
     /** A withdrawal has been recorded here. */
-    public fun tellEnded(id: JobId, record: EndRecord): Unit = endings.tell(id, record)
+    public fun tellEnded(id: JobId, record: TerminalRecord): Unit = endings.tell(id, record)
 
     /** The least that any other controller said that it can hold; null: none has said. */
     public fun leastBound(): Footprint? = states.values.mapNotNull { it.bound }.minOrNull()
@@ -301,16 +223,19 @@
 
     private suspend fun handOn(state: PeerState, target: String, request: Request, timeout: Duration): Response? {
         val body = ProtoBuf.encodeToByteArray(
-            Forwarded.serializer(),
-            Forwarded(request.method, request.path, request.body, request.from.orEmpty()),
+            ForwardedRequest.serializer(),
+            ForwardedRequest(request.method, request.path, request.body, request.from.orEmpty()),
         )
         val answer = transport.call(state.peer.address, "POST", target, body, timeout)
         if (answer == null || answer.status != OK) return null
-        val inner = decoded(answer.body, ForwardedAnswer.serializer()) ?: return null
+        val inner = decoded(answer.body, ForwardedResponse.serializer()) ?: return null
         return Response(inner.status, inner.body, inner.headers)
     }
 
-    /** Whether the node has been heard of late. A worker sent to one that is cut off would wait there for its lease to end. */
+    /**
+     * Whether the node has been heard of late. A worker sent to one that is cut off would wait there for its lease to
+     * end.
+     */
     public fun hears(node: NodeName): Boolean = states[node]?.let { clock.now() - it.heard < LATELY } ?: false
 
     /** Has a controller that reaches the state service answer; null: none does. */
--- a/src/main/kotlin/org/elderhitch/workers/ZoneDelegates.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/ZoneDelegates.kt
@@ -1,15 +1,18 @@
-package org.elderhitch.workers
+package org.elderhitch.delegates
 
-import org.elderhitch.delegates.Grant
-import org.elderhitch.delegates.LeaseDelegate
-import org.elderhitch.delegates.Named
-import org.elderhitch.delegates.Promises
-import org.elderhitch.delegates.ZoneStanding
-import org.elderhitch.leadership.Tenure
-import org.elderhitch.leadership.TenureTimes
+import org.elderhitch.heartbeat.Command
+import org.elderhitch.heartbeat.Heartbeat
+import org.elderhitch.heartbeat.HeartbeatResponse
+import org.elderhitch.heartbeat.TaskPhase
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.leadership.LeadershipTimeouts
+import org.elderhitch.recovery.Takeover
+import org.elderhitch.scheduler.SchedulerPorts
 import org.elderhitch.settings.NodeName
 import org.elderhitch.settings.Zone
-import org.elderhitch.time.Moment
+import org.elderhitch.tasks.MachineRegistry
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.time.MonotonicInstant
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -18,14 +21,14 @@
 internal class ZoneDelegates(
     private val own: NodeName,
     private val zoneOf: Map<NodeName, Zone>,
-    times: TenureTimes,
+    times: LeadershipTimeouts,
     private val table: TaskTable,
     private val takeover: Takeover,
-    private val roster: Roster,
-    private val ports: ForemanPorts,
+    private val machineRegistry: MachineRegistry,
+    private val ports: SchedulerPorts,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
-    private val promises = Promises(times)
+    private val promises = DelegationRules(times)
     private val zone = zoneOf[own] ?: Zone("")
     private val delegate = LeaseDelegate(zone)
     private var answering = false
@@ -34,8 +37,8 @@
     private val homeless = HashSet<NodeName>()
 
     /** When each node last asked to be named: one that asks is not cut off, and answers nobody. */
-    private val askedAt = HashMap<NodeName, Moment>()
-    private val renewedBy = HashMap<Zone, Moment>()
+    private val askedAt = HashMap<NodeName, MonotonicInstant>()
+    private val renewedBy = HashMap<Zone, MonotonicInstant>()
 
     fun newTerm() {
         promises.newTerm()
@@ -43,50 +46,60 @@
         renewedBy.clear()
     }
 
-    /** By when a lease delegate that this leader doesn't hear may last have answered workers of the zone; [Moment.NEVER]: none has been away. */
-    fun renewedBy(zone: Zone): Moment = renewedBy[zone] ?: Moment.NEVER
+    /**
+     * By when a lease delegate that this leader doesn't hear may last have answered workers of the zone;
+     * [MonotonicInstant.NEVER]: none has been away.
+     */
+    fun renewedBy(zone: Zone): MonotonicInstant = renewedBy[zone] ?: MonotonicInstant.NEVER
 
     /** Called once a tick while this node leads. */
-    fun listen(now: Moment) {
+    fun listen(now: MonotonicInstant) {
         for ((node, zone) in zoneOf) {
-            if (node == own || now - (askedAt[node] ?: Moment.NEVER) < AWAY) continue
+            if (node == own || now - (askedAt[node] ?: MonotonicInstant.NEVER) < AWAY) continue
             val may = minOf(now, promises.lastAnswer(zone))
             if (may > renewedBy(zone)) renewedBy[zone] = may
         }
     }
 
     /** No lease delegate of this term answers a report that leaves a worker of the zone after that. */
-    fun lastAnswer(zone: Zone): Moment = promises.lastAnswer(zone)
+    fun lastAnswer(zone: Zone): MonotonicInstant = promises.lastAnswer(zone)
 
     /** A node asks, which the leader has thereby just heard from. Null: it is not named now. */
-    fun name(leading: Tenure.Leading, node: NodeName, tableComplete: Boolean, now: Moment): Named? {
+    fun name(
+        leadership: LeadershipState.Leader,
+        node: NodeName,
+        tableComplete: Boolean,
+        now: MonotonicInstant,
+    ): DelegationOffer? {
         val zone = zoneOf[node]
         if (zone == null) {
             if (homeless.add(node)) log.info("lease delegate refused node={} reason=\"of no zone\"", node)
             return null
         }
         askedAt[node] = now
-        return if (tableComplete) promises.name(leading, zone, standing(zone), now) else null
+        return if (tableComplete) promises.name(leadership, zone, standing(zone), now) else null
     }
 
-    private fun standing(zone: Zone): ZoneStanding {
+    private fun standing(zone: Zone): ZoneStatus {
         val ended = table.jobs.values.filter { job -> job.ended && job.everywhere().any { it.zone == zone } }
         val its = table.workers.values.filter { it.zone == zone }
-        val unheard = takeover.hidingIn(zone, roster.known)?.let { hiding -> hiding + its.count { !it.settled } }
-        return ZoneStanding(unheard, its.count { it.strangers.isNotEmpty() }, ended.minOfOrNull { it.endedAfter })
+        val unheard = takeover.hidingIn(zone, machineRegistry.known)?.let { hiding ->
+            hiding + its.count { !it.settled }
+        }
+        return ZoneStatus(unheard, its.count { it.strangers.isNotEmpty() }, ended.minOfOrNull { it.endedAfter })
     }
 
-    fun named(grant: Grant) = delegate.named(grant)
+    fun named(grant: DelegationGrant) = delegate.named(grant)
 
-    fun follows(following: Tenure.Following) = delegate.sawTerm(following.term)
+    fun follows(following: LeadershipState.Follower) = delegate.observeTerm(following.term)
 
     /** Finds out early whether this node is cut off: a worker that is refused once comes back after half a lease. */
-    fun watch(now: Moment) {
+    fun watch(now: MonotonicInstant) {
         delegate.grant?.takeIf { now < it.until }?.let { ports.cutOff(it.leader) }
     }
 
     /** What this node, which doesn't lead, answers to a report; null: it has no say in it. */
-    fun answer(report: Report, now: Moment): ReportAnswer? {
+    fun answer(report: Heartbeat, now: MonotonicInstant): HeartbeatResponse? {
         val term = delegate.answers(report.zone, report.term, ports::cutOff, now)
         if (report.zone == zone && answering != (term != null)) {
             answering = term != null
@@ -112,7 +125,12 @@
             it.phase != TaskPhase.EXITED &&
                 table.hasEnded(it.task.job, complete = false) == true
         }
-        return ReportAnswer.Accepted(term, ended.map { task -> Command.Stop(task.task, task.attempt, Duration.ZERO) })
+        return HeartbeatResponse.Accepted(
+            term,
+            ended.map { task ->
+                Command.Stop(task.task, task.attempt, Duration.ZERO)
+            },
+        )
     }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/drmaa/Drmaa.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Drmaa.kt
@@ -10,7 +10,7 @@
 import org.elderhitch.json.Json
 import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
-import org.elderhitch.leadership.Tenure
+import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.store.Change
 import org.elderhitch.store.Entry
 import org.slf4j.LoggerFactory
@@ -22,42 +22,63 @@
     override val name: String get() = "drmaa"
 
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
-    private val book = SessionBook(context.scope)
+    private val sessionRegistry = SessionRegistry(context.scope)
     private val limits = context.settings.stateLimits
-    private val reaper = Reaper(book, context.client, context.desk)
-    private val loader = SessionLoader(book, context.client)
-    private val sessions = Sessions(book, context.client, context.wall, settings)
+    private val reaper = Reaper(sessionRegistry, context.client, context.jobService)
+    private val loader = SessionLoader(sessionRegistry, context.client)
+    private val sessions = Sessions(sessionRegistry, context.client, context.wallClock, settings)
     private val submissions =
-        Submissions(book, context.client, context.desk, context.wall, settings, limits.valueBytes, context.sync)
-    private val waits = Waits(book, reaper, context.sync, context.clock, mostWaits(context.settings.maxSockets))
-    private val control = Control(book, context.desk, submissions, context.sync, context.hold, context.clock)
+        Submissions(
+            sessionRegistry,
+            context.client,
+            context.jobService,
+            context.wallClock,
+            settings,
+            limits.valueBytes,
+            context.sync,
+        )
+    private val waits =
+        Waits(sessionRegistry, reaper, context.sync, context.clock, mostWaits(context.settings.maxSockets))
+    private val control =
+        JobControl(sessionRegistry, context.jobService, submissions, context.sync, context.hold, context.clock)
     private val housekeeping =
-        Housekeeping(context.scope, book, context.client, sessions, submissions, loader, reaper, context.wall, settings, limits.txnOps)
+        Housekeeping(
+            context.scope,
+            sessionRegistry,
+            context.client,
+            sessions,
+            submissions,
+            loader,
+            reaper,
+            context.wallClock,
+            settings,
+            limits.txnOps,
+        )
     private val templates = TemplateCheck(settings.categories)
     private var refused = 0L
 
     override fun start() {
-        book.start()
-        context.meters.gauge("drmaa.waits") { waits.held }
-        context.meters.gauge("drmaa.sessions") { book.open }
+        sessionRegistry.start()
+        context.metrics.gauge("drmaa.waits") { waits.held }
+        context.metrics.gauge("drmaa.sessions") { sessionRegistry.open }
     }
 
-    override fun snapshot(entries: List<Entry>) = book.tell(BookMessage.Snapshot(entries))
+    override fun snapshot(entries: List<Entry>) = sessionRegistry.tell(BookMessage.Snapshot(entries))
 
     override fun changed(changes: List<Change>) {
-        book.tell(BookMessage.Changed(changes))
+        sessionRegistry.tell(BookMessage.Changed(changes))
         housekeeping.changed(changes)
     }
 
-    override fun termBegins(leading: Tenure.Leading) = housekeeping.begin(leading)
+    override fun termBegins(leadership: LeadershipState.Leader) = housekeeping.begin(leadership)
 
     override fun termEnds() = housekeeping.end()
 
     override fun keepsFinished(job: JobId): Boolean = JobName.parse(job)?.members != null
 
     override fun status(): Map<String, Any?> = linkedMapOf(
-        "sessions" to book.open,
-        "sessions_here" to book.inUse,
+        "sessions" to sessionRegistry.open,
+        "sessions_here" to sessionRegistry.inUse,
         "waits" to waits.held,
         "most_waits" to waits.most,
         "refused" to refused,
@@ -66,7 +87,7 @@
 
     override suspend fun explain(job: JobId): List<String>? {
         val name = JobName.parse(job) ?: return null
-        val held = book.look(name.session) { it.held(name) } ?: return null
+        val held = sessionRegistry.look(name.session) { it.held(name) } ?: return null
         val until = held.startAt?.let { "; it starts at $it" }.orEmpty()
         return listOf(
             if (held.byUser) "held by its user since ${held.since}, not submitted yet$until" else "not submitted yet$until",
@@ -115,7 +136,7 @@
     }
 
     private suspend fun answer(path: String, body: JsonObject): Response {
-        val claim = settings.tokens.verify(body.string("token"), context.wall.now())
+        val claim = settings.tokens.verify(body.string("token"), context.wallClock.now())
         if (claim.team !in
             context.settings.teams
         ) {
@@ -123,7 +144,7 @@
         }
         if (path == "open") return open(claim, body)
         if (claim !is Claim.InSession) throw Refused(Fault.NoActiveSessionException, "a session's token is needed")
-        val record = book.look(claim.session) { it.record } ?: unseen(claim)
+        val record = sessionRegistry.look(claim.session) { it.record } ?: unseen(claim)
         if (record.team != claim.team) throw Refused(Fault.AuthorizationException, "the session is another team's")
         if (sessions.isUnmarked(record)) context.scope.launch { sessions.touch(claim.session, record) }
         return when (path) {
@@ -153,10 +174,13 @@
         }
     }
 
-    /** Opened on another node a moment ago, perhaps: only after all is known that was recorded by now is it surely not open. */
+    /**
+     * Opened on another node a moment ago, perhaps: only after all is known that was recorded by now is it surely not
+     * open.
+     */
     private suspend fun unseen(claim: Claim.InSession): SessionRecord {
         if (!context.sync()) throw Refused(Fault.DrmCommunicationException, "the state service doesn't answer")
-        return book.look(claim.session) { it.record }
+        return sessionRegistry.look(claim.session) { it.record }
             ?: throw Refused(Fault.NoActiveSessionException, "the session was closed, or was not used for too long")
     }
 
@@ -195,7 +219,7 @@
         val request = request(body)
         val bulk = body.objectOrNull("bulk")?.let { Bulk.of(it.long("start"), it.long("end"), it.long("step")) }
         val job = JobName(claim.session, request.tag, request.number, bulk?.members)
-        submissions.submit(job, templates.check(job, claim.team, body.obj("template"), bulk, context.wall.now()))
+        submissions.submit(job, templates.check(job, claim.team, body.obj("template"), bulk, context.wallClock.now()))
         return ok("job" to job.toString(), "members" to bulk?.members)
     }
 
@@ -336,7 +360,10 @@
         const val ALL = "DRMAA_JOB_IDS_SESSION_ALL"
         const val ANY = "DRMAA_JOB_IDS_SESSION_ANY"
 
-        /** A node out of sockets may be so for a while; one that misses the state service is mostly back within a second. */
+        /**
+         * A node out of sockets may be so for a while; one that misses the state service is mostly back within a
+         * second.
+         */
         val LATER = 3.seconds
         val SOON = 1.seconds
 
--- a/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
@@ -4,20 +4,20 @@
 import kotlinx.coroutines.Job
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import org.elderhitch.jobs.EndRecord
-import org.elderhitch.jobs.Ending
-import org.elderhitch.jobs.FinishedTasks
+import org.elderhitch.jobs.CompletedTasks
+import org.elderhitch.jobs.TerminalRecord
+import org.elderhitch.jobs.TerminalState
 import org.elderhitch.json.MalformedJson
-import org.elderhitch.leadership.Tenure
+import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.store.Change
 import org.elderhitch.store.CommitOutcome
 import org.elderhitch.store.Condition
 import org.elderhitch.store.Keys
-import org.elderhitch.store.Purpose
 import org.elderhitch.store.ReadOutcome
+import org.elderhitch.store.RequestPriority
 import org.elderhitch.store.Revision
 import org.elderhitch.store.StateClient
-import org.elderhitch.store.Subject
+import org.elderhitch.store.StoredKey
 import org.elderhitch.store.Write
 import org.elderhitch.time.WallClock
 import org.elderhitch.time.WallTime
@@ -26,38 +26,39 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The leader's part: held jobs whose time has come are submitted, results that nobody took for too long are let go, sessions that nobody
+ * The leader's part: held jobs whose time has come are submitted, results that nobody took for too long are let go,
+ * sessions that nobody
  * uses are closed, and what closed sessions leave is dropped. One session a minute, in the last rank of the write rate.
  */
 public class Housekeeping(
     private val scope: CoroutineScope,
-    private val book: SessionBook,
+    private val sessionRegistry: SessionRegistry,
     private val client: StateClient,
     private val sessions: Sessions,
     private val submissions: Submissions,
     private val loader: SessionLoader,
     private val reaper: Reaper,
-    private val wall: WallClock,
+    private val wallClock: WallClock,
     private val settings: DrmaaSettings,
     private val txnOps: Int,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
     private var running: Job? = null
-    private var leading: Tenure.Leading? = null
+    private var leadership: LeadershipState.Leader? = null
 
     /** Results that were let go in this term. */
     public var letGo: Int = 0
         private set
 
-    public fun begin(leading: Tenure.Leading) {
+    public fun begin(leadership: LeadershipState.Leader) {
         end()
-        this.leading = leading
+        this.leadership = leadership
         running = scope.launch {
             var seconds = 0
             while (true) {
                 delay(1.seconds)
-                submissions.startDue(wall.now())
-                if (++seconds % SWEEP_EVERY == 0) sweep(leading)
+                submissions.startDue(wallClock.now())
+                if (++seconds % SWEEP_EVERY == 0) sweep(leadership)
             }
         }
     }
@@ -65,25 +66,25 @@
     public fun end() {
         running?.cancel()
         running = null
-        leading = null
+        leadership = null
     }
 
     private var cursor: SessionName? = null
 
-    private suspend fun sweep(leading: Tenure.Leading) {
-        val all = book.sessions().toSortedMap()
+    private suspend fun sweep(leadership: LeadershipState.Leader) {
+        val all = sessionRegistry.sessions().toSortedMap()
         val next = all.keys.firstOrNull { name -> cursor.let { it == null || name > it } } ?: all.keys.firstOrNull()
         cursor = next
-        if (next != null) look(leading, next, all.getValue(next))
-        closed(leading)
+        if (next != null) look(leadership, next, all.getValue(next))
+        closed(leadership)
     }
 
-    private fun guard(leading: Tenure.Leading) = Condition(Keys.TERM, leading.counter)
+    private fun guard(leadership: LeadershipState.Leader) = Condition(Keys.TERM, leadership.counter)
 
-    private suspend fun look(leading: Tenure.Leading, session: SessionName, record: SessionRecord) {
-        val now = wall.now()
+    private suspend fun look(leadership: LeadershipState.Leader, session: SessionName, record: SessionRecord) {
+        val now = wallClock.now()
         if (now - record.used > settings.keepSessions) {
-            sessions.close(session, "unused", listOf(guard(leading)))
+            sessions.close(session, "unused", listOf(guard(leadership)))
             return
         }
         // Nothing of a younger session can be old enough, and most are: they cost no read.
@@ -94,24 +95,24 @@
 
     /** Results that nobody took in time are marked as taken by nobody: whoever asks is told that they are gone. */
     private suspend fun forget(session: SessionName, now: WallTime) {
-        val untaken = book.look(session) { it.state.untaken().take(MOST_A_SWEEP).toList() }.orEmpty()
+        val untaken = sessionRegistry.look(session) { it.state.untaken().take(MOST_A_SWEEP).toList() }.orEmpty()
         for ((key, results) in untaken.groupBy { it.block }) {
             val old = results.filter { result -> endOf(result)?.let { now - it > settings.keepResults } ?: false }
             if (old.isEmpty()) continue
-            if (reaper.take(key, old, null, Purpose.OTHER) !is Reaped.Taken) return
+            if (reaper.take(key, old, null, RequestPriority.OTHER) !is Reaped.Taken) return
             letGo += old.size
             log.info("results let go session={} count={} first={}", session, old.size, old.first())
         }
     }
 
     private suspend fun endOf(result: ResultName): WallTime? =
-        (client.read(Keys.end(result.job.id), Purpose.OTHER) as? ReadOutcome.Found)?.let {
-            EndRecord.decode(it.entry.value)?.account?.end
+        (client.read(Keys.terminalRecord(result.job.id), RequestPriority.OTHER) as? ReadOutcome.Found)?.let {
+            TerminalRecord.decode(it.entry.value)?.account?.end
         }
 
     /** A job that its user holds for ever would be kept for ever. */
     private suspend fun overdue(session: SessionName, now: WallTime) {
-        for ((name, held) in book.heldJobs().filter {
+        for ((name, held) in sessionRegistry.heldJobs().filter {
             it.key.session == session &&
                 it.value.byUser &&
                 now - it.value.since > settings.keepSessions
@@ -126,8 +127,11 @@
 
     private var closedCursor: String? = null
 
-    /** What closed sessions left, one at a time: first all that hangs on them, and after a while the word that they were closed. */
-    private suspend fun closed(leading: Tenure.Leading) {
+    /**
+     * What closed sessions left, one at a time: first all that hangs on them, and after a while the word that they were
+     * closed.
+     */
+    private suspend fun closed(leadership: LeadershipState.Leader) {
         val page = client.list(DrmaaKeys.ALL_CLOSED, closedCursor) ?: return
         val entry = page.entries.firstOrNull()
         closedCursor = entry?.key
@@ -140,48 +144,49 @@
         }
         val taken = client.list(ReapKey.prefix(session), null) ?: return
         val blocks = client.list(Keys.finishedOf("${JobName.PREFIX}$session-"), null) ?: return
-        taken.entries.chunked(txnOps).forEach { chunk -> drop(leading, chunk.map { Condition(it.key, it.version) }) }
+        taken.entries.chunked(txnOps).forEach { chunk -> drop(leadership, chunk.map { Condition(it.key, it.version) }) }
         blocks.entries.mapNotNull {
-            (Keys.subject(it.key) as? Subject.Finished)?.id
-        }.distinct().mapNotNull(JobName::parse).forEach { dropBlocks(leading, it) }
+            (Keys.subject(it.key) as? StoredKey.CompletedTasks)?.id
+        }.distinct().mapNotNull(JobName::parse).forEach { dropBlocks(leadership, it) }
         if (taken.entries.isEmpty() &&
-            wall.now() - at > KEEP_CLOSED
+            wallClock.now() - at > KEEP_CLOSED
         ) {
-            drop(leading, listOf(Condition(entry.key, entry.version)))
+            drop(leadership, listOf(Condition(entry.key, entry.version)))
         }
     }
 
-    private suspend fun drop(leading: Tenure.Leading, keys: List<Condition>): CommitOutcome =
-        client.commit(listOf(guard(leading)) + keys, keys.map { Write.Drop(it.key) }, Purpose.OTHER)
+    private suspend fun drop(leadership: LeadershipState.Leader, keys: List<Condition>): CommitOutcome =
+        client.commit(listOf(guard(leadership)) + keys, keys.map { Write.Drop(it.key) }, RequestPriority.OTHER)
 
     /**
-     * The finished blocks of a bulk job stay when it is withdrawn, since its ending doesn't say which members had completed; they
+     * The finished blocks of a bulk job stay when it is withdrawn, since its ending doesn't say which members had
+     * completed; they
      * go when it is done, or its session is closed.
      */
     public fun changed(changes: List<Change>) {
-        val leading = leading ?: return
+        val leadership = leadership ?: return
         for (change in changes) {
-            val end = ((change as? Change.Put)?.let { Keys.subject(it.key) } as? Subject.End) ?: continue
+            val end = ((change as? Change.Put)?.let { Keys.subject(it.key) } as? StoredKey.TerminalRecord) ?: continue
             val name = JobName.parse(end.id)?.takeIf { it.members != null } ?: continue
-            if (EndRecord.decode(change.entry.value)?.how != Ending.DONE) continue
-            scope.launch { dropBlocks(leading, name) }
+            if (TerminalRecord.decode(change.entry.value)?.how != TerminalState.DONE) continue
+            scope.launch { dropBlocks(leadership, name) }
         }
     }
 
-    private suspend fun dropBlocks(leading: Tenure.Leading, name: JobName) {
+    private suspend fun dropBlocks(leadership: LeadershipState.Leader, name: JobName) {
         val written = client.list(Keys.finishedOf("$name/"), null) ?: return
         for (chunk in written.entries.chunked(txnOps)) {
             client.commit(
-                listOf(guard(leading), Condition(Keys.job(name.id), Revision.ABSENT)),
+                listOf(guard(leadership), Condition(Keys.job(name.id), Revision.ABSENT)),
                 chunk.map { Write.Drop(it.key) },
-                Purpose.OTHER,
+                RequestPriority.OTHER,
             )
         }
     }
 
     internal companion object {
         const val SWEEP_EVERY = 60
-        const val MOST_A_SWEEP = FinishedTasks.BLOCK
+        const val MOST_A_SWEEP = CompletedTasks.BLOCK
         val KEEP_CLOSED = 30.days
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Control.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/JobControl.kt
@@ -1,12 +1,12 @@
 package org.elderhitch.drmaa
 
-import org.elderhitch.jobs.Answer
 import org.elderhitch.jobs.HoldKind
-import org.elderhitch.jobs.JobDesk
+import org.elderhitch.jobs.HoldResult
 import org.elderhitch.jobs.JobId
-import org.elderhitch.jobs.Known
+import org.elderhitch.jobs.JobLookup
+import org.elderhitch.jobs.JobResponse
+import org.elderhitch.jobs.JobService
 import org.elderhitch.time.SteadyClock
-import org.elderhitch.workers.HoldAnswer
 import kotlin.time.Duration.Companion.seconds
 
 public enum class Action(public val inconsistent: Fault) {
@@ -35,25 +35,26 @@
 }
 
 /** What clients do to jobs that are submitted. All of it goes through the same core as what native users do. */
-public class Control(
-    private val book: SessionBook,
-    private val desk: JobDesk,
+public class JobControl(
+    private val sessionRegistry: SessionRegistry,
+    private val jobService: JobService,
     private val submissions: Submissions,
     private val sync: suspend () -> Boolean,
-    private val hold: suspend (JobId, HoldKind, String) -> HoldAnswer,
+    private val hold: suspend (JobId, HoldKind, String) -> HoldResult,
     private val clock: SteadyClock,
 ) {
     /** Throws [Refused]. An action that was carried out before, its answer lost, is carried out. */
     public suspend fun one(name: JobName, action: Action) {
         if (!sync()) throw notNow("the state service doesn't answer")
-        val held = book.look(name.session) { it.held(name) } ?: heldNot(name)
+        val held = sessionRegistry.look(name.session) { it.held(name) } ?: heldNot(name)
         if (held != null) onHeld(name, held, action) else onSubmitted(name, action)
     }
 
     private suspend fun heldNot(name: JobName): HeldJob? {
-        book.look(name.session) { } ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
-        if (desk.show(name.id) ==
-            Answer.Unknown
+        sessionRegistry.look(name.session) { }
+            ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
+        if (jobService.show(name.id) ==
+            JobResponse.Unknown
         ) {
             throw Refused(Fault.InvalidJobException, "$name is no job of this session")
         }
@@ -80,7 +81,7 @@
 
     private suspend fun onSubmitted(name: JobName, action: Action) {
         when (action) {
-            Action.TERMINATE -> told(name, desk.withdraw(name.id))
+            Action.TERMINATE -> told(name, jobService.cancel(name.id))
             Action.HOLD -> held(action, hold(name.id, HoldKind.USER, "its user asked for it"))
             Action.SUSPEND -> held(action, hold(name.id, HoldKind.SUSPENDED, "its user asked for it"))
             Action.RELEASE -> released(name, action, HoldKind.USER)
@@ -89,9 +90,9 @@
     }
 
     private suspend fun released(name: JobName, action: Action, kind: HoldKind) {
-        val answer = desk.release(name.id) { it.kind == kind }
-        if (answer != Answer.Unknown) return told(name, answer)
-        val open = desk.lookup(name.id) as? Known.Open
+        val answer = jobService.release(name.id) { it.kind == kind }
+        if (answer != JobResponse.Unknown) return told(name, answer)
+        val open = jobService.lookup(name.id) as? JobLookup.Open
         val rule = open?.hold?.takeIf { it.kind == HoldKind.ATTEMPTS }
         if (rule != null) throw Refused(Fault.DeniedByDrmException, rule.reason)
         throw Refused(
@@ -106,34 +107,36 @@
         )
     }
 
-    private fun told(name: JobName, answer: Answer) {
+    private fun told(name: JobName, answer: JobResponse) {
         when (answer) {
-            is Answer.State, is Answer.Accepted -> Unit
-            Answer.Unknown -> throw Refused(Fault.InvalidJobException, "$name is no job of this session")
-            is Answer.NotNow -> throw notNow(answer.reason)
+            is JobResponse.State, is JobResponse.Accepted -> Unit
+            JobResponse.Unknown -> throw Refused(Fault.InvalidJobException, "$name is no job of this session")
+            is JobResponse.NotNow -> throw notNow(answer.reason)
             else -> throw notNow("the job can't be changed now")
         }
     }
 
-    private fun held(action: Action, answer: HoldAnswer) {
+    private fun held(action: Action, answer: HoldResult) {
         when (answer) {
-            HoldAnswer.Held -> Unit
-            is HoldAnswer.Inconsistent -> throw Refused(action.inconsistent, answer.reason)
-            HoldAnswer.NoSuchJob -> throw Refused(action.inconsistent, "the job has ended")
-            is HoldAnswer.NotNow -> throw notNow(answer.reason)
+            HoldResult.Held -> Unit
+            is HoldResult.Inconsistent -> throw Refused(action.inconsistent, answer.reason)
+            HoldResult.NoSuchJob -> throw Refused(action.inconsistent, "the job has ended")
+            is HoldResult.NotNow -> throw notNow(answer.reason)
         }
     }
 
     /**
-     * As many jobs of the session as a request has time for, up to [upTo]; the client asks again for what is left. Each job is a change
-     * or two of the state service, of which there are some dozens a second for everybody: so many thousands take their minutes.
+     * As many jobs of the session as a request has time for, up to [upTo]; the client asks again for what is left. Each
+     * job is a change
+     * or two of the state service, of which there are some dozens a second for everybody: so many thousands take their
+     * minutes.
      * Throws [Refused] only when nothing could be done.
      */
     public suspend fun all(session: SessionName, action: Action, upTo: Map<ClientTag, Int>): Progress {
         if (!sync()) throw notNow("the state service doesn't answer")
         val until = clock.now() + ALL_WITHIN
         val jobs =
-            book.look(session) { view ->
+            sessionRegistry.look(session) { view ->
                 (
                     view.state.openJobs(upTo) +
                         view.heldJobs().filter { it.number <= (upTo[it.tag] ?: -1) }
@@ -145,7 +148,7 @@
         for ((n, name) in jobs.withIndex()) {
             if (clock.now() > until) return Progress(done, jobs.size - n, refused)
             try {
-                val held = book.look(session) { it.held(name) }
+                val held = sessionRegistry.look(session) { it.held(name) }
                 if (held != null) onHeld(name, held, action) else onSubmitted(name, action)
                 done++
             } catch (e: Refused) {
@@ -167,14 +170,14 @@
         return Progress(done, 0, refused)
     }
 
-    public suspend fun upTo(session: SessionName): Map<ClientTag, Int> = book.look(session) { it.upTo() }
+    public suspend fun upTo(session: SessionName): Map<ClientTag, Int> = sessionRegistry.look(session) { it.upTo() }
         ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
 
     /** Throws [Refused]. */
     public suspend fun status(result: ResultName): ProgramStatus {
         val name = result.job
         if (!sync()) throw notNow("the state service doesn't answer")
-        val (held, completed) = book.look(name.session) { it.held(name) to it.state.completed(result) }
+        val (held, completed) = sessionRegistry.look(name.session) { it.held(name) to it.state.completed(result) }
             ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
         if (held != null) {
             return if (!held.byUser) {
@@ -188,21 +191,21 @@
             }
         }
         if (completed) return ProgramStatus.DONE
-        return when (val shown = desk.show(name.id)) {
-            Answer.Unknown -> throw Refused(Fault.InvalidJobException, "$name is no job of this session")
+        return when (val shown = jobService.show(name.id)) {
+            JobResponse.Unknown -> throw Refused(Fault.InvalidJobException, "$name is no job of this session")
 
-            is Answer.State -> when (val known = desk.lookup(name.id)) {
-                is Known.Open -> open(known)
+            is JobResponse.State -> when (val known = jobService.lookup(name.id)) {
+                is JobLookup.Open -> open(known)
                 else -> if (shown.standing.word == "done") ProgramStatus.DONE else ProgramStatus.FAILED
             }
 
-            is Answer.NotNow -> throw notNow(shown.reason)
+            is JobResponse.NotNow -> throw notNow(shown.reason)
 
             else -> throw notNow("the job's state can't be told now")
         }
     }
 
-    private fun open(known: Known.Open): ProgramStatus = when {
+    private fun open(known: JobLookup.Open): ProgramStatus = when {
         known.hold?.kind == HoldKind.USER -> ProgramStatus.USER_ON_HOLD
         known.hold?.kind == HoldKind.SUSPENDED -> ProgramStatus.USER_SUSPENDED
         known.standing.running > 0 -> ProgramStatus.RUNNING
--- a/src/main/kotlin/org/elderhitch/drmaa/Names.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Names.kt
@@ -1,10 +1,12 @@
 package org.elderhitch.drmaa
 
-import org.elderhitch.jobs.FinishedTasks
+import org.elderhitch.jobs.CompletedTasks
 import org.elderhitch.jobs.JobCodec
 import org.elderhitch.jobs.JobId
 
-/** A DRMAA session. Its name is derived from what its client chose, so that an opening that is repeated opens it once. */
+/**
+ * A DRMAA session. Its name is derived from what its client chose, so that an opening that is repeated opens it once.
+ */
 @JvmInline
 public value class SessionName(public val text: String) : Comparable<SessionName> {
     override fun compareTo(other: SessionName): Int = text.compareTo(other.text)
@@ -48,7 +50,8 @@
 }
 
 /**
- * The job that a client's request [number] submitted. All that tells to whom a job belongs, and how many members a bulk job has,
+ * The job that a client's request [number] submitted. All that tells to whom a job belongs, and how many members a bulk
+ * job has,
  * stands in its id: it costs no change in the state service, and it outlives the job's record.
  */
 public data class JobName(val session: SessionName, val tag: ClientTag, val number: Int, val members: Int?) {
@@ -88,13 +91,13 @@
     /** The block of results that it is taken from, one value of the state service each. */
     public val block: ReapKey
         get() = if (member == null) {
-            ReapKey(job.session, job.tag, null, FinishedTasks.blockOf(job.number))
+            ReapKey(job.session, job.tag, null, CompletedTasks.blockOf(job.number))
         } else {
-            ReapKey(job.session, job.tag, job.number, FinishedTasks.blockOf(member))
+            ReapKey(job.session, job.tag, job.number, CompletedTasks.blockOf(member))
         }
 
     /** Its place in the block. */
-    public val place: Int get() = (member ?: job.number) % FinishedTasks.BLOCK
+    public val place: Int get() = (member ?: job.number) % CompletedTasks.BLOCK
 
     public companion object {
         public fun parse(text: String): ResultName? {
@@ -106,7 +109,9 @@
     }
 }
 
-/** Names a value that says which results of a client (or, with [bulk], which members of its bulk job) were taken away. */
+/**
+ * Names a value that says which results of a client (or, with [bulk], which members of its bulk job) were taken away.
+ */
 public data class ReapKey(val session: SessionName, val tag: ClientTag, val bulk: Int?, val block: Int) {
     override fun toString(): String = "$PREFIX$session/$tag" + (bulk?.let { ".$it" } ?: "") + "/$block"
 
--- a/src/main/kotlin/org/elderhitch/drmaa/Networks.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Networks.kt
@@ -23,7 +23,10 @@
     public companion object {
         public val LOOPBACK: List<String> = listOf("127.0.0.0/8", "::1")
 
-        /** Throws [IllegalArgumentException] naming what is no network. A network with host bits set is a mistake, not a wider one. */
+        /**
+         * Throws [IllegalArgumentException] naming what is no network. A network with host bits set is a mistake, not a
+         * wider one.
+         */
         public fun of(texts: List<String>): Networks = Networks(
             texts.map { text ->
                 val address = try {
--- a/src/main/kotlin/org/elderhitch/drmaa/ReapBlock.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/ReapBlock.kt
@@ -1,17 +1,22 @@
 package org.elderhitch.drmaa
 
-import org.elderhitch.jobs.FinishedTasks
+import org.elderhitch.jobs.CompletedTasks
 import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
 import org.elderhitch.store.Revision
 
 /**
- * Which results of one block were taken away, and by which of the latest requests. A value of the state service that is only ever
- * replaced under its own version: of two who take the same result, one finds the version changed, reads again, and sees that it is gone.
+ * Which results of one block were taken away, and by which of the latest requests. A value of the state service that is
+ * only ever
+ * replaced under its own version: of two who take the same result, one finds the version changed, reads again, and sees
+ * that it is gone.
  */
 public class ReapBlock private constructor(
-    private val taken: FinishedTasks,
-    /** The latest requests and the places that each took, the latest last; -1: it took many, and says no more than that it was it. */
+    private val taken: CompletedTasks,
+    /**
+     * The latest requests and the places that each took, the latest last; -1: it took many, and says no more than that
+     * it was it.
+     */
     private val by: List<Pair<RequestId, Int>>,
     public val version: Revision,
 ) {
@@ -28,7 +33,7 @@
 
     /** [request]: null when nobody took them: they were kept for too long. */
     public fun plus(places: Collection<Int>, request: RequestId?): ReapBlock {
-        val all = FinishedTasks(FinishedTasks.BLOCK)
+        val all = CompletedTasks(CompletedTasks.BLOCK)
         all.addAll(taken)
         places.forEach(all::add)
         val latest = if (request == null) by else by + (request to (places.singleOrNull() ?: MANY))
@@ -45,20 +50,23 @@
     public companion object {
         private const val MANY = -1
 
-        /** More than the clients of a session have under way at once; at 24 characters each they fit a value beside the bitmap. */
+        /**
+         * More than the clients of a session have under way at once; at 24 characters each they fit a value beside the
+         * bitmap.
+         */
         public const val REMEMBERED: Int = 100
-        public val EMPTY: ReapBlock = ReapBlock(FinishedTasks(FinishedTasks.BLOCK), emptyList(), Revision.ABSENT)
+        public val EMPTY: ReapBlock = ReapBlock(CompletedTasks(CompletedTasks.BLOCK), emptyList(), Revision.ABSENT)
 
         /** Null for a value that this program did not write. */
         public fun decode(value: JsonObject, version: Revision): ReapBlock? {
-            val taken = FinishedTasks(FinishedTasks.BLOCK)
+            val taken = CompletedTasks(CompletedTasks.BLOCK)
             return try {
                 val by = value.stringsOrNull("by").orEmpty().map { text ->
                     val request = RequestId.parse(text.substringBefore(':')) ?: return null
                     val place = if (':' in
                         text
                     ) {
-                        text.substringAfter(':').toIntOrNull()?.takeIf { it in 0 until FinishedTasks.BLOCK }
+                        text.substringAfter(':').toIntOrNull()?.takeIf { it in 0 until CompletedTasks.BLOCK }
                             ?: return null
                     } else {
                         MANY
--- a/src/main/kotlin/org/elderhitch/drmaa/Reaper.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Reaper.kt
@@ -1,24 +1,24 @@
 package org.elderhitch.drmaa
 
 import kotlinx.coroutines.CompletableDeferred
-import org.elderhitch.jobs.Answer
-import org.elderhitch.jobs.EndRecord
-import org.elderhitch.jobs.Ending
-import org.elderhitch.jobs.JobDesk
-import org.elderhitch.jobs.Known
+import org.elderhitch.jobs.JobLookup
+import org.elderhitch.jobs.JobResponse
+import org.elderhitch.jobs.JobService
+import org.elderhitch.jobs.TerminalRecord
+import org.elderhitch.jobs.TerminalState
 import org.elderhitch.store.CommitOutcome
 import org.elderhitch.store.Condition
 import org.elderhitch.store.Entry
-import org.elderhitch.store.Purpose
 import org.elderhitch.store.ReadOutcome
+import org.elderhitch.store.RequestPriority
 import org.elderhitch.store.StateClient
 import org.elderhitch.store.Write
 import org.slf4j.LoggerFactory
 
 /** A result as its client is told it. */
-public class Result(public val name: ResultName, public val ended: Ending, public val record: EndRecord?) {
+public class Result(public val name: ResultName, public val ended: TerminalState, public val record: TerminalRecord?) {
     /** A member that completed before its job was withdrawn completed, whatever became of the others. */
-    public val done: Boolean get() = ended == Ending.DONE
+    public val done: Boolean get() = ended == TerminalState.DONE
 }
 
 public sealed interface Reaped {
@@ -30,11 +30,18 @@
 }
 
 /**
- * Takes results away, each once. The value of a block is replaced under the version that was read: of two requests for one result
- * the second finds another version, reads, and sees that it is gone. An answer that was lost is the same when it is asked for again,
- * since the block says by which request a result was taken; and a transaction that is carried out late finds another version as well.
+ * Takes results away, each once. The value of a block is replaced under the version that was read: of two requests for
+ * one result
+ * the second finds another version, reads, and sees that it is gone. An answer that was lost is the same when it is
+ * asked for again,
+ * since the block says by which request a result was taken; and a transaction that is carried out late finds another
+ * version as well.
  */
-public class Reaper(private val book: SessionBook, private val client: StateClient, private val desk: JobDesk) {
+public class Reaper(
+    private val sessionRegistry: SessionRegistry,
+    private val client: StateClient,
+    private val jobService: JobService,
+) {
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
 
     /** Takes results of one block; all of them, or none. */
@@ -42,10 +49,12 @@
         key: ReapKey,
         results: Collection<ResultName>,
         request: RequestId?,
-        purpose: Purpose = Purpose.RECORD,
+        purpose: RequestPriority = RequestPriority.RECORD,
     ): Reaped {
         repeat(TRIES) {
-            val block = book.look(key.session) { it.state.block(key) } ?: return Reaped.NotNow("the session was closed")
+            val block =
+                sessionRegistry.look(key.session) { it.state.block(key) }
+                    ?: return Reaped.NotNow("the session was closed")
             val gone = results.filter { it.place in block }
             val others = if (request == null) gone else gone.filter { !block.wentTo(it.place, request) }
             if (others.isNotEmpty()) return Reaped.Gone(others)
@@ -58,7 +67,7 @@
             )
             when (outcome) {
                 is CommitOutcome.Committed -> {
-                    book.tell(BookMessage.Took(key, next.at(outcome.revision)))
+                    sessionRegistry.tell(BookMessage.Took(key, next.at(outcome.revision)))
                     if (log.isDebugEnabled) log.debug("results taken request={} results={}", request, results)
                     return Reaped.Taken(results)
                 }
@@ -79,34 +88,38 @@
         return Reaped.NotNow("the state service doesn't answer")
     }
 
-    private suspend fun read(key: ReapKey): Boolean = when (val read = client.read(key.toString(), Purpose.RECORD)) {
-        is ReadOutcome.Found -> ReapBlock.decode(read.entry.value, read.entry.version)?.let {
-            book.tell(BookMessage.Took(key, it))
-            true
-        } ?: false
+    private suspend fun read(key: ReapKey): Boolean =
+        when (val read = client.read(key.toString(), RequestPriority.RECORD)) {
+            is ReadOutcome.Found -> ReapBlock.decode(read.entry.value, read.entry.version)?.let {
+                sessionRegistry.tell(BookMessage.Took(key, it))
+                true
+            } ?: false
 
-        ReadOutcome.Absent -> true
+            ReadOutcome.Absent -> true
 
-        ReadOutcome.Unavailable -> false
-    }
+            ReadOutcome.Unavailable -> false
+        }
 
-    /** What there is to tell of a result that has ended; read before it is taken, as a result that can't be told must stay. Null: not now. */
+    /**
+     * What there is to tell of a result that has ended; read before it is taken, as a result that can't be told must
+     * stay. Null: not now.
+     */
     public suspend fun result(name: ResultName): Result? {
-        val completed = book.look(name.job.session) { it.state.completed(name) } ?: return null
-        val record = when (val known = desk.lookup(name.job.id)) {
-            is Known.Ended -> known.record
+        val completed = sessionRegistry.look(name.job.session) { it.state.completed(name) } ?: return null
+        val record = when (val known = jobService.lookup(name.job.id)) {
+            is JobLookup.Ended -> known.record
 
             // A member may be done while others run.
-            is Known.Open -> if (completed && name.member != null) null else return null
+            is JobLookup.Open -> if (completed && name.member != null) null else return null
 
-            else -> if (desk.show(name.job.id) is Answer.State) {
-                (desk.lookup(name.job.id) as? Known.Ended)?.record
+            else -> if (jobService.show(name.job.id) is JobResponse.State) {
+                (jobService.lookup(name.job.id) as? JobLookup.Ended)?.record
                     ?: return null
             } else {
                 return null
             }
         }
-        val ended = if (name.member != null && completed) Ending.DONE else record?.how ?: return null
+        val ended = if (name.member != null && completed) TerminalState.DONE else record?.how ?: return null
         return Result(name, ended, record)
     }
 
@@ -116,12 +129,12 @@
 }
 
 /** Reads what is only known of sessions in use: their endings, and what was taken of them. */
-public class SessionLoader(private val book: SessionBook, private val client: StateClient) {
+public class SessionLoader(private val sessionRegistry: SessionRegistry, private val client: StateClient) {
     private val loading = HashMap<SessionName, CompletableDeferred<Boolean>>()
 
     /** Afterwards all that was recorded of the session when this was called is known here; false: not now. */
     public suspend fun load(session: SessionName): Boolean {
-        if (book.look(session) { it.loaded } != false) return true
+        if (sessionRegistry.look(session) { it.loaded } != false) return true
         loading[session]?.let { return it.await() }
         val done = CompletableDeferred<Boolean>()
         loading[session] = done
@@ -136,21 +149,21 @@
     }
 
     private suspend fun read(session: SessionName): Boolean {
-        val epoch = book.epoch
+        val epoch = sessionRegistry.epoch
         // Changes that come while the lists are read are told to the book as well: all of it only ever adds.
         val endings = list(DrmaaKeys.endings(session)) { entry ->
-            SessionBook.jobOf(entry.key)?.let { job ->
-                EndRecord.decode(entry.value)?.let {
+            SessionRegistry.jobOf(entry.key)?.let { job ->
+                TerminalRecord.decode(entry.value)?.let {
                     job to
-                        EndRecord(it.how, it.done)
+                        TerminalRecord(it.how, it.done)
                 }
             }
         } ?: return false
         val blocks = list(ReapKey.prefix(session)) { entry ->
             ReapKey.parse(entry.key)?.let { key -> ReapBlock.decode(entry.value, entry.version)?.let { key to it } }
         } ?: return false
-        book.tell(BookMessage.Loaded(session, epoch, endings, blocks))
-        return book.look(session) { it.loaded } != false
+        sessionRegistry.tell(BookMessage.Loaded(session, epoch, endings, blocks))
+        return sessionRegistry.look(session) { it.loaded } != false
     }
 
     private suspend fun <T> list(prefix: String, read: (Entry) -> T?): List<T>? {
--- a/src/main/kotlin/org/elderhitch/drmaa/SessionBook.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/SessionRegistry.kt
@@ -3,8 +3,8 @@
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
 import org.elderhitch.actor.Actor
-import org.elderhitch.jobs.EndRecord
 import org.elderhitch.jobs.JobId
+import org.elderhitch.jobs.TerminalRecord
 import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
 import org.elderhitch.settings.TeamName
@@ -12,7 +12,7 @@
 import org.elderhitch.store.Entry
 import org.elderhitch.store.Keys
 import org.elderhitch.store.Revision
-import org.elderhitch.store.Subject
+import org.elderhitch.store.StoredKey
 import org.elderhitch.time.WallTime
 import org.slf4j.LoggerFactory
 
@@ -65,7 +65,7 @@
     public class Loaded(
         public val session: SessionName,
         public val epoch: Int,
-        public val endings: List<Pair<JobName, EndRecord>>,
+        public val endings: List<Pair<JobName, TerminalRecord>>,
         public val blocks: List<Pair<ReapKey, ReapBlock>>,
     ) : BookMessage
 
@@ -117,8 +117,11 @@
     public fun heldOfTeam(sessions: Set<SessionName>): Int = held.keys.count { it.session in sessions }
 }
 
-/** Follows what the state service says of all sessions: records, open and held jobs; and of those in use here, endings and what was taken. */
-public class SessionBook(scope: CoroutineScope) : Actor<BookMessage>(scope) {
+/**
+ * Follows what the state service says of all sessions: records, open and held jobs; and of those in use here, endings
+ * and what was taken.
+ */
+public class SessionRegistry(scope: CoroutineScope) : Actor<BookMessage>(scope) {
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
     private val records = HashMap<SessionName, SessionRecord>()
     private val states = HashMap<SessionName, SessionState>()
@@ -178,13 +181,14 @@
     private fun state(session: SessionName) = states.getOrPut(session) { SessionState(session) }
 
     private fun snapshot(entries: List<Entry>) {
-        // What ended, and what was taken, since the last news is in no list: each session is read again when it is next used.
+        // What ended, and what was taken, since the last news is in no list: each session is read again when it is next
+        // used.
         epoch++
         records.clear()
         states.clear()
         loaded.clear()
         held.clear()
-        entries.sortedBy { if (Keys.subject(it.key) is Subject.Job) 0 else 1 }.forEach { put(it, listed = true) }
+        entries.sortedBy { if (Keys.subject(it.key) is StoredKey.Job) 0 else 1 }.forEach { put(it, listed = true) }
         wakeAll()
     }
 
@@ -236,9 +240,9 @@
             return
         }
         when (val subject = Keys.subject(key)) {
-            is Subject.Job -> JobName.parse(subject.id)?.let { state(it.session).opened(it) }
+            is StoredKey.Job -> JobName.parse(subject.id)?.let { state(it.session).opened(it) }
 
-            is Subject.Finished -> JobName.parse(subject.id)?.let { job ->
+            is StoredKey.CompletedTasks -> JobName.parse(subject.id)?.let { job ->
                 val value = entry.value.raw("f") as? String ?: return
                 if (job.members == null) return
                 if (!state(
@@ -250,15 +254,15 @@
                 wake(job.session)
             }
 
-            is Subject.End -> JobName.parse(subject.id)?.let { job ->
-                EndRecord.decode(entry.value)?.let { ended(job, it) }
+            is StoredKey.TerminalRecord -> JobName.parse(subject.id)?.let { job ->
+                TerminalRecord.decode(entry.value)?.let { ended(job, it) }
             }
 
             else -> Unit
         }
     }
 
-    private fun ended(job: JobName, record: EndRecord) {
+    private fun ended(job: JobName, record: TerminalRecord) {
         // In use or not: a job that is no longer listed as open must be known to have ended, once it is known at all.
         state(job.session).ended(job, record.how)
         wake(job.session)
@@ -303,6 +307,6 @@
 
     internal companion object {
         fun jobOf(endKey: String): JobName? =
-            (Keys.subject(endKey) as? Subject.End)?.id?.let { id: JobId -> JobName.parse(id) }
+            (Keys.subject(endKey) as? StoredKey.TerminalRecord)?.id?.let { id: JobId -> JobName.parse(id) }
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/SessionState.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/SessionState.kt
@@ -1,7 +1,7 @@
 package org.elderhitch.drmaa
 
-import org.elderhitch.jobs.Ending
-import org.elderhitch.jobs.FinishedTasks
+import org.elderhitch.jobs.CompletedTasks
+import org.elderhitch.jobs.TerminalState
 import java.util.BitSet
 import java.util.TreeMap
 
@@ -15,13 +15,14 @@
 }
 
 /**
- * What a node knows of a session's jobs: a few bits each, since a session may have many thousands. Everything in it only ever
+ * What a node knows of a session's jobs: a few bits each, since a session may have many thousands. Everything in it
+ * only ever
  * grows (open, ended, taken), so it doesn't matter in which order the state service's lists and changes are told.
  */
 public class SessionState(public val name: SessionName) {
     private class Members(val count: Int) {
-        val finished = FinishedTasks(count)
-        var ending: Ending? = null
+        val finished = CompletedTasks(count)
+        var ending: TerminalState? = null
 
         /** All before it are taken, for ever: they are passed no more. */
         var firstLeft = 0
@@ -76,7 +77,7 @@
         if (!client.ended[job.number]) client.open.set(job.number)
     }
 
-    public fun ended(job: JobName, how: Ending) {
+    public fun ended(job: JobName, how: TerminalState) {
         val client = client(job.tag)
         client.open.clear(job.number)
         client.ended.set(job.number)
@@ -104,7 +105,7 @@
     /** Whether the member of a bulk job that has ended, or has not, completed by itself. */
     public fun completed(result: ResultName): Boolean {
         val members = clients[result.job.tag]?.bulks?.get(result.job.number) ?: return false
-        return members.ending == Ending.DONE || result.member != null && result.member in members.finished
+        return members.ending == TerminalState.DONE || result.member != null && result.member in members.finished
     }
 
     public fun stateOf(result: ResultName): ResultState {
@@ -173,7 +174,7 @@
         for ((key, block) in blocks) {
             val place = block.takenBy(request) ?: continue
             val client = clients[key.tag] ?: continue
-            val at = key.block * FinishedTasks.BLOCK + place
+            val at = key.block * CompletedTasks.BLOCK + place
             return if (key.bulk == null) {
                 ResultName(JobName(name, key.tag, at, null), null)
             } else {
--- a/src/main/kotlin/org/elderhitch/drmaa/Sessions.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Sessions.kt
@@ -3,7 +3,7 @@
 import org.elderhitch.settings.TeamName
 import org.elderhitch.store.CommitOutcome
 import org.elderhitch.store.Condition
-import org.elderhitch.store.Purpose
+import org.elderhitch.store.RequestPriority
 import org.elderhitch.store.Revision
 import org.elderhitch.store.StateClient
 import org.elderhitch.store.Write
@@ -13,16 +13,16 @@
 
 /** Opens, touches and closes sessions; on any node. */
 public class Sessions(
-    private val book: SessionBook,
+    private val sessionRegistry: SessionRegistry,
     private val client: StateClient,
-    private val wall: WallClock,
+    private val wallClock: WallClock,
     private val settings: DrmaaSettings,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
 
     /** Opens the session, unless an earlier try has. Throws [Refused]. */
     public suspend fun open(session: SessionName, team: TeamName) {
-        val open = book.sessions()
+        val open = sessionRegistry.sessions()
         if (session in open) return
         val ofTeam = open.values.count { it.team == team }
         if (ofTeam >=
@@ -33,7 +33,7 @@
                 "the team has $ofTeam sessions open, of ${settings.sessionsPerTeam}",
             )
         }
-        val now = wall.now()
+        val now = wallClock.now()
         val key = DrmaaKeys.session(session)
         // A session that was closed stays so: its name leads nowhere any more.
         val conditions = listOf(Condition(key, Revision.ABSENT), Condition(DrmaaKeys.closed(session), Revision.ABSENT))
@@ -42,7 +42,7 @@
                 val outcome = client.commit(
                     conditions,
                     listOf(Write.Put(key, SessionRecord(team, now, now, Revision.ABSENT).encode())),
-                    Purpose.RECORD,
+                    RequestPriority.RECORD,
                 )
             ) {
                 is CommitOutcome.Committed -> {
@@ -70,22 +70,22 @@
     }
 
     /** Whether an hour has passed since word was left that the session is in use. */
-    public fun isUnmarked(record: SessionRecord): Boolean = wall.now() - record.used >= TOUCH_EVERY
+    public fun isUnmarked(record: SessionRecord): Boolean = wallClock.now() - record.used >= TOUCH_EVERY
 
     /** Leaves word that the session is in use; that it can't be left now is no reason to refuse anything. */
     public suspend fun touch(session: SessionName, record: SessionRecord) {
-        val now = wall.now()
+        val now = wallClock.now()
         client.commit(
             listOf(Condition(DrmaaKeys.session(session), record.version)),
             listOf(Write.Put(DrmaaKeys.session(session), record.copy(used = now).encode())),
-            Purpose.OTHER,
+            RequestPriority.OTHER,
         )
     }
 
     /** Closes the session for good, and writes down why and what it let go. True if it is closed now. */
     public suspend fun close(session: SessionName, why: String, more: List<Condition> = emptyList()): Boolean {
         repeat(TRIES) {
-            val (record, left) = book.look(session) { it.record to it.state.load() } ?: return true
+            val (record, left) = sessionRegistry.look(session) { it.record to it.state.load() } ?: return true
             val outcome = client.commit(
                 listOf(
                     Condition(DrmaaKeys.session(session), record.version),
@@ -99,12 +99,12 @@
                         linkedMapOf(
                             "team" to record.team.text,
                             "why" to why,
-                            "at" to wall.now().ms,
+                            "at" to wallClock.now().ms,
                             "left" to left,
                         ),
                     ),
                 ),
-                Purpose.RECORD,
+                RequestPriority.RECORD,
             )
             when (outcome) {
                 is CommitOutcome.Committed -> {
--- a/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
@@ -1,19 +1,19 @@
 package org.elderhitch.drmaa
 
-import org.elderhitch.jobs.Account
-import org.elderhitch.jobs.Answer
-import org.elderhitch.jobs.Beside
-import org.elderhitch.jobs.EndRecord
-import org.elderhitch.jobs.Ending
+import org.elderhitch.jobs.ExtraWrites
+import org.elderhitch.jobs.JobAccount
 import org.elderhitch.jobs.JobCodec
-import org.elderhitch.jobs.JobDesk
+import org.elderhitch.jobs.JobResponse
+import org.elderhitch.jobs.JobService
 import org.elderhitch.jobs.JobSpec
+import org.elderhitch.jobs.TerminalRecord
+import org.elderhitch.jobs.TerminalState
 import org.elderhitch.json.Json
 import org.elderhitch.json.MalformedJson
 import org.elderhitch.store.CommitOutcome
 import org.elderhitch.store.Condition
 import org.elderhitch.store.Keys
-import org.elderhitch.store.Purpose
+import org.elderhitch.store.RequestPriority
 import org.elderhitch.store.Revision
 import org.elderhitch.store.StateClient
 import org.elderhitch.store.Write
@@ -22,14 +22,15 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Jobs of sessions on their way to the core. What is to start later, or when its user says so, is recorded beside the core under a
+ * Jobs of sessions on their way to the core. What is to start later, or when its user says so, is recorded beside the
+ * core under a
  * key of its own, and goes over to it in one transaction: it is held, or submitted, and never both or neither.
  */
 public class Submissions(
-    private val book: SessionBook,
+    private val sessionRegistry: SessionRegistry,
     private val client: StateClient,
-    private val desk: JobDesk,
-    private val wall: WallClock,
+    private val jobService: JobService,
+    private val wallClock: WallClock,
     private val settings: DrmaaSettings,
     private val valueBytes: Int,
     private val sync: suspend () -> Boolean,
@@ -38,7 +39,7 @@
 
     /** Submits or holds what was checked. A repeat of an accepted request changes nothing. Throws [Refused]. */
     public suspend fun submit(name: JobName, checked: Checked) {
-        val (known, differs) = book.look(name.session) {
+        val (known, differs) = sessionRegistry.look(name.session) {
             (it.held(name) != null || it.state.has(name)) to
                 it.state.differs(name)
         }
@@ -46,35 +47,35 @@
         if (differs) throw Refused(Fault.DeniedByDrmException, "the request's number stands for another job")
         if (known) return
         // Of a session that isn't loaded here only what is open counts; its results are bounded where it is used.
-        val load = book.look(name.session) { it.state.load() } ?: throw closed()
+        val load = sessionRegistry.look(name.session) { it.state.load() } ?: throw closed()
         if (load + (name.members ?: 1) > settings.resultsPerSession) {
             // A repeat of what is recorded already is not refused for it.
-            if (desk.show(name.id) is Answer.State) return
+            if (jobService.show(name.id) is JobResponse.State) return
             throw Refused(
                 Fault.TryLaterException,
                 "the session has $load jobs and results that nobody took, of ${settings.resultsPerSession}: take some",
             )
         }
         if (checked.onHold || checked.startAt != null) return hold(name, checked)
-        accepted(desk.submit(checked.spec, checked.extra))
-        book.tell(BookMessage.Submitted(name))
+        accepted(jobService.submit(checked.spec, checked.extra))
+        sessionRegistry.tell(BookMessage.Submitted(name))
     }
 
     private suspend fun hold(name: JobName, checked: Checked) {
         if (!sync()) throw notNow("the state service doesn't answer")
-        val sessions = book.sessions()
+        val sessions = sessionRegistry.sessions()
         val team = sessions.filterValues { it.team == checked.spec.team }.keys
-        val held = book.look(name.session) { it.heldOfTeam(team) } ?: throw closed()
+        val held = sessionRegistry.look(name.session) { it.heldOfTeam(team) } ?: throw closed()
         if (held >=
             settings.heldPerTeam
         ) {
             throw Refused(Fault.TryLaterException, "the team has $held held jobs, of ${settings.heldPerTeam}")
         }
-        desk.refusal(checked.spec)?.let { accepted(it) }
+        jobService.refusal(checked.spec)?.let { accepted(it) }
         val value = linkedMapOf<String, Any?>(
             "job" to JobCodec.encode(checked.spec) + checked.extra,
             "user" to checked.onHold,
-            "since" to wall.now().ms,
+            "since" to wallClock.now().ms,
             "start" to checked.startAt?.ms,
         ).filterValues { it != null }
         if (Json.bytes(value).size >
@@ -83,14 +84,16 @@
             throw Refused(Fault.InvalidAttributeValueException, "the template's attributes are too long")
         }
         val conditions =
-            listOf(DrmaaKeys.held(name), Keys.job(name.id), Keys.end(name.id)).map { Condition(it, Revision.ABSENT) } +
+            listOf(DrmaaKeys.held(name), Keys.job(name.id), Keys.terminalRecord(name.id)).map {
+                Condition(it, Revision.ABSENT)
+            } +
                 Condition(DrmaaKeys.session(name.session), sessions[name.session]?.version ?: throw closed())
         repeat(TRIES) {
             when (
                 val outcome = client.commit(
                     conditions,
                     listOf(Write.Put(DrmaaKeys.held(name), value)),
-                    Purpose.RECORD,
+                    RequestPriority.RECORD,
                 )
             ) {
                 is CommitOutcome.Committed -> return
@@ -112,14 +115,17 @@
     }
 
     /** Throws [Refused] unless the core took the job. */
-    private fun accepted(answer: Answer) {
+    private fun accepted(answer: JobResponse) {
         when (answer) {
-            is Answer.Accepted, is Answer.State -> Unit
-            is Answer.Malformed -> throw Refused(Fault.InvalidAttributeValueException, answer.reason)
-            is Answer.NeverRuns -> throw Refused(Fault.DeniedByDrmException, answer.reason)
-            Answer.Unknown -> throw Refused(Fault.InvalidJobException, "no such job")
-            is Answer.NotNow -> throw notNow(answer.reason)
-            Answer.Full -> throw Refused(Fault.TryLaterException, "as many jobs are open as the controllers can hold")
+            is JobResponse.Accepted, is JobResponse.State -> Unit
+            is JobResponse.Malformed -> throw Refused(Fault.InvalidAttributeValueException, answer.reason)
+            is JobResponse.NeverRuns -> throw Refused(Fault.DeniedByDrmException, answer.reason)
+            JobResponse.Unknown -> throw Refused(Fault.InvalidJobException, "no such job")
+            is JobResponse.NotNow -> throw notNow(answer.reason)
+            JobResponse.Full -> throw Refused(
+                Fault.TryLaterException,
+                "as many jobs are open as the controllers can hold",
+            )
         }
     }
 
@@ -128,8 +134,8 @@
         val (spec, extra) = described(held)
             ?: throw Refused(Fault.DeniedByDrmException, "the held job's record can't be read")
         val beside =
-            Beside(listOf(Condition(DrmaaKeys.held(name), held.version)), listOf(Write.Drop(DrmaaKeys.held(name))))
-        accepted(desk.submit(spec, extra, beside))
+            ExtraWrites(listOf(Condition(DrmaaKeys.held(name), held.version)), listOf(Write.Drop(DrmaaKeys.held(name))))
+        accepted(jobService.submit(spec, extra, beside))
         log.info("held job submitted job={}", name)
         return true
     }
@@ -145,16 +151,19 @@
     public suspend fun end(name: JobName, held: HeldJob): Boolean {
         val spec =
             described(held)?.first ?: throw Refused(Fault.DeniedByDrmException, "the held job's record can't be read")
-        val account = Account(spec.team, spec.jobClass, 0, 0, 0.0, 0.0, null, wall.now(), lowerBound = false)
+        val account = JobAccount(spec.team, spec.jobClass, 0, 0, 0.0, 0.0, null, wallClock.now(), lowerBound = false)
         val conditions =
-            listOf(Condition(DrmaaKeys.held(name), held.version), Condition(Keys.end(name.id), Revision.ABSENT))
+            listOf(
+                Condition(DrmaaKeys.held(name), held.version),
+                Condition(Keys.terminalRecord(name.id), Revision.ABSENT),
+            )
         val writes =
             listOf(
-                Write.Put(Keys.end(name.id), EndRecord(Ending.WITHDRAWN, 0, account).encode()),
+                Write.Put(Keys.terminalRecord(name.id), TerminalRecord(TerminalState.CANCELLED, 0, account).encode()),
                 Write.Drop(DrmaaKeys.held(name)),
             )
         repeat(TRIES) {
-            when (client.commit(conditions, writes, Purpose.RECORD)) {
+            when (client.commit(conditions, writes, RequestPriority.RECORD)) {
                 is CommitOutcome.Committed -> return true
 
                 is CommitOutcome.Conflict -> return false
@@ -171,7 +180,10 @@
 
     /** The leader's part: what was to start by now is submitted. */
     public suspend fun startDue(now: WallTime) {
-        val due = book.heldJobs().filterValues { held -> !held.byUser && held.startAt.let { it != null && it <= now } }
+        val due = sessionRegistry.heldJobs().filterValues { held ->
+            !held.byUser &&
+                held.startAt.let { it != null && it <= now }
+        }
         for ((name, held) in due) {
             try {
                 release(name, held)
--- a/src/main/kotlin/org/elderhitch/drmaa/TemplateCheck.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/TemplateCheck.kt
@@ -10,7 +10,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.DurationUnit
 
-/** The exceptions of the DRMAA 1.0 specification that the daemon gives as reasons; the client throws those of the same names. */
+/**
+ * The exceptions of the DRMAA 1.0 specification that the daemon gives as reasons; the client throws those of the same
+ * names.
+ */
 public enum class Fault(public val status: Int) {
     InvalidContactStringException(400),
     InvalidAttributeFormatException(400),
@@ -228,7 +231,19 @@
 
         /** Kept for whoever runs the tasks; the scheduler itself has no use for them. */
         private val DESCRIBING =
-            listOf("command", "args", "env", "directory", "name", "input", "output", "error", "joinFiles", "email", "blockEmail")
+            listOf(
+                "command",
+                "args",
+                "env",
+                "directory",
+                "name",
+                "input",
+                "output",
+                "error",
+                "joinFiles",
+                "email",
+                "blockEmail",
+            )
         private val ATTRIBUTES =
             DESCRIBING.toSet() + setOf("category", "native", "hold", "startAt", "deadlineAt", "softRunS")
     }
--- a/src/main/kotlin/org/elderhitch/drmaa/Tokens.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Tokens.kt
@@ -27,8 +27,10 @@
 public class BadKeys(message: String) : Exception(message)
 
 /**
- * Tokens: what they say, and a MAC over it under a key of the operators. Two keys may be valid at once: the first signs, both
- * verify, so a key is changed by putting the new one before the old one, and taking the old one out once its tokens are gone.
+ * Tokens: what they say, and a MAC over it under a key of the operators. Two keys may be valid at once: the first
+ * signs, both
+ * verify, so a key is changed by putting the new one before the old one, and taking the old one out once its tokens are
+ * gone.
  */
 public class Tokens(keys: List<Pair<String, ByteArray>>) {
     private val keys = keys.map { (id, secret) -> Key(id, secret) }
@@ -97,7 +99,10 @@
         private const val ALPHABET = "abcdefghijklmnopqrstuvwxyz0123456789"
         private val ID = Regex("[A-Za-z0-9_-]{1,16}")
 
-        /** A key a line: a name, a space and at least 16 bytes in base64. Empty lines and those that begin with # don't count. Throws [BadKeys]. */
+        /**
+         * A key a line: a name, a space and at least 16 bytes in base64. Empty lines and those that begin with # don't
+         * count. Throws [BadKeys].
+         */
         public fun load(file: File): Tokens {
             val lines = try {
                 file.readLines()
--- a/src/main/kotlin/org/elderhitch/drmaa/Waits.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Waits.kt
@@ -2,8 +2,8 @@
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.withTimeoutOrNull
-import org.elderhitch.store.Purpose
-import org.elderhitch.time.Moment
+import org.elderhitch.store.RequestPriority
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -20,11 +20,13 @@
 }
 
 /**
- * Waits of clients. A wait holds a coroutine and its client's socket, no thread; and no more than [most] are held at a time:
- * the others are told at once when to come back. It learns of an end through the feed, and asks the state service for nothing meanwhile.
+ * Waits of clients. A wait holds a coroutine and its client's socket, no thread; and no more than [most] are held at a
+ * time:
+ * the others are told at once when to come back. It learns of an end through the feed, and asks the state service for
+ * nothing meanwhile.
  */
 public class Waits(
-    private val book: SessionBook,
+    private val sessionRegistry: SessionRegistry,
     private val reaper: Reaper,
     private val sync: suspend () -> Boolean,
     private val clock: SteadyClock,
@@ -49,7 +51,7 @@
             try {
                 taken(found, request)
             } finally {
-                book.tell(BookMessage.Unclaim(found))
+                sessionRegistry.tell(BookMessage.Unclaim(found))
             }
         }
 
@@ -81,7 +83,8 @@
     }
 
     /**
-     * For all of [names], or for all that the session has up to [upTo] (null: has now). With [dispose] they are taken, a block at a
+     * For all of [names], or for all that the session has up to [upTo] (null: has now). With [dispose] they are taken,
+     * a block at a
      * time: one change for up to 4,096. Throws [Refused].
      */
     public suspend fun all(
@@ -142,7 +145,7 @@
         for ((key, results) in names.groupBy { it.block }) {
             var left: Collection<ResultName> = results
             while (left.isNotEmpty()) {
-                when (val reaped = reaper.take(key, left, request, Purpose.END)) {
+                when (val reaped = reaper.take(key, left, request, RequestPriority.END)) {
                     is Reaped.Taken -> left = emptyList()
 
                     // What another wait of the session took meanwhile is disposed of too.
@@ -161,7 +164,10 @@
 
     /** Only where all of the session is known: what lost track in between would call results unknown that are not. */
     private suspend fun <T> look(session: SessionName, look: (SessionView) -> T): T {
-        val (loaded, seen) = book.look(session) { view -> view.loaded to (if (view.loaded) look(view) else null) }
+        val (loaded, seen) = sessionRegistry.look(session) { view ->
+            view.loaded to
+                (if (view.loaded) look(view) else null)
+        }
             ?: throw closed()
         @Suppress("UNCHECKED_CAST")
         return if (loaded) {
@@ -190,17 +196,17 @@
         while (true) {
             val woken = CompletableDeferred<Unit>()
             // Before the look: what happens after it wakes, and nothing falls in between.
-            book.tell(BookMessage.Await(session, woken))
+            sessionRegistry.tell(BookMessage.Await(session, woken))
             try {
                 attempt()?.let { return it }
                 if (!waits(woken, deadline)) return WaitAnswer.NotYet(upTo)
             } finally {
-                book.tell(BookMessage.Done(session, woken))
+                sessionRegistry.tell(BookMessage.Done(session, woken))
             }
         }
     }
 
-    private suspend fun waits(woken: CompletableDeferred<Unit>, deadline: Moment): Boolean {
+    private suspend fun waits(woken: CompletableDeferred<Unit>, deadline: MonotonicInstant): Boolean {
         val left = deadline - clock.now()
         if (!left.isPositive()) return false
         if (held >= most) throw Refused(Fault.TryLaterException, "as many waits are held as this node has sockets for")
--- a/src/main/kotlin/org/elderhitch/drmaa/client/Template.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/client/Template.kt
@@ -151,7 +151,8 @@
 
     override fun getDeadlineTime(): PartialTimestamp? = deadline
 
-    // A limit that nobody enforces would be a promise that nobody keeps: the estimate is the one that the scheduler has a use for.
+    // A limit that nobody enforces would be a promise that nobody keeps: the estimate is the one that the scheduler has
+    // a use for.
     override fun setHardWallclockTimeLimit(hardWallclockLimit: Long): Unit = unsupported("hardWallclockTimeLimit")
 
     override fun getHardWallclockTimeLimit(): Long = unsupported("hardWallclockTimeLimit")
@@ -193,7 +194,10 @@
         }
     }
 
-    /** As the daemon takes it. Times are worked out here, in the zone of whoever set them. Throws [InvalidJobTemplateException]. */
+    /**
+     * As the daemon takes it. Times are worked out here, in the zone of whoever set them. Throws
+     * [InvalidJobTemplateException].
+     */
     fun fields(): Map<String, Any?> {
         if (remoteCommand == null &&
             category == null
@@ -230,8 +234,23 @@
     private companion object {
         const val LONGEST_NAME = 1023
         val NAMES = setOf(
-            "remoteCommand", "args", "jobSubmissionState", "jobEnvironment", "workingDirectory", "jobCategory", "nativeSpecification", "email",
-            "blockEmail", "startTime", "jobName", "inputPath", "outputPath", "errorPath", "joinFiles", "deadlineTime", "softRunDurationLimit",
+            "remoteCommand",
+            "args",
+            "jobSubmissionState",
+            "jobEnvironment",
+            "workingDirectory",
+            "jobCategory",
+            "nativeSpecification",
+            "email",
+            "blockEmail",
+            "startTime",
+            "jobName",
+            "inputPath",
+            "outputPath",
+            "errorPath",
+            "joinFiles",
+            "deadlineTime",
+            "softRunDurationLimit",
         )
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/client/Wire.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/client/Wire.kt
@@ -114,7 +114,8 @@
 }
 
 /**
- * Asks the controllers until one answers. Each request carries its own number, so that asking again, and asking another node, is
+ * Asks the controllers until one answers. Each request carries its own number, so that asking again, and asking another
+ * node, is
  * harmless: what was carried out before its answer was lost is not carried out twice.
  */
 internal class Wire(private val contact: ContactString, private val line: Line, private val clock: ClientClock) {
--- a/src/main/kotlin/org/elderhitch/workers/Explanation.kt
+++ b/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
@@ -1,32 +1,41 @@
-package org.elderhitch.workers
+package org.elderhitch.explain
 
+import org.elderhitch.failuredetection.FailureAttribution
+import org.elderhitch.failuredetection.FailureDetector
 import org.elderhitch.fleet.Catalog
 import org.elderhitch.fleet.Market
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.JobKind
 import org.elderhitch.jobs.JobSpec
 import org.elderhitch.jobs.Resources
-import org.elderhitch.leadership.Tenure
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.recovery.Takeover
 import org.elderhitch.settings.Team
 import org.elderhitch.settings.TeamName
-import org.elderhitch.time.Moment
+import org.elderhitch.tasks.Certainty
+import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.MachineRegistry
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.WorkerState
+import org.elderhitch.tasks.isGang
+import org.elderhitch.time.MonotonicInstant
 
 /** Says, from the leader's own state, why a job stands as it does: one line a reason, the one that decides first. */
-internal class Explanation(
+internal class JobExplainer(
     private val table: TaskTable,
-    private val faults: Faults,
+    private val faults: FailureAttribution,
     private val takeover: Takeover,
-    private val silence: Silence,
-    private val roster: Roster,
+    private val failureDetector: FailureDetector,
+    private val machineRegistry: MachineRegistry,
     private val teams: Map<TeamName, Team>,
 ) {
     /** Null: no such open job in the leader's table. */
     fun of(
-        leading: Tenure.Leading,
+        leadership: LeadershipState.Leader,
         id: JobId,
         catalog: Catalog,
         refused: Set<Market>,
-        now: Moment,
+        now: MonotonicInstant,
         tableComplete: Boolean,
         usable: (WorkerState) -> Boolean,
     ): List<String>? {
@@ -38,7 +47,7 @@
         counts(job, lines)
         val missing = job.spec.tasks - job.done.count - job.placements.size
         if (missing <= 0 || job.hold != null || job.holding) return lines
-        waits(leading, job, catalog, refused, now, lines, usable)
+        waits(leadership, job, catalog, refused, now, lines, usable)
         return lines
     }
 
@@ -54,24 +63,24 @@
         lines.add(
             "of ${job.spec.tasks} tasks ${job.done.count} done$parts; ${job.tally.attempts} starts seen, ${job.tally.lost} lost, in this term",
         )
-        val cut = job.placements.values.count { silence.isCutOff(it.zone) }
+        val cut = job.placements.values.count { failureDetector.isCutOff(it.zone) }
         if (cut > 0) lines.add("$cut of its tasks are in a zone that is cut off")
     }
 
     private fun waits(
-        leading: Tenure.Leading,
+        leadership: LeadershipState.Leader,
         job: JobState,
         catalog: Catalog,
         refused: Set<Market>,
-        now: Moment,
+        now: MonotonicInstant,
         lines: MutableList<String>,
         usable: (WorkerState) -> Boolean,
     ) {
         val spec = job.spec
-        if (job.version <= leading.counter && takeover.mayHide(spec, roster.known, catalog)) {
+        if (job.version <= leadership.counter && takeover.mayHide(spec, machineRegistry.known, catalog)) {
             lines.add("waits for a takeover: ${takeover.unheard.size} machines that may run it have not reported yet")
         }
-        if (!leading.mayCommand(
+        if (!leadership.maySendCommands(
                 now,
             )
         ) {
@@ -140,7 +149,10 @@
         val allowed = table.workers.values.filter { it.type in fitting && spec.mayUse(it.type, it.zone, it.spot) }
         val ready = allowed.filter(usable)
         val roomy = ready.count { worker -> free(worker, catalog)?.let { spec.need.fitsIn(it) } ?: false }
-        val booting = roster.known.values.count { it.id !in roster.cleared && spec.mayUse(it.type, it.zone, it.spot) }
+        val booting = machineRegistry.known.values.count {
+            it.id !in machineRegistry.cleared &&
+                spec.mayUse(it.type, it.zone, it.spot)
+        }
         val what = "${spec.need.cpus} CPUs, ${spec.need.gpus} GPUs, ${spec.need.memoryGb} GB"
         val place = place(spec)
         lines.add(
--- a/src/main/kotlin/org/elderhitch/workers/Faults.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureAttribution.kt
@@ -1,7 +1,11 @@
-package org.elderhitch.workers
+package org.elderhitch.failuredetection
 
+import org.elderhitch.heartbeat.TaskStatus
 import org.elderhitch.jobs.JobId
-import org.elderhitch.time.Moment
+import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.WorkerState
+import org.elderhitch.time.MonotonicInstant
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
@@ -10,13 +14,15 @@
  * that runs well elsewhere; a job is when it fails on several machines and runs on none. Until it is clear, nothing new
  * goes to a machine where something failed: it is always free, and would take task after task.
  *
- * A job submitted with a mistake fails wherever it goes. Of seventy tasks that failed on fifty machines within a second,
- * each closed its machine to everybody for a while; so once the job is known to be at fault, its machines are open again.
+ * A job submitted with a mistake fails wherever it goes. Of seventy tasks that failed on fifty machines within a
+ * second,
+ * each closed its machine to everybody for a while; so once the job is known to be at fault, its machines are open
+ * again.
  */
-internal class Faults(private val table: TaskTable) {
+internal class FailureAttribution(private val table: TaskTable) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
 
-    fun erred(worker: WorkerState, job: JobState, task: TaskReport, now: Moment) {
+    fun erred(worker: WorkerState, job: JobState, task: TaskStatus, now: MonotonicInstant) {
         log.info("task failed task={} machine={}", task.task, worker.id)
         job.erredOn.add(worker.id)
         worker.shun(job.id, now + ERROR_SHUN)
@@ -30,7 +36,7 @@
     }
 
     /** What such a job does says nothing of the machines that it was on. */
-    private fun cordon(job: JobState, now: Moment) {
+    private fun cordon(job: JobState, now: MonotonicInstant) {
         val back = ERROR_BACKOFF * (1 shl minOf(job.erredOn.size - JOB_AT_FAULT, MAX_DOUBLINGS))
         if (job.notBefore <
             now
@@ -48,13 +54,14 @@
             if (worker.erredJobs.remove(job.id) != null &&
                 worker.erredJobs.isEmpty()
             ) {
-                worker.doubtedUntil = Moment.NEVER
+                worker.doubtedUntil = MonotonicInstant.NEVER
             }
         }
     }
 
     /**
-     * How many tasks of a job may be started now, while it isn't known whether it can run at all: those that are on their
+     * How many tasks of a job may be started now, while it isn't known whether it can run at all: those that are on
+     * their
      * way tell, and the others would only fail beside them. Null: as many as there are.
      */
     fun probes(job: JobState): Int? {
@@ -65,12 +72,18 @@
     fun atFault(job: JobState): Boolean = job.erredOn.size >= JOB_AT_FAULT
 
     /** Time brings evidence too: jobs that failed on a machine prove well elsewhere. */
-    fun reconsider(now: Moment) {
+    fun reconsider(now: MonotonicInstant) {
         for (worker in table.workers.values) if (worker.erredJobs.isNotEmpty()) judge(worker, now)
-        for (job in table.jobs.values) if (job.notBefore > now && runsWell(job, null, now)) job.notBefore = Moment.NEVER
+        for (job in table.jobs.values) {
+            if (job.notBefore > now &&
+                runsWell(job, null, now)
+            ) {
+                job.notBefore = MonotonicInstant.NEVER
+            }
+        }
     }
 
-    private fun judge(worker: WorkerState, now: Moment) {
+    private fun judge(worker: WorkerState, now: MonotonicInstant) {
         if (worker.sick || worker.erredJobs.values.sum() < ERRORS_AT_FAULT) return
         val proven = worker.erredJobs.keys.any { id: JobId ->
             table.jobs[id]?.let { runsWell(it, worker, now) } ?: false
@@ -87,7 +100,7 @@
     }
 
     /** Enough to blame a machine: that a task of the job is seen running for a moment is not. */
-    private fun runsWell(job: JobState, besides: WorkerState?, now: Moment): Boolean = job.done.count > 0 ||
+    private fun runsWell(job: JobState, besides: WorkerState?, now: MonotonicInstant): Boolean = job.done.count > 0 ||
         job.placements.values.any { p ->
             p.worker !== besides && p.worker.erredJobs.isEmpty() && p.runsSince.let { it != null && now - it > PROVEN }
         }
--- a/src/main/kotlin/org/elderhitch/workers/Silence.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
@@ -1,44 +1,48 @@
-package org.elderhitch.workers
+package org.elderhitch.failuredetection
 
+import org.elderhitch.delegates.ZoneDelegates
 import org.elderhitch.fleet.FleetMessage
 import org.elderhitch.fleet.Machine
-import org.elderhitch.fleet.ReturnReason
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.fleet.TerminationReason
+import org.elderhitch.heartbeat.LeaseTimeouts
 import org.elderhitch.leadership.LeadershipMessage
-import org.elderhitch.leadership.Tenure
-import org.elderhitch.recovery.MachineReconciliation
-import org.elderhitch.recovery.ReturnPace
-import org.elderhitch.recovery.SilenceRow
-import org.elderhitch.recovery.SilenceTimes
-import org.elderhitch.recovery.SilentMachine
-import org.elderhitch.settings.WorkerTimes
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.recovery.Takeover
+import org.elderhitch.scheduler.EventLog
+import org.elderhitch.scheduler.SchedulerPorts
+import org.elderhitch.settings.WorkerTimeouts
 import org.elderhitch.settings.Zone
-import org.elderhitch.time.Moment
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.WorkerState
+import org.elderhitch.time.MonotonicInstant
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Watches for workers that say nothing. A machine that falls silent by itself is returned, which settles what ran there.
+ * Watches for workers that say nothing. A machine that falls silent by itself is returned, which settles what ran
+ * there.
  * Where most of a zone falls silent, its machines are cut off rather than dead: what runs there runs on and is reached
  * again, while returning them would end it. And a leader that hears nobody is cut off itself, and resigns.
  */
-internal class Silence(
+internal class FailureDetector(
     private val table: TaskTable,
     private val takeover: Takeover,
-    private val workerTimes: WorkerTimes,
-    private val leases: LeaseTimes,
+    private val workerTimes: WorkerTimeouts,
+    private val leases: LeaseTimeouts,
     private val tick: Duration,
     /** Zones with a controller in them. */
     private val nodeZones: Set<Zone>,
-    private val inquiry: Inquiry,
-    private val wakefulness: Wakefulness,
+    private val workerProber: WorkerProber,
+    private val pauseDetector: PauseDetector,
     private val events: EventLog,
-    private val ports: ForemanPorts,
+    private val ports: SchedulerPorts,
     private val delegates: ZoneDelegates,
     silentReturnShare: Double,
 ) {
-    private class Hearing {
+    private class ZoneHealth {
         var heard = 0
         var silent = 0
         var unheard = 0
@@ -54,11 +58,11 @@
 
     /** A worker silent for so long gets nothing new. */
     val suspectAfter: Duration = workerTimes.report * 2.5 + 500.milliseconds
-    private val releaseAfter = workerTimes.reportAtLatest + WorkerTimes.ANSWER_WAIT + NEXT_NODE * 2.0
+    private val releaseAfter = workerTimes.heartbeatDeadline + WorkerTimeouts.ANSWER_WAIT + NEXT_NODE * 2.0
     private val reconciliation =
-        MachineReconciliation(
-            SilenceTimes(
-                workerTimes.reportAtLatest,
+        SuspicionRules(
+            DetectionTimeouts(
+                workerTimes.heartbeatDeadline,
                 releaseAfter,
                 leases.longest,
                 UNLISTED_PATIENCE,
@@ -67,27 +71,28 @@
                 CUT_PATIENCE,
             ),
         )
-    private val pace = ReturnPace(silentReturnShare)
+    private val pace = TerminationRateLimiter(silentReturnShare)
 
     /** When the return of machines was asked for that have said nothing in this term. */
-    private val unheardAsked = HashMap<MachineId, Moment>()
-    private val overdueAfter = workerTimes.reportAtLatest + LATE
+    private val unheardAsked = HashMap<MachineId, MonotonicInstant>()
+    private val overdueAfter = workerTimes.heartbeatDeadline + LATE
     private val quietTicks = HashMap<Zone, Int>()
 
     /** When any worker of the zone was last heard. */
-    private val lastWord = HashMap<Zone, Moment>()
+    private val lastWord = HashMap<Zone, MonotonicInstant>()
     var cutZones: Set<Zone> = emptySet()
         private set
 
     /**
-     * When a zone was last heard again. Its workers come back one after the other: those that were still missing when the
+     * When a zone was last heard again. Its workers come back one after the other: those that were still missing when
+     * the
      * first half was back had been silent for longest, and were all returned.
      */
-    private val reopenedAt = HashMap<Zone, Moment>()
-    private var resignedDeafAt = Moment.NEVER
+    private val reopenedAt = HashMap<Zone, MonotonicInstant>()
+    private var resignedDeafAt = MonotonicInstant.NEVER
 
     /** When this leader was last outside its window: lease delegates may have kept workers to themselves until then. */
-    private var closedAt = Moment.NEVER
+    private var closedAt = MonotonicInstant.NEVER
 
     /** Zones with a controller and many machines, of which not one has been heard in this term. */
     private var missingZones: Set<Zone> = emptySet()
@@ -100,12 +105,16 @@
         unheardAsked.clear()
     }
 
-    /** It may be about to lose all that it runs, and would lose what it is given: it says nothing, or only answers what it is asked. */
-    fun isSuspect(worker: WorkerState, now: Moment): Boolean =
+    /**
+     * It may be about to lose all that it runs, and would lose what it is given: it says nothing, or only answers what
+     * it is asked.
+     */
+    fun isSuspect(worker: WorkerState, now: MonotonicInstant): Boolean =
         now - minOf(worker.lastWord, renewedBy(worker)) > suspectAfter
 
     /** When a report of it was last answered, here or by a lease delegate that is away. */
-    private fun renewedBy(worker: WorkerState): Moment = maxOf(worker.lastReport, delegates.renewedBy(worker.zone))
+    private fun renewedBy(worker: WorkerState): MonotonicInstant =
+        maxOf(worker.lastReport, delegates.renewedBy(worker.zone))
 
     fun isCutOff(zone: Zone): Boolean = zone in cutZones
 
@@ -114,13 +123,13 @@
         lastWord[worker.zone] = worker.lastWord
     }
 
-    fun watch(leading: Tenure.Leading, now: Moment, known: Map<MachineId, Machine>) {
-        if (!leading.mayCommand(now)) closedAt = now
+    fun watch(leadership: LeadershipState.Leader, now: MonotonicInstant, known: Map<MachineId, Machine>) {
+        if (!leadership.maySendCommands(now)) closedAt = now
         delegates.listen(now)
-        val zones = HashMap<Zone, Hearing>()
+        val zones = HashMap<Zone, ZoneHealth>()
         for (worker in table.workers.values) {
-            val hearing = zones.getOrPut(worker.zone) { Hearing() }
-            val quietFor = now - listeningSince(worker, leading)
+            val hearing = zones.getOrPut(worker.zone) { ZoneHealth() }
+            val quietFor = now - listeningSince(worker, leadership)
             if (quietFor > suspectAfter) hearing.silent++ else hearing.heard++
             if (quietFor > overdueAfter) hearing.overdue++
             if (worker.outlived(now, leases, delegates.lastAnswer(worker.zone)) && worker.placements.isNotEmpty()) {
@@ -133,27 +142,27 @@
         val heard = zones.values.sumOf { it.heard }
         val silent = zones.values.sumOf { it.silent }
         val quiet = quiet(zones)
-        val mayResign = now - leading.claimedAt > RESIGN_AFTER && heard + silent >= RESIGN_LEAST
+        val mayResign = now - leadership.claimedAt > RESIGN_AFTER && heard + silent >= RESIGN_LEAST
         if (mayResign && (silent > heard * 2 || quiet.size == zones.size)) {
             ports.leadership(
                 LeadershipMessage.Resign("$silent of ${silent + heard} workers silent, quiet zones ${quiet.size}"),
             )
             return
         }
-        if (hearsNobody(leading, now)) {
+        if (hearsNobody(leadership, now)) {
             resignedDeafAt = now
             ports.leadership(LeadershipMessage.Resign("not one of ${takeover.unheard.size} machines heard"))
             return
         }
         // Machines of an earlier term that never said a word in this one.
         val unheard = takeover.unheard.filter { it !in table.workers }
-        unheard.forEach { id -> known[id]?.let { zones.getOrPut(it.zone) { Hearing() }.unheard++ } }
+        unheard.forEach { id -> known[id]?.let { zones.getOrPut(it.zone) { ZoneHealth() }.unheard++ } }
         missingZones =
             zones.filter { (zone, its) ->
                 its.unheard >= CUT_LEAST && its.heard + its.silent == 0 && zone in nodeZones
             }.keys
         doubtfulZones = zones.filterValues { it.majorityOverdue }.keys + quiet
-        val cut = if (now - leading.claimedAt >
+        val cut = if (now - leadership.claimedAt >
             suspectAfter
         ) {
             zones.filterValues { it.majoritySilent }.keys + quiet
@@ -163,67 +172,71 @@
         if (cut != cutZones) log.info("zones cut off zones={} silent={}", cut, silent + unheard.size)
         for (zone in cutZones - cut) reopenedAt[zone] = now
         cutZones = cut
-        if (leading.mayCommand(now)) release(leading, now, unheard, known)
+        if (leadership.maySendCommands(now)) release(leadership, now, unheard, known)
     }
 
     /**
-     * A new leader that reaches the state service and no worker would lead until every lease is over, and return the whole
+     * A new leader that reaches the state service and no worker would lead until every lease is over, and return the
+     * whole
      * fleet as silent meanwhile. It lets another try, once: if that one hears nobody either, the machines are at fault.
      */
-    private fun hearsNobody(leading: Tenure.Leading, now: Moment): Boolean {
+    private fun hearsNobody(leadership: LeadershipState.Leader, now: MonotonicInstant): Boolean {
         val unheard = takeover.unheard
         if (table.workers.isNotEmpty() || unheard.size < RESIGN_LEAST || now - resignedDeafAt < DEAF_AGAIN) return false
-        val waited = waited(leading, now)
+        val waited = waited(leadership, now)
         return waited > releaseAfter ||
             waited > UNLISTED_PATIENCE &&
-            unheard.count(inquiry::isUnreachable) * 3 > unheard.size * 2
+            unheard.count(workerProber::isUnreachable) * 3 > unheard.size * 2
     }
 
     /** How long this term has been able to hear anybody. */
-    private fun waited(leading: Tenure.Leading, now: Moment): Duration = now - listeningSince(leading)
+    private fun waited(leadership: LeadershipState.Leader, now: MonotonicInstant): Duration =
+        now - listeningSince(leadership)
 
-    private fun listeningSince(leading: Tenure.Leading): Moment = maxOf(leading.claimedAt, wakefulness.since, closedAt)
+    private fun listeningSince(leadership: LeadershipState.Leader): MonotonicInstant =
+        maxOf(leadership.claimedAt, pauseDetector.since, closedAt)
 
-    private fun listeningSince(worker: WorkerState, leading: Tenure.Leading): Moment =
-        maxOf(worker.lastWord, listeningSince(leading))
+    private fun listeningSince(worker: WorkerState, leadership: LeadershipState.Leader): MonotonicInstant =
+        maxOf(worker.lastWord, listeningSince(leadership))
 
     /**
-     * Zones that no report came from for longer than chance allows. Reports of many workers come evenly spread: the more
+     * Zones that no report came from for longer than chance allows. Reports of many workers come evenly spread: the
+     * more
      * there are, the shorter a pause can be. Counted in ticks, so that a process that was held up itself doesn't take
      * that for silence.
      */
-    private fun quiet(zones: Map<Zone, Hearing>): Set<Zone> {
+    private fun quiet(zones: Map<Zone, ZoneHealth>): Set<Zone> {
         val quiet = HashSet<Zone>()
         for ((zone, hearing) in zones) {
             val ticks = quietTicks.merge(zone, 1, Int::plus) ?: 1
             val workers = hearing.heard + hearing.silent
             val longest =
-                QUIET_MARGIN + minOf(workerTimes.reportAtLatest, workerTimes.report * (QUIET_REPORTS / workers))
+                QUIET_MARGIN + minOf(workerTimes.heartbeatDeadline, workerTimes.report * (QUIET_REPORTS / workers))
             if (workers >= CUT_LEAST && tick * ticks > longest) quiet.add(zone)
         }
         return quiet
     }
 
     private fun release(
-        leading: Tenure.Leading,
-        now: Moment,
+        leadership: LeadershipState.Leader,
+        now: MonotonicInstant,
         unheard: List<MachineId>,
         known: Map<MachineId, Machine>,
     ) {
         val wanted = ArrayList<Wanted>()
         for (worker in table.workers.values) {
             if (now - worker.releaseAsked <= RELEASE_AGAIN) continue
-            val reopened = reopenedAt[worker.zone] ?: Moment.NEVER
-            val quiet = now - maxOf(listeningSince(worker, leading), reopened)
+            val reopened = reopenedAt[worker.zone] ?: MonotonicInstant.NEVER
+            val quiet = now - maxOf(listeningSince(worker, leadership), reopened)
             // What it says in reply counts as a word of it, and renews nothing.
             val renewed = renewedBy(worker)
             val mute = worker.lastWord - renewed > overdueAfter && quiet <= releaseAfter
-            val unreported = if (mute) now - maxOf(renewed, listeningSince(leading), reopened) else quiet
+            val unreported = if (mute) now - maxOf(renewed, listeningSince(leadership), reopened) else quiet
             judge(worker.id, worker.zone, unheard = false, worker.settled, unreported, now, mute)?.let(wanted::add)
         }
-        val waited = waited(leading, now)
+        val waited = waited(leadership, now)
         for (id in unheard) {
-            if (now - (unheardAsked[id] ?: Moment.NEVER) >
+            if (now - (unheardAsked[id] ?: MonotonicInstant.NEVER) >
                 RELEASE_AGAIN
             ) {
                 judge(id, known[id]?.zone, unheard = true, settled = false, waited, now)?.let(wanted::add)
@@ -246,15 +259,33 @@
             }
         }
         gone.forEach { unheardAsked[it.id] = now }
-        if (silent.isNotEmpty()) ports.fleet(FleetMessage.Release(silent.map { it.id }, ReturnReason.SILENT))
-        if (gone.isNotEmpty()) ports.fleet(FleetMessage.Release(gone.map { it.id }, ReturnReason.UNHEARD))
+        if (silent.isNotEmpty()) {
+            ports.fleet(
+                FleetMessage.TerminateMachines(
+                    silent.map {
+                        it.id
+                    },
+                    TerminationReason.SILENT,
+                ),
+            )
+        }
+        if (gone.isNotEmpty()) {
+            ports.fleet(
+                FleetMessage.TerminateMachines(
+                    gone.map {
+                        it.id
+                    },
+                    TerminationReason.UNHEARD,
+                ),
+            )
+        }
     }
 
     /** A machine whose silence has lasted for as long as its standing asks. */
     private class Wanted(
         val id: MachineId,
         val zone: Zone?,
-        val row: SilenceRow,
+        val row: SuspicionRule,
         val quiet: Duration,
         val unheard: Boolean,
     )
@@ -265,16 +296,16 @@
         unheard: Boolean,
         settled: Boolean,
         quiet: Duration,
-        now: Moment,
+        now: MonotonicInstant,
         mute: Boolean = false,
     ): Wanted? {
         if (quiet <= reconciliation.least) return null
-        val machine = SilentMachine(
+        val machine = SuspectedMachine(
             unheard, settled,
-            inquiry.isUnlisted(
+            workerProber.isUnlisted(
                 id,
             ),
-            inquiry.unreachableSince(id), inquiry.wasAskedInVain(id), lastWord[zone],
+            workerProber.unreachableSince(id), workerProber.wasAskedInVain(id), lastWord[zone],
             zone in doubtfulZones, zone in cutZones, zone in missingZones, mute,
         )
         val endsSoon = takeover.endsSoon(now)
@@ -283,13 +314,13 @@
     }
 
     /** It was silent, its release did not go through, and it is back. */
-    fun back(worker: WorkerState, now: Moment) {
-        if (now - worker.releaseAsked > RELEASE_AGAIN * 2) worker.releaseAsked = Moment.NEVER
+    fun back(worker: WorkerState, now: MonotonicInstant) {
+        if (now - worker.releaseAsked > RELEASE_AGAIN * 2) worker.releaseAsked = MonotonicInstant.NEVER
     }
 
     /** Its return had not gone out when it spoke. */
     fun spared(worker: WorkerState) {
-        if (worker.lastWord > worker.releaseAsked) worker.releaseAsked = Moment.NEVER
+        if (worker.lastWord > worker.releaseAsked) worker.releaseAsked = MonotonicInstant.NEVER
         table.dirty = true
     }
 
@@ -301,7 +332,9 @@
         val UNLISTED_PATIENCE = 2.seconds
         val UNHEARD_MARGIN = 3.seconds
 
-        /** A worker may wait for two other nodes that don't answer before it comes here, and tell so when it is asked. */
+        /**
+         * A worker may wait for two other nodes that don't answer before it comes here, and tell so when it is asked.
+         */
         val UNASKED_MARGIN = 6.seconds
         val RELEASE_AGAIN = 5.seconds
         val RESIGN_AFTER = 15.seconds
--- a/src/main/kotlin/org/elderhitch/recovery/MachineReconciliation.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/SuspicionRules.kt
@@ -1,10 +1,10 @@
-package org.elderhitch.recovery
+package org.elderhitch.failuredetection
 
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
 /** What is known of a machine that says nothing, and of its zone. */
-public data class SilentMachine(
+public data class SuspectedMachine(
     /** It may run something of an earlier term, and has said nothing in this one. */
     val unheard: Boolean,
     /** It has reported that it obeys this term: nothing of earlier ones is unclear about it. */
@@ -12,11 +12,11 @@
     /** The cloud's list of this term doesn't name it. */
     val unlisted: Boolean,
     /** When it first took no connection, twice in a row, since its last word; null: it took one, or was not tried. */
-    val unreachableSince: Moment?,
+    val unreachableSince: MonotonicInstant?,
     /** It took a connection, or was tried in vain: it has been asked at its own address since its last word. */
     val asked: Boolean,
     /** When any machine of its zone was last heard; null: none was in this term. */
-    val zoneHeard: Moment?,
+    val zoneHeard: MonotonicInstant?,
     /** Most of its zone, or all of it that should have reported lately, is silent. */
     val zoneDoubtful: Boolean,
     val zoneCut: Boolean,
@@ -27,10 +27,11 @@
 )
 
 /**
- * How a silent machine stands, and so for how long its silence must last before it is returned. Rows of the table in `docs/design/recovery.md`. [proven]: it is
- * known to be dead or gone; else there is nothing but its silence ([ReturnPace]).
+ * How a silent machine stands, and so for how long its silence must last before it is returned. Rows of the table in
+ * `docs/design/recovery.md`. [proven]: it is
+ * known to be dead or gone; else there is nothing but its silence ([TerminationRateLimiter]).
  */
-public enum class SilenceRow(public val proven: Boolean) {
+public enum class SuspicionRule(public val proven: Boolean) {
     /** Mostly long gone: to return it costs nothing then, and is proof at once. */
     UNLISTED(true),
 
@@ -50,7 +51,7 @@
 }
 
 /** The spans that judgements of silence rest on. */
-public data class SilenceTimes(
+public data class DetectionTimeouts(
     /** By when a report has come. */
     val report: Duration,
     /** A report's time, an answer's, and two tries at other nodes. */
@@ -67,41 +68,47 @@
 )
 
 /** Reconciles the silence of machines with what else is known of them and their zone. Pure. */
-public class MachineReconciliation(private val times: SilenceTimes) {
+public class SuspicionRules(private val times: DetectionTimeouts) {
     /** Nothing is returned sooner than that. */
     public val least: Duration = minOf(times.report, times.unlisted)
 
-    /** [takeoverOpen]: all work of earlier terms waits for the last machine; [endsSoon]: but within one lease's time, whatever happens. */
-    public fun row(machine: SilentMachine, takeoverOpen: Boolean, endsSoon: Boolean): SilenceRow = when {
-        machine.unheard && machine.unlisted -> SilenceRow.UNLISTED
+    /**
+     * [takeoverOpen]: all work of earlier terms waits for the last machine; [endsSoon]: but within one lease's time,
+     * whatever happens.
+     */
+    public fun row(machine: SuspectedMachine, takeoverOpen: Boolean, endsSoon: Boolean): SuspicionRule = when {
+        machine.unheard && machine.unlisted -> SuspicionRule.UNLISTED
 
         machine.unreachableSince != null &&
             !machine.zoneDoubtful &&
-            (takeoverOpen || heardSince(machine, machine.unreachableSince)) -> SilenceRow.DEAD
+            (takeoverOpen || heardSince(machine, machine.unreachableSince)) -> SuspicionRule.DEAD
 
-        machine.zoneMissing -> SilenceRow.ZONE_MISSING
+        machine.zoneMissing -> SuspicionRule.ZONE_MISSING
 
-        !machine.zoneCut -> if (machine.mute) SilenceRow.MUTE else SilenceRow.SILENT
+        !machine.zoneCut -> if (machine.mute) SuspicionRule.MUTE else SuspicionRule.SILENT
 
-        !machine.settled && takeoverOpen && !endsSoon -> SilenceRow.ZONE_CUT_WAITED_FOR
+        !machine.settled && takeoverOpen && !endsSoon -> SuspicionRule.ZONE_CUT_WAITED_FOR
 
-        else -> SilenceRow.ZONE_CUT
+        else -> SuspicionRule.ZONE_CUT
     }
 
-    /** In a cut's first seconds those whose reports are due first can't be told from dead ones, unless another of the zone is heard after them. */
-    private fun heardSince(machine: SilentMachine, since: Moment): Boolean = machine.zoneHeard.let {
+    /**
+     * In a cut's first seconds those whose reports are due first can't be told from dead ones, unless another of the
+     * zone is heard after them.
+     */
+    private fun heardSince(machine: SuspectedMachine, since: MonotonicInstant): Boolean = machine.zoneHeard.let {
         it != null &&
             it > since
     }
 
     /** How long the silence of such a machine lasts before it is returned. */
-    public fun patience(machine: SilentMachine, takeoverOpen: Boolean, endsSoon: Boolean): Duration {
+    public fun patience(machine: SuspectedMachine, takeoverOpen: Boolean, endsSoon: Boolean): Duration {
         val base = when (row(machine, takeoverOpen, endsSoon)) {
-            SilenceRow.UNLISTED -> return times.unlisted
-            SilenceRow.MUTE -> return times.mute
-            SilenceRow.DEAD -> if (takeoverOpen) minOf(times.report, times.unlisted) else times.report
-            SilenceRow.ZONE_MISSING, SilenceRow.ZONE_CUT -> times.cut
-            SilenceRow.ZONE_CUT_WAITED_FOR, SilenceRow.SILENT -> times.silent
+            SuspicionRule.UNLISTED -> return times.unlisted
+            SuspicionRule.MUTE -> return times.mute
+            SuspicionRule.DEAD -> if (takeoverOpen) minOf(times.report, times.unlisted) else times.report
+            SuspicionRule.ZONE_MISSING, SuspicionRule.ZONE_CUT -> times.cut
+            SuspicionRule.ZONE_CUT_WAITED_FOR, SuspicionRule.SILENT -> times.silent
         }
         return base + when {
             machine.unheard -> if (machine.unreachableSince != null) Duration.ZERO else times.unheardMargin
--- a/src/main/kotlin/org/elderhitch/workers/Inquiry.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
@@ -1,13 +1,16 @@
-package org.elderhitch.workers
+package org.elderhitch.failuredetection
 
+import org.elderhitch.fleet.MachineId
 import org.elderhitch.http.Address
-import org.elderhitch.leadership.Tenure
-import org.elderhitch.recovery.AskPace
-import org.elderhitch.recovery.OrderKind
-import org.elderhitch.recovery.Orders
-import org.elderhitch.settings.WorkerTimes
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.recovery.ActionKind
+import org.elderhitch.recovery.ActionLedger
+import org.elderhitch.recovery.Takeover
+import org.elderhitch.scheduler.SchedulerPorts
+import org.elderhitch.settings.WorkerTimeouts
 import org.elderhitch.settings.Zone
-import org.elderhitch.time.Moment
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
@@ -16,21 +19,21 @@
  * Asks workers at their own addresses instead of waiting for their word: those that a takeover has not heard yet, which
  * also tells them the new term, and those whose report is overdue. One that takes no connection is most likely dead.
  */
-internal class Inquiry(
+internal class WorkerProber(
     private val table: TaskTable,
     private val takeover: Takeover,
-    workerTimes: WorkerTimes,
-    private val wakefulness: Wakefulness,
-    private val ports: ForemanPorts,
-    private val orders: Orders,
+    workerTimes: WorkerTimeouts,
+    private val pauseDetector: PauseDetector,
+    private val ports: SchedulerPorts,
+    private val orders: ActionLedger,
 ) {
-    private val overdueAfter: Duration = workerTimes.reportAtLatest + LATE
-    private val asked = HashMap<MachineId, Moment>()
+    private val overdueAfter: Duration = workerTimes.heartbeatDeadline + LATE
+    private val asked = HashMap<MachineId, MonotonicInstant>()
     private val addresses = HashMap<MachineId, Address>()
     private var listed: Set<MachineId>? = null
-    private val unreachable = HashMap<MachineId, Moment>()
+    private val unreachable = HashMap<MachineId, MonotonicInstant>()
     private val askedInVain = HashSet<MachineId>()
-    private val pace = AskPace()
+    private val pace = ProbeRateLimiter()
 
     fun newTerm() {
         asked.clear()
@@ -53,7 +56,7 @@
     fun isUnreachable(machine: MachineId): Boolean = machine in unreachable
 
     /** When it first took no connection since its last word; null: it was not tried, or took one. */
-    fun unreachableSince(machine: MachineId): Moment? = unreachable[machine]
+    fun unreachableSince(machine: MachineId): MonotonicInstant? = unreachable[machine]
 
     /** It was asked at its own address since its last word, and said nothing. */
     fun wasAskedInVain(machine: MachineId): Boolean = machine in askedInVain
@@ -63,39 +66,44 @@
         askedInVain.remove(machine)
     }
 
-    fun took(machine: MachineId, connection: Boolean, now: Moment) {
+    fun took(machine: MachineId, connection: Boolean, now: MonotonicInstant) {
         askedInVain.add(machine)
         if (connection) unreachable.remove(machine) else unreachable.putIfAbsent(machine, now)
     }
 
     /** In a zone that seems to be cut off only a few are asked: one answer tells that it isn't. */
-    fun ask(leading: Tenure.Leading, now: Moment, isCutOff: (Zone) -> Boolean) {
+    fun ask(leadership: LeadershipState.Leader, now: MonotonicInstant, isCutOff: (Zone) -> Boolean) {
         var may = pace.allow(
             takeover.unheard.size,
-            now - maxOf(leading.claimedAt, wakefulness.since),
-            takeover.formerEnded,
+            now - maxOf(leadership.claimedAt, pauseDetector.since),
+            takeover.previousLeaderEnded,
         )
         for (id in takeover.unheard) {
             if (may == 0) break
-            if (ask(leading, id, table.workers[id]?.address ?: addresses[id], now)) may--
+            if (ask(leadership, id, table.workers[id]?.address ?: addresses[id], now)) may--
         }
         val asked = HashMap<Zone, Int>()
         for (worker in table.workers.values) {
-            if (now - maxOf(worker.lastWord, leading.claimedAt, wakefulness.since) <= overdueAfter ||
-                worker.releaseAsked != Moment.NEVER
+            if (now - maxOf(worker.lastWord, leadership.claimedAt, pauseDetector.since) <= overdueAfter ||
+                worker.releaseAsked != MonotonicInstant.NEVER
             ) {
                 continue
             }
             if (isCutOff(worker.zone) && asked.merge(worker.zone, 1, Int::plus).let { it != null && it > FEW }) continue
-            ask(leading, worker.id, worker.address, now)
+            ask(leadership, worker.id, worker.address, now)
         }
     }
 
-    private fun ask(leading: Tenure.Leading, machine: MachineId, at: Address?, now: Moment): Boolean {
+    private fun ask(
+        leadership: LeadershipState.Leader,
+        machine: MachineId,
+        at: Address?,
+        now: MonotonicInstant,
+    ): Boolean {
         if (at == null || asked[machine].let { it != null && now - it < AGAIN }) return false
         asked[machine] = now
-        orders.gave(OrderKind.ASK, 1, now)
-        ports.ask(leading, at, machine)
+        orders.gave(ActionKind.ASK, 1, now)
+        ports.ask(leadership, at, machine)
         return true
     }
 
--- a/src/main/kotlin/org/elderhitch/features/Feature.kt
+++ b/src/main/kotlin/org/elderhitch/features/Feature.kt
@@ -1,30 +1,34 @@
 package org.elderhitch.features
 
 import kotlinx.coroutines.CoroutineScope
-import org.elderhitch.app.Meters
+import org.elderhitch.app.Metrics
 import org.elderhitch.http.Request
 import org.elderhitch.http.Response
 import org.elderhitch.jobs.HoldKind
-import org.elderhitch.jobs.JobDesk
+import org.elderhitch.jobs.HoldResult
 import org.elderhitch.jobs.JobEvent
 import org.elderhitch.jobs.JobId
-import org.elderhitch.jobs.JobKeeper
-import org.elderhitch.leadership.Tenure
+import org.elderhitch.jobs.JobProvider
+import org.elderhitch.jobs.JobService
+import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.settings.Settings
 import org.elderhitch.store.Change
 import org.elderhitch.store.Entry
 import org.elderhitch.store.StateClient
 import org.elderhitch.time.SteadyClock
 import org.elderhitch.time.WallClock
-import org.elderhitch.workers.HoldAnswer
 import kotlin.random.Random
 
 /**
- * A direction of the product beside the core, which knows only this. All of it runs on the controller's one thread; what is
+ * A direction of the product beside the core, which knows only this. All of it runs on the controller's one thread;
+ * what is
  * called without `suspend` returns at once. A feature that doesn't care for a hook leaves it: then it costs a call.
  */
 public interface Feature {
-    /** Also the first part of its paths, `/name/…`, and of its keys, `v/name/…` or, for what every node must know at start, `v/a/name/…`. */
+    /**
+     * Also the first part of its paths, `/name/…`, and of its keys, `v/name/…` or, for what every node must know at
+     * start, `v/a/name/…`.
+     */
     public val name: String
 
     public fun start() {}
@@ -39,7 +43,7 @@
     public fun changed(changes: List<Change>) {}
 
     /** This node leads from now on, and knows all that was recorded before. */
-    public fun termBegins(leading: Tenure.Leading) {}
+    public fun termBegins(leadership: LeadershipState.Leader) {}
 
     public fun termEnds() {}
 
@@ -49,12 +53,14 @@
     public suspend fun explain(job: JobId): List<String>? = null
 
     /** Keeps jobs of its own; null: none. */
-    public val keeper: JobKeeper? get() = null
+    public val jobProvider: JobProvider? get() = null
 
     /** Reads what must be known here before a term acts; false: it can't be had now. Asked again until it is true. */
     public suspend fun prepare(): Boolean = true
 
-    /** Whether the finished blocks of an ended job are to be left: the ending alone says less than its owner may ask. */
+    /**
+     * Whether the finished blocks of an ended job are to be left: the ending alone says less than its owner may ask.
+     */
     public fun keepsFinished(job: JobId): Boolean = false
 }
 
@@ -63,17 +69,17 @@
     public val scope: CoroutineScope,
     public val settings: Settings,
     public val clock: SteadyClock,
-    public val wall: WallClock,
+    public val wallClock: WallClock,
     public val random: Random,
     public val client: StateClient,
-    public val desk: JobDesk,
-    public val meters: Meters,
+    public val jobService: JobService,
+    public val metrics: Metrics,
     /** True once all that was recorded when this was called is known here, by this feature too. */
     public val sync: suspend () -> Boolean,
-    public val tenure: () -> Tenure,
+    public val leadershipState: () -> LeadershipState,
     /** Has the leader hold a job, wherever it is. */
-    public val hold: suspend (JobId, HoldKind, String) -> HoldAnswer,
-    /** Tells the leader's table, and those who rent, of a job that a [JobKeeper] opens or that ended. */
+    public val hold: suspend (JobId, HoldKind, String) -> HoldResult,
+    /** Tells the leader's table, and those who rent, of a job that a [JobProvider] opens or that ended. */
     public val jobs: (JobEvent) -> Unit,
     /** How many tasks of a job run, by the leader's last word; for display. */
     public val running: (JobId) -> Int,
@@ -101,7 +107,7 @@
 
     public fun changed(changes: List<Change>): Unit = features.forEach { it.changed(changes) }
 
-    public fun termBegins(leading: Tenure.Leading): Unit = features.forEach { it.termBegins(leading) }
+    public fun termBegins(leadership: LeadershipState.Leader): Unit = features.forEach { it.termBegins(leadership) }
 
     public fun termEnds(): Unit = features.forEach { it.termEnds() }
 
@@ -111,14 +117,15 @@
 
     public fun keepsFinished(job: JobId): Boolean = features.any { it.keepsFinished(job) }
 
-    public fun keeper(job: JobId): JobKeeper? = features.firstNotNullOfOrNull { feature ->
-        feature.keeper?.takeIf { it.keeps(job) }
+    public fun jobProvider(job: JobId): JobProvider? = features.firstNotNullOfOrNull { feature ->
+        feature.jobProvider?.takeIf { it.keeps(job) }
     }
 
     public suspend fun prepare(): Boolean = features.all { it.prepare() }
 
     /**
-     * Why this node can't serve: something recorded needs a feature that is off here. It would tell users of accepted jobs that there are no
+     * Why this node can't serve: something recorded needs a feature that is off here. It would tell users of accepted
+     * jobs that there are no
      * such jobs, and as leader have their tasks stopped. Null: nothing does.
      */
     public fun unserved(entries: List<Entry>): String? {
--- a/src/main/kotlin/org/elderhitch/features/FeaturesFile.kt
+++ b/src/main/kotlin/org/elderhitch/features/FeaturesFile.kt
@@ -21,7 +21,8 @@
 }
 
 /**
- * The features file: a Lua script that returns a table with a section for each direction that is on, and `classes`. Unlike the
+ * The features file: a Lua script that returns a table with a section for each direction that is on, and `classes`.
+ * Unlike the
  * policy it decides what users may rely on, so a mistake in it keeps the controller from starting.
  */
 public object FeaturesFile {
--- a/src/main/kotlin/org/elderhitch/fleet/BootTimes.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/BootTimes.kt
@@ -1,8 +1,10 @@
 package org.elderhitch.fleet
 
 /**
- * How long machines lately took to boot, in multiples of what the cloud states. Some never come up and are charged all the
- * same: whatever takes longer by a margin than all that came up is given up, so that a slow hour of the cloud moves the limit.
+ * How long machines lately took to boot, in multiples of what the cloud states. Some never come up and are charged all
+ * the
+ * same: whatever takes longer by a margin than all that came up is given up, so that a slow hour of the cloud moves the
+ * limit.
  */
 public class BootTimes {
     private val recent = ArrayDeque<Double>()
@@ -17,8 +19,10 @@
         }
 
     /**
-     * When a machine counts as late, and what waited for it rents another. While none came up at all, or all come late, the
-     * cloud is slow and another would come later still: a morning's whole fleet was rented twice at two and a half times
+     * When a machine counts as late, and what waited for it rents another. While none came up at all, or all come late,
+     * the
+     * cloud is slow and another would come later still: a morning's whole fleet was rented twice at two and a half
+     * times
      * the usual boot.
      */
     public fun late(anyUp: Boolean): Double = when {
--- a/src/main/kotlin/org/elderhitch/fleet/CatalogKeeper.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CatalogRefresher.kt
@@ -7,12 +7,12 @@
 import org.elderhitch.jobs.JobSpec
 import org.elderhitch.json.Json
 import org.elderhitch.json.MalformedJson
-import org.elderhitch.leadership.Tenure
+import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.store.CommitOutcome
 import org.elderhitch.store.Condition
 import org.elderhitch.store.Entry
 import org.elderhitch.store.Keys
-import org.elderhitch.store.Purpose
+import org.elderhitch.store.RequestPriority
 import org.elderhitch.store.StateClient
 import org.elderhitch.store.Write
 import org.slf4j.LoggerFactory
@@ -23,7 +23,7 @@
  * Keeps the machine types that the cloud states. The leader leaves a copy in the state service, so that a node which
  * starts while the cloud is down can still tell which jobs could run.
  */
-public class CatalogKeeper(
+public class CatalogRefresher(
     private val scope: CoroutineScope,
     private val cloud: CloudClient,
     private val store: StateClient,
@@ -38,23 +38,25 @@
 
     public fun canEverRun(spec: JobSpec): Boolean? = if (catalog.isEmpty) null else catalog.fitting(spec).isNotEmpty()
 
-    public fun start(tenure: StateFlow<Tenure>) {
+    public fun start(leadershipState: StateFlow<LeadershipState>) {
         scope.launch {
-            // Seven controllers that all came back asked at once, at 1.5 requests a second: the new leader's list of machines was refused, and its takeover
-            // waited 6 s for machines that were long gone. Only a leader asks at once; the others mostly find in the state service what it learnt.
+            // Seven controllers that all came back asked at once, at 1.5 requests a second: the new leader's list of
+            // machines was refused, and its takeover
+            // waited 6 s for machines that were long gone. Only a leader asks at once; the others mostly find in the
+            // state service what it learnt.
             for (tick in 0 until FIRST_TICKS) {
-                if (tenure.value !is Tenure.Leading &&
+                if (leadershipState.value !is LeadershipState.Leader &&
                     !(loaded() && !catalog.isEmpty)
                 ) {
                     delay(FIRST_TICK)
                 }
             }
             while (true) {
-                val leading = tenure.value as? Tenure.Leading
-                if (catalog.isEmpty || leading != null) {
+                val leadership = leadershipState.value as? LeadershipState.Leader
+                if (catalog.isEmpty || leadership != null) {
                     cloud.catalog()?.let { fresh ->
                         set(fresh)
-                        leading?.let { keep(it) }
+                        leadership?.let { keep(it) }
                     }
                 }
                 delay(if (catalog.isEmpty) FIRST_RETRY else REFRESH)
@@ -67,7 +69,7 @@
         onCatalog(fresh)
     }
 
-    private suspend fun keep(leading: Tenure.Leading) {
+    private suspend fun keep(leadership: LeadershipState.Leader) {
         // Prices move all the time; a copy with older ones serves as well.
         if (kept) return
         val value = mapOf("rigs" to catalog.types.values.map(CatalogCodec::encode))
@@ -79,9 +81,9 @@
         }
         kept =
             store.commit(
-                listOf(Condition(Keys.TERM, leading.counter)),
+                listOf(Condition(Keys.TERM, leadership.counter)),
                 listOf(Write.Put(Keys.TYPES, value)),
-                Purpose.OTHER,
+                RequestPriority.OTHER,
             ) is
                 CommitOutcome.Committed
     }
--- a/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
@@ -9,21 +9,20 @@
 import org.elderhitch.json.JsonObject
 import org.elderhitch.json.decodedFrom
 import org.elderhitch.settings.Zone
-import org.elderhitch.store.Purpose
-import org.elderhitch.store.RateBudget
-import org.elderhitch.workers.MachineId
+import org.elderhitch.store.RequestPriority
+import org.elderhitch.store.RequestRateLimiter
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
-public sealed interface HireOutcome {
-    public data class Hired(val machines: List<MachineId>) : HireOutcome
-    public data object NoCapacity : HireOutcome
+public sealed interface ProvisioningOutcome {
+    public data class Hired(val machines: List<MachineId>) : ProvisioningOutcome
+    public data object NoCapacity : ProvisioningOutcome
 
     /** Malformed, by the cloud's word: never to be repeated. */
-    public data object Rejected : HireOutcome
+    public data object Rejected : ProvisioningOutcome
 
     /** Perhaps carried out, perhaps later: the same request must be made again. */
-    public data object Unknown : HireOutcome
+    public data object Unknown : ProvisioningOutcome
 }
 
 public class ListedMachine(public val machine: Machine, public val state: String, public val address: Address?)
@@ -31,12 +30,12 @@
 public class CloudClient(
     private val transport: Transport,
     private val address: Address,
-    private val budget: RateBudget,
+    private val budget: RequestRateLimiter,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
 
     public suspend fun catalog(): Catalog? {
-        val response = call("GET", "/flavors", null, Purpose.PROGRESS) ?: return null
+        val response = call("GET", "/flavors", null, RequestPriority.PROGRESS) ?: return null
         if (response.status != OK) return null
         return decodedFrom("cloud", log, null) {
             val types = Json.parseObject(response.body).objects("rigs").map(::type)
@@ -47,7 +46,7 @@
     private fun type(from: JsonObject): TypeInfo = CatalogCodec.decode(from)
 
     /** [entitled] is asked last, as the budget may have been waited for, or the process may have stood still. */
-    public suspend fun hire(name: String, market: Market, count: Int, entitled: () -> Boolean): HireOutcome {
+    public suspend fun hire(name: String, market: Market, count: Int, entitled: () -> Boolean): ProvisioningOutcome {
         val body = Json.bytes(
             linkedMapOf(
                 "hire" to name,
@@ -57,10 +56,11 @@
                 "count" to count,
             ),
         )
-        val response = call("POST", "/machines", body, Purpose.RECORD, entitled) ?: return HireOutcome.Unknown
-        return decodedFrom("cloud", log, HireOutcome.Unknown) {
+        val response =
+            call("POST", "/machines", body, RequestPriority.RECORD, entitled) ?: return ProvisioningOutcome.Unknown
+        return decodedFrom("cloud", log, ProvisioningOutcome.Unknown) {
             when (response.status) {
-                OK -> HireOutcome.Hired(
+                OK -> ProvisioningOutcome.Hired(
                     Json.parseObject(response.body).stringsOrNull("stalls").orEmpty().map(::MachineId),
                 )
 
@@ -68,14 +68,14 @@
                         "no capacity",
                     )
                 ) {
-                    HireOutcome.NoCapacity
+                    ProvisioningOutcome.NoCapacity
                 } else {
-                    HireOutcome.Unknown
+                    ProvisioningOutcome.Unknown
                 }
 
-                BAD -> HireOutcome.Rejected
+                BAD -> ProvisioningOutcome.Rejected
 
-                else -> HireOutcome.Unknown
+                else -> ProvisioningOutcome.Unknown
             }
         }
     }
@@ -84,11 +84,11 @@
     public suspend fun release(machines: List<MachineId>, entitled: () -> Boolean): Boolean {
         check(machines.size <= MOST_RELEASED) { "${machines.size} machines in a request" }
         val body = Json.bytes(mapOf("stalls" to machines.map { it.text }))
-        return call("POST", "/machines/release", body, Purpose.LEADERSHIP, entitled)?.status == OK
+        return call("POST", "/machines/release", body, RequestPriority.LEADERSHIP, entitled)?.status == OK
     }
 
     /** All machines, or null when some page could not be had. */
-    public suspend fun list(purpose: Purpose = Purpose.OTHER): List<ListedMachine>? {
+    public suspend fun list(purpose: RequestPriority = RequestPriority.OTHER): List<ListedMachine>? {
         val all = ArrayList<ListedMachine>()
         var after: String? = null
         while (true) {
@@ -120,7 +120,7 @@
         method: String,
         target: String,
         body: ByteArray?,
-        purpose: Purpose,
+        purpose: RequestPriority,
         entitled: () -> Boolean = {
             true
         },
@@ -141,7 +141,9 @@
     }
 }
 
-/** Machine types as the cloud states them, and as the state service keeps them for nodes that start while it is down. */
+/**
+ * Machine types as the cloud states them, and as the state service keeps them for nodes that start while it is down.
+ */
 public object CatalogCodec {
     public fun decode(from: JsonObject): TypeInfo = TypeInfo(
         MachineType(from.string("name")),
--- a/src/main/kotlin/org/elderhitch/fleet/Fleet.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Fleet.kt
@@ -4,8 +4,7 @@
 import org.elderhitch.jobs.MachineType
 import org.elderhitch.jobs.Resources
 import org.elderhitch.settings.Zone
-import org.elderhitch.time.Moment
-import org.elderhitch.workers.MachineId
+import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
 /** A kind of machine that the cloud rents out. */
@@ -69,7 +68,7 @@
 /** A machine as the plan sees it. */
 public data class PlannedMachine(
     val machine: Machine,
-    val hiredAt: Moment,
+    val hiredAt: MonotonicInstant,
     /** Null while it boots. */
     val use: MachineUse?,
 )
