--- a/src/main/kotlin/org/elderhitch/workers/CycleFeed.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
@@ -1,9 +1,11 @@
-package org.elderhitch.workers
+package org.elderhitch.scheduler
 
+import org.elderhitch.failuredetection.FailureAttribution
 import org.elderhitch.fleet.Arrivals
 import org.elderhitch.fleet.Catalog
 import org.elderhitch.fleet.Market
 import org.elderhitch.fleet.TypeInfo
+import org.elderhitch.heartbeat.TaskPhase
 import org.elderhitch.jobs.Image
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.JobKind
@@ -11,42 +13,48 @@
 import org.elderhitch.jobs.MachineType
 import org.elderhitch.jobs.Priority
 import org.elderhitch.jobs.Resources
-import org.elderhitch.leadership.Tenure
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.placement.CapacityReservation
 import org.elderhitch.placement.CycleInput
 import org.elderhitch.placement.JobView
-import org.elderhitch.placement.KeptFree
 import org.elderhitch.placement.MachineView
-import org.elderhitch.placement.Tenant
-import org.elderhitch.placement.VictimView
+import org.elderhitch.placement.Occupant
+import org.elderhitch.placement.PreemptionCandidate
 import org.elderhitch.quota.QuotaLedger
 import org.elderhitch.settings.Objective
 import org.elderhitch.settings.Team
 import org.elderhitch.settings.TeamName
-import org.elderhitch.time.Moment
+import org.elderhitch.tasks.Certainty
+import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.Placement
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.WorkerState
+import org.elderhitch.tasks.isGang
+import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
 /** Makes the input of a scheduling cycle from the table. What did not change on a machine is not looked at again. */
-internal class CycleFeed(
+internal class CycleInputBuilder(
     private val table: TaskTable,
-    private val faults: Faults,
+    private val faults: FailureAttribution,
     private val teams: Map<TeamName, Team>,
     objectives: List<Objective>,
 ) {
     private val runs = RunTimes()
-    private val due = DueTimes(objectives, runs)
+    private val due = StartDeadlines(objectives, runs)
     private val arrivals = Arrivals()
 
     private var viewedWith: Catalog = Catalog.EMPTY
 
     fun input(
-        leading: Tenure.Leading,
+        leadership: LeadershipState.Leader,
         mayHide: (JobSpec) -> Boolean,
         reserved: Resources,
         catalog: Catalog,
-        keptFree: List<KeptFree>,
-        now: Moment,
+        keptFree: List<CapacityReservation>,
+        now: MonotonicInstant,
         rush: Boolean,
         coming: Map<MachineType, Int>,
         refused: Set<Market>,
@@ -76,7 +84,7 @@
         }
         val views = ordered(
             table.jobs.values.mapNotNull { job ->
-                jobView(job, leading, mayHide, now)?.let { job to it }
+                jobView(job, leadership, mayHide, now)?.let { job to it }
             },
             catalog,
             refused,
@@ -95,7 +103,7 @@
             (worker.view ?: view(worker, catalog, now)?.also { worker.view = it })?.let(machines::add)
         }
         return CycleInput(
-            machines, views, quota, keptFree + awaited(leading, mayHide),
+            machines, views, quota, keptFree + awaited(leadership, mayHide),
             wholeMachines = table.jobs.values.any {
                 it.isGang
             },
@@ -104,18 +112,19 @@
     }
 
     /**
-     * Room for tasks of earlier terms that no report has named yet, in a takeover: they may run on a silent machine, and if they don't they are started next. Less
+     * Room for tasks of earlier terms that no report has named yet, in a takeover: they may run on a silent machine,
+     * and if they don't they are started next. Less
      * important work that was submitted since the claim would take that room, and be stopped for them seconds later.
      */
-    private fun awaited(leading: Tenure.Leading, mayHide: (JobSpec) -> Boolean): List<KeptFree> {
-        val sums = HashMap<Pair<String, Priority>, KeptFree>()
+    private fun awaited(leadership: LeadershipState.Leader, mayHide: (JobSpec) -> Boolean): List<CapacityReservation> {
+        val sums = HashMap<Pair<String, Priority>, CapacityReservation>()
         for (job in table.jobs.values) {
             val spec = job.spec
             // Once the takeover is settled nothing hides, and nothing is counted.
             if (job.ended ||
                 job.isGang ||
                 spec.priority == Priority.LOW ||
-                job.version > leading.counter ||
+                job.version > leadership.counter ||
                 !mayHide(spec)
             ) {
                 continue
@@ -124,8 +133,8 @@
             if (missing >
                 0
             ) {
-                sums.merge(spec.jobClass to spec.priority, KeptFree(spec, missing)) { a, b ->
-                    KeptFree(
+                sums.merge(spec.jobClass to spec.priority, CapacityReservation(spec, missing)) { a, b ->
+                    CapacityReservation(
                         b.spec,
                         a.tasks + b.tasks,
                     )
@@ -135,10 +144,10 @@
         return sums.values.toList()
     }
 
-    fun opened(spec: JobSpec, now: Moment) = arrivals.add(spec, now)
+    fun opened(spec: JobSpec, now: MonotonicInstant) = arrivals.add(spec, now)
 
     /** A task that this term started completed. */
-    fun completed(job: JobState, placement: Placement, now: Moment) {
+    fun completed(job: JobState, placement: Placement, now: MonotonicInstant) {
         placement.runsSince?.let { runs.seen(job.spec, now - it) }
     }
 
@@ -166,21 +175,21 @@
         return Resources(cpus, 0.0, memoryGb)
     }
 
-    private fun view(worker: WorkerState, catalog: Catalog, now: Moment): MachineView? {
+    private fun view(worker: WorkerState, catalog: Catalog, now: MonotonicInstant): MachineView? {
         worker.viewedAt = now
         val type = catalog.types[worker.type] ?: return null
         // What a task takes whose job is no longer known can't be told: nothing more goes there until it is gone.
         if (worker.tasks.any { it.phase != TaskPhase.EXITED && it.task.job !in table.jobs }) return null
         var free = type.resources
         var leaving = Resources.NONE
-        val victims = ArrayList<VictimView>()
-        val tenants = ArrayList<Tenant>()
+        val victims = ArrayList<PreemptionCandidate>()
+        val tenants = ArrayList<Occupant>()
         val fetching = HashMap<Image, Double>()
         val cached = worker.cachedImages(type.cacheGb)
         for (p in worker.placements.values) {
             val job = table.jobs[p.task.job] ?: continue
             free -= job.spec.need
-            tenants.add(Tenant(job.spec, (p.runsSince ?: now) + runs.expected(job.spec)))
+            tenants.add(Occupant(job.spec, (p.runsSince ?: now) + runs.expected(job.spec)))
             // What is in use is not what a cache drops; what is being fetched is given up when its task goes.
             val there = p.certainty == Certainty.REPORTED && p.phase != TaskPhase.FETCHING
             if (there) {
@@ -195,7 +204,7 @@
 
                 !job.isGang && p.certainty == Certainty.REPORTED && job.spec.priority < Priority.PRODUCTION ->
                     victims.add(
-                        VictimView(
+                        PreemptionCandidate(
                             p.task,
                             job.spec.priority,
                             job.spec.need,
@@ -214,7 +223,7 @@
     }
 
     /** How much of its image a task still waits for, if the machine fetches at the stated rate. */
-    private fun left(placement: Placement, spec: JobSpec, type: TypeInfo, now: Moment): Double {
+    private fun left(placement: Placement, spec: JobSpec, type: TypeInfo, now: MonotonicInstant): Double {
         val since = placement.fetchingSince ?: return spec.imageGb
         val fetched = (now - since).toDouble(DurationUnit.SECONDS) * type.fetchGbPerS
         return (spec.imageGb - fetched).coerceAtLeast(spec.imageGb * LAST_PART)
@@ -224,10 +233,15 @@
         table.jobs[p.task.job]?.takeIf { it.spec.kind == JobKind.SERVICE }?.spec?.need?.weight ?: 0.0
     }
 
-    private fun jobView(job: JobState, leading: Tenure.Leading, mayHide: (JobSpec) -> Boolean, now: Moment): JobView? {
+    private fun jobView(
+        job: JobState,
+        leadership: LeadershipState.Leader,
+        mayHide: (JobSpec) -> Boolean,
+        now: MonotonicInstant,
+    ): JobView? {
         if (job.ended || now < job.notBefore || job.done.all || job.hold != null || job.holding) return null
         // A task that no report names may still run on a silent worker, if its job is older than our term.
-        if (job.version <= leading.counter && mayHide(job.spec)) return null
+        if (job.version <= leadership.counter && mayHide(job.spec)) return null
         if (job.isGang) {
             if (job.gang.broken) {
                 // Members that still wait would only wait in vain.
@@ -262,14 +276,15 @@
     }
 
     /**
-     * Says of each job by when it should start. That not all of a class can be in time is known only where nothing more is to be rented for it; else a
+     * Says of each job by when it should start. That not all of a class can be in time is known only where nothing more
+     * is to be rented for it; else a
      * job was put off that a booting machine would have taken (seen: photographs sorted within 180 s 0.82 to 0.70).
      */
     private fun ordered(
         jobs: List<Pair<JobState, JobView>>,
         catalog: Catalog,
         refused: Set<Market>,
-        now: Moment,
+        now: MonotonicInstant,
     ): List<JobView> {
         val (arrays, whole) = jobs.partition { it.first.spec.kind == JobKind.ARRAY }
         val held = HashMap<String, Double>()
@@ -282,11 +297,11 @@
                 )
             }
         }
-        val dues = HashMap<JobId, Due>()
+        val dues = HashMap<JobId, StartDeadline>()
         for ((name, its) in arrays.groupBy { it.first.spec.jobClass }) {
             val full = refused.isNotEmpty() && its.all { (job, _) -> refused.containsAll(catalog.markets(job.spec)) }
             dues +=
-                DueTimes.among(
+                StartDeadlines.among(
                     its.map { (job, view) ->
                         due.waiting(job.spec, job.openedAt, view.pending.size)
                     },
@@ -304,10 +319,11 @@
     }
 
     /**
-     * Under a limit small jobs come before large ones for as long as there are any, and the large begin last, or never: each begins with one task after a while. Where nothing but
+     * Under a limit small jobs come before large ones for as long as there are any, and the large begin last, or never:
+     * each begins with one task after a while. Where nothing but
      * machines is short, more are rented.
      */
-    private fun mustBegin(view: JobView, quota: QuotaLedger, now: Moment): Boolean {
+    private fun mustBegin(view: JobView, quota: QuotaLedger, now: MonotonicInstant): Boolean {
         val job = table.jobs[view.spec.id] ?: return false
         val alone = job.spec.kind == JobKind.ARRAY && !job.spec.spread && !job.spec.oneZone && !view.probe
         return alone &&
--- a/src/main/kotlin/org/elderhitch/workers/DemandReport.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/DemandReporter.kt
@@ -1,23 +1,30 @@
-package org.elderhitch.workers
+package org.elderhitch.scheduler
 
 import org.elderhitch.fleet.Catalog
+import org.elderhitch.fleet.MachineId
 import org.elderhitch.fleet.MachineUse
 import org.elderhitch.jobs.JobKind
 import org.elderhitch.jobs.JobSpec
 import org.elderhitch.jobs.Priority
 import org.elderhitch.jobs.Resources
-import org.elderhitch.time.Moment
+import org.elderhitch.tasks.JobState
+import org.elderhitch.tasks.Placement
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.WorkerState
+import org.elderhitch.tasks.isGang
+import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
 /** What the table says of machines' use, for those who rent and return them. */
-internal class DemandReport(private val table: TaskTable, private val suspectAfter: Duration) {
+internal class DemandReporter(private val table: TaskTable, private val suspectAfter: Duration) {
     /**
-     * Machines that report and may be given tasks. One that has just come up may not, until that is recorded: it counts as
+     * Machines that report and may be given tasks. One that has just come up may not, until that is recorded: it counts
+     * as
      * booting. As a machine of no use it counted for nothing, and others were rented in its place.
      */
     fun uses(
         catalog: Catalog,
-        now: Moment,
+        now: MonotonicInstant,
         cleared: Set<MachineId>,
         usable: (WorkerState) -> Boolean,
     ): List<MachineUse> =
@@ -29,7 +36,7 @@
             it.hold == null
     }.map { it.spec }
 
-    private fun use(worker: WorkerState, catalog: Catalog, now: Moment, usable: Boolean): MachineUse {
+    private fun use(worker: WorkerState, catalog: Catalog, now: MonotonicInstant, usable: Boolean): MachineUse {
         var busy = Resources.NONE
         var yielding = Resources.NONE
         var ending = Resources.NONE
@@ -49,14 +56,15 @@
             ending,
             serving,
             usable,
-            // A silent machine isn't idle: it may be cut off, and what it runs is counted as lost only for its lease's sake.
+            // A silent machine isn't idle: it may be cut off, and what it runs is counted as lost only for its lease's
+            // sake.
             idle = if (now - worker.lastReport <= suspectAfter && worker.isEmpty) now - worker.idleSince else null,
             faulty = worker.sick,
         )
     }
 
     /** By the owner's estimate, which is often wrong: a task over it is given as long again as a part of it. */
-    private fun endsWithin(job: JobState, placement: Placement, span: Duration, now: Moment): Boolean {
+    private fun endsWithin(job: JobState, placement: Placement, span: Duration, now: MonotonicInstant): Boolean {
         if (job.spec.kind == JobKind.SERVICE) return false
         val since = placement.runsSince ?: return false
         val left = job.spec.estimate - (now - since)
--- a/src/main/kotlin/org/elderhitch/workers/EventLog.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/EventLog.kt
@@ -1,12 +1,15 @@
-package org.elderhitch.workers
+package org.elderhitch.scheduler
 
-import org.elderhitch.time.Moment
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Log lines of things that happen to many machines at once. In [SPAN] each cause gets one line a machine, and [MOST] lines in all; the
- * rest is counted and told in one line when the span is over. 33,424 lines of one kind on one simulated day cost processor time
+ * Log lines of things that happen to many machines at once. In [SPAN] each cause gets one line a machine, and [MOST]
+ * lines in all; the
+ * rest is counted and told in one line when the span is over. 33,424 lines of one kind on one simulated day cost
+ * processor time
  * where it was shortest, and hid all others.
  */
 internal class EventLog(
@@ -14,7 +17,7 @@
     private val info: (String) -> Unit,
     private val error: (String) -> Unit,
 ) {
-    private class Span(val began: Moment) {
+    private class Span(val began: MonotonicInstant) {
         val machines = HashSet<MachineId>()
         var withheld = 0
     }
--- a/src/main/kotlin/org/elderhitch/workers/GangStart.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/GangStart.kt
@@ -1,20 +1,23 @@
-package org.elderhitch.workers
+package org.elderhitch.scheduler
 
 import org.elderhitch.fleet.Catalog
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.TaskId
-import org.elderhitch.placement.Placed
+import org.elderhitch.placement.PlacementDecision
+import org.elderhitch.tasks.TaskTable
+import org.elderhitch.tasks.isGang
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
 /**
  * When the members of a new gang start. A member that has its image waits for the others no longer than the workers'
- * `gang_wait_s`, and then the whole gang gives up, fetches included: where the fetch takes longer than that, such a gang
+ * `gang_wait_s`, and then the whole gang gives up, fetches included: where the fetch takes longer than that, such a
+ * gang
  * would be placed again and again and never start. So members that have the image start as much later.
  */
 internal class GangStart(private val wait: Duration, private val table: TaskTable, private val catalog: Catalog) {
-    fun heldBack(placed: List<Placed>): Map<TaskId, Duration> {
-        val gangs = LinkedHashMap<JobId, MutableList<Placed>>()
+    fun heldBack(placed: List<PlacementDecision>): Map<TaskId, Duration> {
+        val gangs = LinkedHashMap<JobId, MutableList<PlacementDecision>>()
         for (p in placed) {
             if (p.joinAttempt == null &&
                 table.jobs[p.task.job]?.isGang == true
@@ -34,7 +37,7 @@
         return held
     }
 
-    private fun fetch(placed: Placed): Duration {
+    private fun fetch(placed: PlacementDecision): Duration {
         val worker = table.workers[placed.machine] ?: return Duration.ZERO
         val spec = table.jobs[placed.task.job]?.spec ?: return Duration.ZERO
         val type = catalog.types[worker.type] ?: return Duration.ZERO
--- a/src/main/kotlin/org/elderhitch/workers/RunTimes.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/RunTimes.kt
@@ -1,10 +1,11 @@
-package org.elderhitch.workers
+package org.elderhitch.scheduler
 
 import org.elderhitch.jobs.JobSpec
 import kotlin.time.Duration
 
 /**
- * How long tasks run, by their owners' estimates and by what was seen of their class: on some days estimates are mostly too high or mostly too low
+ * How long tasks run, by their owners' estimates and by what was seen of their class: on some days estimates are mostly
+ * too high or mostly too low
  * (PROTOCOL, `POST /work`).
  */
 internal class RunTimes {
--- a/src/main/kotlin/org/elderhitch/settings/LuaScript.kt
+++ b/src/main/kotlin/org/elderhitch/settings/LuaScript.kt
@@ -67,7 +67,10 @@
     }
 }
 
-/** A table of a script, read key by key; every complaint names the file, the line where the key is set, and the key's path. */
+/**
+ * A table of a script, read key by key; every complaint names the file, the line where the key is set, and the key's
+ * path.
+ */
 public class LuaSection internal constructor(
     private val file: String,
     private val script: String,
@@ -182,8 +185,10 @@
         throw BadScript("$file:${line(key)}: ${(path + key).joinToString(".")}: $reason")
 
     /**
-     * The line where the key is set. A table knows nothing of lines once it is made, so they are looked for in the script: each
-     * part of the path after the one before it. A key that the script computes is told by the line of the last part found.
+     * The line where the key is set. A table knows nothing of lines once it is made, so they are looked for in the
+     * script: each
+     * part of the path after the one before it. A key that the script computes is told by the line of the last part
+     * found.
      */
     private fun line(key: String): Int {
         var at = 0
--- a/src/main/kotlin/org/elderhitch/settings/Settings.kt
+++ b/src/main/kotlin/org/elderhitch/settings/Settings.kt
@@ -38,7 +38,7 @@
 /** An aim of the deployment that names a class: started or finished [within] a time. */
 public data class Objective(val kind: String, val jobClass: String, val within: Duration?)
 
-public data class WorkerTimes(
+public data class WorkerTimeouts(
     val report: Duration,
     val lease: Duration,
     val gangWait: Duration,
@@ -46,13 +46,14 @@
     val cancel: Duration,
 ) {
     /** The longest that a worker leaves between two reports: they come a quarter early or late. */
-    public val reportAtLatest: Duration get() = report * REPORT_SPREAD
+    public val heartbeatDeadline: Duration get() = report * REPORT_SPREAD
 
     /**
-     * For how long after a job has ended here a task of it may yet be found on a machine: what its user was told of it may be known here a lease earlier than to whoever
+     * For how long after a job has ended here a task of it may yet be found on a machine: what its user was told of it
+     * may be known here a lease earlier than to whoever
      * kept it, and that one's machines are silent for a lease.
      */
-    public val mayOutliveJob: Duration get() = cancel + lease * 2
+    public val taskRetention: Duration get() = cancel + lease * 2
 
     public companion object {
         private const val REPORT_SPREAD = 1.25
@@ -78,7 +79,7 @@
     val zones: List<Zone>,
     val teams: Map<TeamName, Team>,
     val objectives: List<Objective>,
-    val workers: WorkerTimes,
+    val workers: WorkerTimeouts,
     val stateLimits: StateLimits,
     val cloudLimits: CloudLimits,
     val maxSockets: Int,
@@ -89,7 +90,10 @@
     val nodeZones: Map<NodeName, Zone> get() = peers.mapNotNull { peer -> peer.zone?.let { peer.name to it } }.toMap() +
         (node to zone)
 
-    /** Classes whose aim on starting leaves no time to stop other work first: a save, two reports and a scheduling cycle. */
+    /**
+     * Classes whose aim on starting leaves no time to stop other work first: a save, two reports and a scheduling
+     * cycle.
+     */
     val instantClasses: Set<String>
         get() = objectives.filter {
             it.kind == "wait" && it.within != null && it.within < workers.report * 2 + STOPPING
@@ -124,7 +128,7 @@
                 zones = settings.stringsOrNull("zones").orEmpty().map(::Zone),
                 teams = settings.objects("teams").map(::team).associateBy { it.name },
                 objectives = settings.objects("objectives").mapNotNull(::objective),
-                workers = WorkerTimes(
+                workers = WorkerTimeouts(
                     positive(workers, "report_s"),
                     positive(workers, "lease_s"),
                     positive(workers, "gang_wait_s"),
--- a/src/main/kotlin/org/elderhitch/standin/StateStandIn.kt
+++ b/src/main/kotlin/org/elderhitch/standin/StateStandIn.kt
@@ -8,7 +8,7 @@
 import org.elderhitch.json.Json
 import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import java.util.TreeMap
 import kotlin.time.Duration
@@ -22,7 +22,7 @@
 
     private val items = TreeMap<String, Item>()
     private val events = ArrayDeque<Event>()
-    private val leases = HashMap<Long, Pair<Moment, Duration>>()
+    private val leases = HashMap<Long, Pair<MonotonicInstant, Duration>>()
     private var revision = 0L
     private var nextLease = 1L
 
--- a/src/main/kotlin/org/elderhitch/store/Keys.kt
+++ b/src/main/kotlin/org/elderhitch/store/Keys.kt
@@ -21,7 +21,7 @@
 
     public fun job(id: JobId): String = JOB + id.text
 
-    public fun end(id: JobId): String = END + id.text
+    public fun terminalRecord(id: JobId): String = END + id.text
 
     public fun finished(id: JobId, block: Int): String = "$FINISHED${id.text}/$block"
 
@@ -30,39 +30,39 @@
 
     public fun hold(id: JobId): String = HOLD + id.text
 
-    public fun hire(name: String): String = HIRE + name
+    public fun provisioningIntent(name: String): String = HIRE + name
 
     /** What a key holds, for who follows the changes. */
-    public fun subject(key: String): Subject? = when {
-        key == TERM -> Subject.Counter
+    public fun subject(key: String): StoredKey? = when {
+        key == TERM -> StoredKey.Counter
 
-        key == LEADER -> Subject.Leader
+        key == LEADER -> StoredKey.Leader
 
-        key.startsWith(JOB) -> JobId.parse(key.substring(JOB.length))?.let(Subject::Job)
+        key.startsWith(JOB) -> JobId.parse(key.substring(JOB.length))?.let(StoredKey::Job)
 
-        key.startsWith(END) -> JobId.parse(key.substring(END.length))?.let(Subject::End)
+        key.startsWith(END) -> JobId.parse(key.substring(END.length))?.let(StoredKey::TerminalRecord)
 
-        key.startsWith(HOLD) -> JobId.parse(key.substring(HOLD.length))?.let(Subject::Hold)
+        key.startsWith(HOLD) -> JobId.parse(key.substring(HOLD.length))?.let(StoredKey::JobHold)
 
-        key.startsWith(HIRE) -> Subject.Hire(key.substring(HIRE.length))
+        key.startsWith(HIRE) -> StoredKey.ProvisioningIntent(key.substring(HIRE.length))
 
         key.startsWith(FINISHED) -> {
             val rest = key.substring(FINISHED.length)
             val id = JobId.parse(rest.substringBeforeLast('/'))
             val block = rest.substringAfterLast('/').toIntOrNull()
-            if (id == null || block == null) null else Subject.Finished(id, block)
+            if (id == null || block == null) null else StoredKey.CompletedTasks(id, block)
         }
 
         else -> null
     }
 }
 
-public sealed interface Subject {
-    public data object Counter : Subject
-    public data object Leader : Subject
-    public data class Job(val id: JobId) : Subject
-    public data class End(val id: JobId) : Subject
-    public data class Hold(val id: JobId) : Subject
-    public data class Finished(val id: JobId, val block: Int) : Subject
-    public data class Hire(val name: String) : Subject
+public sealed interface StoredKey {
+    public data object Counter : StoredKey
+    public data object Leader : StoredKey
+    public data class Job(val id: JobId) : StoredKey
+    public data class TerminalRecord(val id: JobId) : StoredKey
+    public data class JobHold(val id: JobId) : StoredKey
+    public data class CompletedTasks(val id: JobId, val block: Int) : StoredKey
+    public data class ProvisioningIntent(val name: String) : StoredKey
 }
--- a/src/main/kotlin/org/elderhitch/store/RateBudget.kt
+++ b/src/main/kotlin/org/elderhitch/store/RequestRateLimiter.kt
@@ -8,7 +8,7 @@
 import kotlin.time.DurationUnit
 
 /** What a request is for. The earlier of two gets the last of the budget. */
-public enum class Purpose(internal val reserve: Double) {
+public enum class RequestPriority(internal val reserve: Double) {
     LEADERSHIP(0.0),
     RECORD(0.1),
     END(0.2),
@@ -20,7 +20,7 @@
  * This node's share of a rate that all controllers share: a bucket that holds one second's worth. Each purpose leaves
  * a part of the bucket to the more important ones.
  */
-public class RateBudget(private val clock: SteadyClock, perSecond: Double) {
+public class RequestRateLimiter(private val clock: SteadyClock, perSecond: Double) {
     private var rate = perSecond
     private var tokens = perSecond
     private var filledAt = clock.now()
@@ -32,7 +32,7 @@
     }
 
     /** Waits for [count] tokens; false if they can't be had within [patience]: then the caller refuses at once. */
-    public suspend fun take(purpose: Purpose, count: Int, patience: Duration): Boolean {
+    public suspend fun take(purpose: RequestPriority, count: Int, patience: Duration): Boolean {
         val deadline = clock.now() + patience
         while (!tryTake(purpose, count)) {
             // A request larger than the bucket can never be covered at once; let it through when the bucket is full.
@@ -43,16 +43,16 @@
         return true
     }
 
-    public fun tryTake(purpose: Purpose, count: Int): Boolean {
+    public fun tryTake(purpose: RequestPriority, count: Int): Boolean {
         fill()
         if (tokens < needed(purpose, count)) return false
         tokens -= count
         return true
     }
 
-    private fun needed(purpose: Purpose, count: Int): Double = minOf(count + purpose.reserve * rate, rate)
+    private fun needed(purpose: RequestPriority, count: Int): Double = minOf(count + purpose.reserve * rate, rate)
 
-    private fun wait(purpose: Purpose, count: Int): Duration =
+    private fun wait(purpose: RequestPriority, count: Int): Duration =
         ((needed(purpose, count) - tokens) / rate).seconds.coerceAtLeast(1.milliseconds) + 1.milliseconds
 
     private fun fill() {
--- a/src/main/kotlin/org/elderhitch/store/StateClient.kt
+++ b/src/main/kotlin/org/elderhitch/store/StateClient.kt
@@ -86,13 +86,13 @@
     private val transport: Transport,
     private val address: Address,
     private val limits: StateLimits,
-    private val requests: RateBudget,
-    private val writes: RateBudget,
+    private val requests: RequestRateLimiter,
+    private val writes: RequestRateLimiter,
     private val onContact: (Boolean) -> Unit = {},
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.store")
 
-    public suspend fun read(key: String, purpose: Purpose): ReadOutcome {
+    public suspend fun read(key: String, purpose: RequestPriority): ReadOutcome {
         val response = request("GET", "/store/$key", null, purpose) ?: return ReadOutcome.Unavailable
         return decodedFrom("state", log, ReadOutcome.Unavailable) {
             when (response.status) {
@@ -105,7 +105,7 @@
 
     public suspend fun list(prefix: String, after: String?): Page? {
         val target = "/store?prefix=$prefix&page=$PAGE" + (after?.let { "&after=$it" } ?: "")
-        val response = request("GET", target, null, Purpose.LEADERSHIP, LIST_TIMEOUT) ?: return null
+        val response = request("GET", target, null, RequestPriority.LEADERSHIP, LIST_TIMEOUT) ?: return null
         if (response.status != OK) return null
         return decodedFrom("state", log, null) {
             val body = Json.parseObject(response.body)
@@ -114,7 +114,7 @@
     }
 
     /** Changes after [after], as soon as there are some or [wait] is over. */
-    public suspend fun watch(prefix: String, after: Revision, wait: Duration, purpose: Purpose): WatchOutcome {
+    public suspend fun watch(prefix: String, after: Revision, wait: Duration, purpose: RequestPriority): WatchOutcome {
         val target = "/watch?prefix=$prefix&after=$after&blockMs=${wait.inWholeMilliseconds}"
         val response = request("GET", target, null, purpose, wait + WATCH_GRACE) ?: return WatchOutcome.Unavailable
         return decodedFrom("state", log, WatchOutcome.Unavailable) {
@@ -134,7 +134,7 @@
     public suspend fun commit(
         conditions: List<Condition>,
         changes: List<Write>,
-        purpose: Purpose,
+        purpose: RequestPriority,
         patience: Duration = PATIENCE,
     ): CommitOutcome {
         check(changes.size <= limits.txnOps) { "${changes.size} writes in a transaction" }
@@ -189,7 +189,7 @@
 
     public suspend fun grant(ttl: Duration): LeaseOutcome {
         val body = Json.bytes(mapOf("ttlMs" to ttl.inWholeMilliseconds))
-        val response = request("POST", "/leases", body, Purpose.LEADERSHIP) ?: return LeaseOutcome.Unavailable
+        val response = request("POST", "/leases", body, RequestPriority.LEADERSHIP) ?: return LeaseOutcome.Unavailable
         return decodedFrom("state", log, LeaseOutcome.Unavailable) {
             if (response.status ==
                 OK
@@ -202,7 +202,7 @@
     }
 
     public suspend fun extend(lease: LeaseId): LeaseOutcome {
-        val response = request("POST", "/leases/${lease.number}/extend", ByteArray(0), Purpose.LEADERSHIP)
+        val response = request("POST", "/leases/${lease.number}/extend", ByteArray(0), RequestPriority.LEADERSHIP)
         return when (response?.status) {
             OK -> LeaseOutcome.Held(lease)
             NOT_FOUND -> LeaseOutcome.Gone
@@ -211,14 +211,14 @@
     }
 
     public suspend fun end(lease: LeaseId) {
-        request("DELETE", "/leases/${lease.number}", null, Purpose.LEADERSHIP)
+        request("DELETE", "/leases/${lease.number}", null, RequestPriority.LEADERSHIP)
     }
 
     private suspend fun request(
         method: String,
         target: String,
         body: ByteArray?,
-        purpose: Purpose,
+        purpose: RequestPriority,
         timeout: Duration = TIMEOUT,
     ): Response? {
         if (!requests.take(purpose, 1, PATIENCE)) return null
--- a/src/main/kotlin/org/elderhitch/store/Feed.kt
+++ b/src/main/kotlin/org/elderhitch/store/StateWatch.kt
@@ -6,31 +6,35 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.sync.Mutex
 import kotlinx.coroutines.sync.withLock
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /** What the state service holds under [Keys.OPEN], all at once, and then each change under [Keys.ALL] in order. */
-public interface FeedListener {
+public interface StateWatchListener {
     public fun snapshot(entries: List<Entry>, revision: Revision)
 
     public fun changed(changes: List<Change>, revision: Revision)
 
-    /** All that the state service held at [since] has been passed on before this is called; [since] is when the request that proves it was sent. */
-    public fun proven(since: Moment) {}
+    /**
+     * All that the state service held at [since] has been passed on before this is called; [since] is when the request
+     * that proves it was sent.
+     */
+    public fun proven(since: MonotonicInstant) {}
 }
 
 /**
- * Follows the state service. Blocking watches bring news; [sync] proves that nothing is missing: it asks for all changes
+ * Follows the state service. Blocking watches bring news; [sync] proves that nothing is missing: it asks for all
+ * changes
  * up to now, so an answer given after it is no older than any answer that any node gave before it.
  */
-public class Feed(
+public class StateWatch(
     private val scope: CoroutineScope,
     private val client: StateClient,
     private val clock: SteadyClock,
-    private val listener: FeedListener,
+    private val listener: StateWatchListener,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.store")
     private val loading = Mutex()
@@ -39,7 +43,7 @@
     private var revision: Revision? = null
     private var waiting = ArrayList<CompletableDeferred<Boolean>>()
     private var syncing = false
-    private var syncedAt = Moment.NEVER
+    private var syncedAt = MonotonicInstant.NEVER
 
     public val loaded: Boolean get() = revision != null
 
@@ -52,7 +56,7 @@
                     if (!load(null, sent)) delay(RETRY)
                     continue
                 }
-                when (val outcome = client.watch(Keys.ALL, at, WAIT, Purpose.LEADERSHIP)) {
+                when (val outcome = client.watch(Keys.ALL, at, WAIT, RequestPriority.LEADERSHIP)) {
                     is WatchOutcome.Changes -> if (!apply(outcome, at, sent)) delay(RETRY)
                     WatchOutcome.TooOld -> load(at, clock.now())
                     WatchOutcome.Unavailable -> delay(RETRY)
@@ -84,7 +88,7 @@
                 waiting = ArrayList()
                 var fresh = false
                 try {
-                    fresh = syncOnce(Purpose.END)
+                    fresh = syncOnce(RequestPriority.END)
                 } finally {
                     served.forEach { it.complete(fresh) }
                 }
@@ -95,9 +99,9 @@
     }
 
     /** A [sync] that waits for nobody else's, and comes before all but renewals: for whoever leads. */
-    public suspend fun prove(): Boolean = syncOnce(Purpose.LEADERSHIP)
+    public suspend fun prove(): Boolean = syncOnce(RequestPriority.LEADERSHIP)
 
-    private suspend fun syncOnce(purpose: Purpose): Boolean {
+    private suspend fun syncOnce(purpose: RequestPriority): Boolean {
         val at = revision ?: return false
         val sent = clock.now()
         return when (val outcome = client.watch(Keys.ALL, at, kotlin.time.Duration.ZERO, purpose)) {
@@ -107,8 +111,10 @@
         }
     }
 
-    /** Reads all again, unless that was done since the thread was lost at [lost]. False: it wasn't read by this call. */
-    private suspend fun load(lost: Revision?, sent: Moment): Boolean = loading.withLock {
+    /**
+     * Reads all again, unless that was done since the thread was lost at [lost]. False: it wasn't read by this call.
+     */
+    private suspend fun load(lost: Revision?, sent: MonotonicInstant): Boolean = loading.withLock {
         if (revision != lost) return false
         // Answers that are still on their way belong to the thread that was lost: they must not join what is read now.
         revision = null
@@ -132,10 +138,12 @@
     }
 
     /**
-     * Takes in the answer to a request for what changed after [asked], which was sent at [sent]. False: it tells nothing. A reload may have gone back to before
-     * [asked]: what lies between is in no answer to that request (`docs/incidents/reload-race.md`). And an answer older than what was known when it was asked for is none of a consistent store.
+     * Takes in the answer to a request for what changed after [asked], which was sent at [sent]. False: it tells
+     * nothing. A reload may have gone back to before
+     * [asked]: what lies between is in no answer to that request (`docs/incidents/reload-race.md`). And an answer older
+     * than what was known when it was asked for is none of a consistent store.
      */
-    private fun apply(news: WatchOutcome.Changes, asked: Revision, sent: Moment): Boolean {
+    private fun apply(news: WatchOutcome.Changes, asked: Revision, sent: MonotonicInstant): Boolean {
         val known = revision ?: return false
         if (asked > known) return false
         if (news.revision < asked) {
--- a/src/main/kotlin/org/elderhitch/sweeps/Acceptance.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Acceptance.kt
@@ -1,10 +1,10 @@
 package org.elderhitch.sweeps
 
 import kotlinx.coroutines.yield
-import org.elderhitch.jobs.Answer
-import org.elderhitch.jobs.FinishedTasks
-import org.elderhitch.jobs.JobDesk
+import org.elderhitch.jobs.CompletedTasks
 import org.elderhitch.jobs.JobKind
+import org.elderhitch.jobs.JobResponse
+import org.elderhitch.jobs.JobService
 import org.elderhitch.jobs.JobSpec
 import kotlin.time.DurationUnit
 
@@ -16,7 +16,7 @@
 /** What the check of all points came to. */
 internal sealed interface Checked {
     class Fine(
-        val skipped: FinishedTasks,
+        val skipped: CompletedTasks,
         val bad: List<Malformed>,
         val badCount: Int,
         val first: JobSpec,
@@ -28,10 +28,10 @@
 }
 
 /** Looks at each point of a sweep before anything of it is accepted: all of it is as good as its worst point. */
-internal class Acceptance(private val desk: JobDesk) {
+internal class Acceptance(private val jobService: JobService) {
     suspend fun check(id: SweepId, description: Description): Checked {
         val points = description.points.count
-        val skipped = FinishedTasks(points)
+        val skipped = CompletedTasks(points)
         val bad = ArrayList<Malformed>()
         var badCount = 0
         var first: JobSpec? = null
@@ -43,10 +43,10 @@
             if (point % AT_A_TIME == 0) yield()
             try {
                 val spec = description.job(id, point)
-                when (val refused = refusal(spec, first) ?: desk.refusal(spec)) {
+                when (val refused = refusal(spec, first) ?: jobService.refusal(spec)) {
                     null -> Unit
-                    is Answer.NotNow -> return Checked.NotNow(refused.reason)
-                    is Answer.NeverRuns -> throw BadPoint("job", refused.reason)
+                    is JobResponse.NotNow -> return Checked.NotNow(refused.reason)
+                    is JobResponse.NeverRuns -> throw BadPoint("job", refused.reason)
                     else -> throw BadPoint("job", "$refused")
                 }
                 twin(description, point, seen)?.let { throw BadPoint("row", "the same values as row ${it + 1}") }
@@ -67,7 +67,7 @@
         return Checked.Fine(skipped, bad, badCount, good, seconds, tasks)
     }
 
-    private fun refusal(spec: JobSpec, first: JobSpec?): Answer? {
+    private fun refusal(spec: JobSpec, first: JobSpec?): JobResponse? {
         if (spec.kind ==
             JobKind.SERVICE
         ) {
@@ -102,7 +102,7 @@
         description.template.values(description.points.values(point))
 
     /** Of each block what is skipped, as the manifest keeps it. */
-    fun packed(skipped: FinishedTasks): Map<Int, String> =
+    fun packed(skipped: CompletedTasks): Map<Int, String> =
         (0..(skipped.tasks - 1) / Block.SIZE).associateWith { skipped.pack(it) }.filterValues {
             it.isNotEmpty() &&
                 it != "b"
--- a/src/main/kotlin/org/elderhitch/sweeps/Feeder.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/AdmissionWindow.kt
@@ -27,10 +27,10 @@
 }
 
 /** Opens the points of sweeps in the leader's table, a window at a time, for as long as a term lasts. */
-internal class Feeder(
+internal class AdmissionWindow(
     private val scope: CoroutineScope,
-    private val book: SweepBook,
-    private val library: Library,
+    private val sweepRegistry: SweepRegistry,
+    private val library: DescriptionStore,
     private val settings: SweepsSettings,
     private val jobs: (JobEvent) -> Unit,
     private val running: (JobId) -> Int,
@@ -42,7 +42,10 @@
 
     private val log = LoggerFactory.getLogger("elderhitch.sweeps")
 
-    /** What the table of this node holds, in a term of its own or since one: a table outlives its term, so the ends of these are told to it in every role. */
+    /**
+     * What the table of this node holds, in a term of its own or since one: a table outlives its term, so the ends of
+     * these are told to it in every role.
+     */
     private val opened = HashMap<SweepId, Opened>()
     private var loop: Job? = null
 
@@ -65,7 +68,7 @@
     }
 
     private suspend fun feed() {
-        val sweeps = book.all.filter { it.open > 0 }
+        val sweeps = sweepRegistry.all.filter { it.open > 0 }
         for (state in sweeps) library.load(state)
         // Nothing waits from here on: what is opened is open by what is known now.
         val ready = sweeps.mapNotNull { state -> library.loaded(state.id)?.let { state to it } }
@@ -92,14 +95,15 @@
             opened.getOrPut(state.id) { Opened() }.points.add(point)
         }
     } catch (e: BadPoint) {
-        // Checked when the sweep was accepted: a later version of this program that is stricter must not lose it in silence.
+        // Checked when the sweep was accepted: a later version of this program that is stricter must not lose it in
+        // silence.
         log.error("sweep point malformed sweep={} point={} reason=\"{}\"", state.id, point, e.message)
         null
     }
 
     /** A point that a worker names, wherever the window stands. */
     fun named(id: SweepId, point: Int): JobEvent.Opened? {
-        val state = book.of(id) ?: return null
+        val state = sweepRegistry.of(id) ?: return null
         if (point >= state.points || state.endOf(point) != null) return null
         return library.loaded(id)?.let { opens(state, it, point) }
     }
@@ -118,7 +122,7 @@
                     "sweep ended sweep={} done={} withdrawn={} skipped={}",
                     state.id,
                     state.done,
-                    state.withdrawn,
+                    state.cancelled,
                     state.skippedCount,
                 )
             }
--- a/src/main/kotlin/org/elderhitch/sweeps/Library.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/DescriptionStore.kt
@@ -2,8 +2,8 @@
 
 import org.elderhitch.store.CommitOutcome
 import org.elderhitch.store.Condition
-import org.elderhitch.store.Purpose
 import org.elderhitch.store.ReadOutcome
+import org.elderhitch.store.RequestPriority
 import org.elderhitch.store.Revision
 import org.elderhitch.store.StateClient
 import org.elderhitch.store.Write
@@ -21,11 +21,18 @@
 }
 
 /** The descriptions of sweeps, read from their parts when they are needed; a node that doesn't lead holds none. */
-internal class Library(private val client: StateClient, private val wall: WallClock, private val valueBytes: Int) {
+internal class DescriptionStore(
+    private val client: StateClient,
+    private val wallClock: WallClock,
+    private val valueBytes: Int,
+) {
     private val log = LoggerFactory.getLogger("elderhitch.sweeps")
     private val held = HashMap<SweepId, Description>()
 
-    /** Descriptions that can't be read: torn, or with parts gone. Their points wait for somebody to withdraw them, and hold up nobody else's. */
+    /**
+     * Descriptions that can't be read: torn, or with parts gone. Their points wait for somebody to withdraw them, and
+     * hold up nobody else's.
+     */
     private val broken = HashMap<SweepId, WallTime>()
 
     fun loaded(id: SweepId): Description? = held[id]
@@ -38,13 +45,13 @@
 
     /** False: it can't be had now. Whether it is [loaded] then is another question: one that is broken is not. */
     suspend fun load(state: SweepState): Boolean {
-        if (state.id in held || broken[state.id].let { it != null && wall.now() - it < BROKEN_AGAIN }) return true
+        if (state.id in held || broken[state.id].let { it != null && wallClock.now() - it < BROKEN_AGAIN }) return true
         return when (val fetched = fetch(state)) {
             is Fetched.Whole -> true.also { held[state.id] = fetched.description }
 
             is Fetched.Broken -> {
                 log.error("sweep description broken sweep={} reason=\"{}\"", state.id, fetched.reason)
-                broken[state.id] = wall.now()
+                broken[state.id] = wallClock.now()
                 true
             }
 
@@ -52,7 +59,10 @@
         }
     }
 
-    /** Null: it can't be had now, or at all. What is read for an answer is not held: only a leader needs it again, and drops it itself. */
+    /**
+     * Null: it can't be had now, or at all. What is read for an answer is not held: only a leader needs it again, and
+     * drops it itself.
+     */
     suspend fun read(state: SweepState): Description? = held[state.id] ?: (fetch(state) as? Fetched.Whole)?.description
 
     private sealed interface Fetched {
@@ -80,7 +90,7 @@
         val texts = ArrayList<String>()
         var first = Revision.ABSENT
         for (part in 0 until count) {
-            when (val read = client.read(SweepKeys.part(id, part), Purpose.END)) {
+            when (val read = client.read(SweepKeys.part(id, part), RequestPriority.END)) {
                 is ReadOutcome.Found -> {
                     if (part == 0) first = read.entry.version
                     texts.add(read.entry.value.stringOrNull("data") ?: return Reading.Missing(part))
@@ -98,7 +108,7 @@
     enum class Put { RECORDED, OTHER, NOT_NOW, TOO_LARGE }
 
     suspend fun put(id: SweepId, part: Int, data: String): Put {
-        val value = mapOf("data" to data, "at" to wall.now().ms)
+        val value = mapOf("data" to data, "at" to wallClock.now().ms)
         if (org.elderhitch.json.Json.bytes(value).size > valueBytes) return Put.TOO_LARGE
         val key = SweepKeys.part(id, part)
         repeat(TRIES) {
@@ -106,12 +116,12 @@
                 client.commit(
                     listOf(Condition(key, Revision.ABSENT)),
                     listOf(Write.Put(key, value)),
-                    Purpose.PROGRESS,
+                    RequestPriority.PROGRESS,
                 )
             ) {
                 is CommitOutcome.Committed -> return Put.RECORDED
 
-                is CommitOutcome.Conflict -> return when (val read = client.read(key, Purpose.PROGRESS)) {
+                is CommitOutcome.Conflict -> return when (val read = client.read(key, RequestPriority.PROGRESS)) {
                     is ReadOutcome.Found -> if (read.entry.value.stringOrNull("data") ==
                         data
                     ) {
@@ -132,8 +142,10 @@
     }
 
     /**
-     * Parts that nobody made a sweep of for a long time go, the first part first: a manifest is written only under the version of the first part
-     * that its node read before all others, and no other part goes while a first one is there. So no manifest ever stands without its parts.
+     * Parts that nobody made a sweep of for a long time go, the first part first: a manifest is written only under the
+     * version of the first part
+     * that its node read before all others, and no other part goes while a first one is there. So no manifest ever
+     * stands without its parts.
      */
     suspend fun collect(isRecorded: (SweepId) -> Boolean) {
         var after: String? = null
@@ -142,7 +154,7 @@
             for (entry in page.entries) {
                 val id = SweepKeys.sweepOfPart(entry.key) ?: continue
                 val at = entry.value.longOrNull("at")?.let(::WallTime) ?: continue
-                if (isRecorded(id) || wall.now() - at < ORPHANED) continue
+                if (isRecorded(id) || wallClock.now() - at < ORPHANED) continue
                 log.info("sweep part collected key={}", entry.key)
                 val first = SweepKeys.part(id, 0)
                 val conditions =
@@ -162,7 +174,7 @@
                 client.commit(
                     (conditions + Condition(entry.key, entry.version)).distinct(),
                     listOf(Write.Drop(entry.key)),
-                    Purpose.OTHER,
+                    RequestPriority.OTHER,
                 )
             }
             after = page.entries.lastOrNull()?.key
--- a/src/main/kotlin/org/elderhitch/sweeps/Points.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Points.kt
@@ -7,7 +7,10 @@
 public sealed interface Points {
     public val count: Int
 
-    /** What the point gives its parameters; texts are typed by the template. Throws [BadPoint] for a row that was cut short. */
+    /**
+     * What the point gives its parameters; texts are typed by the template. Throws [BadPoint] for a row that was cut
+     * short.
+     */
     public fun values(point: Int): Map<String, Any?>
 
     public fun encode(): Map<String, Any?>
@@ -24,7 +27,10 @@
     }
 }
 
-/** The product of axes. An axis is one parameter's values, or several parameters' that go together (a zip). The last axis changes fastest. */
+/**
+ * The product of axes. An axis is one parameter's values, or several parameters' that go together (a zip). The last
+ * axis changes fastest.
+ */
 public class Grid private constructor(private val axes: List<Axis>) : Points {
     /** [at]: the axis' values at each of its places; [source]: as the user wrote it, which is how it is recorded. */
     private class Axis(val names: List<String>, val size: Int, val source: Any, val at: (Int) -> List<Any?>)
--- a/src/main/kotlin/org/elderhitch/sweeps/Sources.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sources.kt
@@ -16,7 +16,10 @@
 import java.nio.charset.CharacterCodingException
 import java.nio.charset.CodingErrorAction
 
-/** Reads what a user wrote: a template's file, and points from a table or a script. On the client's machine; what is sent is a [Description]. */
+/**
+ * Reads what a user wrote: a template's file, and points from a table or a script. On the client's machine; what is
+ * sent is a [Description].
+ */
 public object Sources {
     private const val MOST_TEMPLATE_BYTES = 256 * 1024L
 
@@ -102,7 +105,8 @@
     }
 
     /**
-     * A Lua script that returns a list of tables, one a point. It knows `seed` and a `random` of that seed, no clock and no files, so the same
+     * A Lua script that returns a list of tables, one a point. It knows `seed` and a `random` of that seed, no clock
+     * and no files, so the same
      * script and seed give the same points; and what is recorded are the points. Throws [BadTemplate].
      */
     public fun script(name: String, script: String, seed: Long): Table {
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepClient.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepClient.kt
@@ -14,13 +14,15 @@
 
 /** How a request ended that was tried at all nodes for as long as there was time. */
 public sealed interface Told {
-    public class Answer(public val status: Int, public val body: JsonObject) : Told
+    public class Response(public val status: Int, public val body: JsonObject) : Told
 
     /** [mayBeDone]: a try went out and nobody said what became of it. */
-    public class Silence(public val mayBeDone: Boolean) : Told
+    public class NoResponse(public val mayBeDone: Boolean) : Told
 }
 
-/** Speaks to whichever controller answers. All requests of sweeps may be repeated: the same one again changes nothing. */
+/**
+ * Speaks to whichever controller answers. All requests of sweeps may be repeated: the same one again changes nothing.
+ */
 public class SweepClient(
     private val nodes: List<Address>,
     private val transport: Transport,
@@ -49,14 +51,14 @@
                     it.key.equals("Retry-After", ignoreCase = true)
                 }?.value?.toLongOrNull()?.seconds
                     ?: PAUSE
-            if (clock.now() + pause >= until) return answer ?: Told.Silence(sent)
+            if (clock.now() + pause >= until) return answer ?: Told.NoResponse(sent)
             delay(pause)
         }
     }
 
     /** Null: not what a controller says. */
-    private fun answer(response: Response): Told.Answer? = try {
-        Told.Answer(response.status, Json.parseObject(response.body))
+    private fun answer(response: Response): Told.Response? = try {
+        Told.Response(response.status, Json.parseObject(response.body))
     } catch (_: MalformedJson) {
         null
     }
@@ -69,7 +71,7 @@
         while (true) {
             for ((number, data) in parts.withIndex()) {
                 val told = ask("POST", "/sweeps/$id/part/$number", mapOf("data" to data), until - clock.now())
-                if (told !is Told.Answer || told.status != OK) return told
+                if (told !is Told.Response || told.status != OK) return told
             }
             val told = ask(
                 "POST",
@@ -83,7 +85,7 @@
             )
             // A part that was collected meanwhile is sent again.
             val again =
-                told is Told.Answer &&
+                told is Told.Response &&
                     told.status == CONFLICT &&
                     told.body.stringOrNull("error").orEmpty().endsWith("is missing")
             if (!again || clock.now() >= until) return told
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepCommands.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepCommands.kt
@@ -136,15 +136,15 @@
 
     /** The answer's body, or the end of the command. */
     protected fun fine(told: Told): JsonObject = when (told) {
-        is Told.Silence -> throw CliktError(
+        is Told.NoResponse -> throw CliktError(
             if (told.mayBeDone) "no answer: it may have been carried out; the same command again tells, and does no harm" else "no controller answers",
             statusCode = NO_ANSWER,
         )
 
-        is Told.Answer -> if (told.status < REFUSALS) told.body else refused(told)
+        is Told.Response -> if (told.status < REFUSALS) told.body else refused(told)
     }
 
-    private fun refused(told: Told.Answer): Nothing {
+    private fun refused(told: Told.Response): Nothing {
         told.body.objects("bad").forEach {
             echo("row ${it.raw("row")}: ${it.raw("column")}: ${it.raw("reason")}", err = true)
         }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepBook.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepRegistry.kt
@@ -35,7 +35,7 @@
 }
 
 /** All sweeps that are recorded, and how their points stand, as this node knows it. Part of [Sweeps], on its thread. */
-internal class SweepBook(private val onEnded: (SweepState, Block, Block) -> Unit) {
+internal class SweepRegistry(private val onEnded: (SweepState, Block, Block) -> Unit) {
     private val log = LoggerFactory.getLogger("elderhitch.sweeps")
     private val sweeps = LinkedHashMap<SweepId, SweepState>()
 
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepDesk.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepService.kt
@@ -11,10 +11,10 @@
 import org.slf4j.LoggerFactory
 
 /** The paths of sweeps, `/sweeps/…`: statuses and bodies, and what each asks for. */
-internal class SweepDesk(
+internal class SweepService(
     private val settings: SweepsSettings,
-    private val book: SweepBook,
-    private val library: Library,
+    private val sweepRegistry: SweepRegistry,
+    private val library: DescriptionStore,
     private val endings: Endings,
     private val acceptance: Acceptance,
     private val context: FeatureContext,
@@ -55,7 +55,7 @@
 
         rest == listOf("withdraw") -> HttpServer.only("POST", request) {
             known(id) {
-                withdraw(
+                cancel(
                     it,
                     if (request.body.isEmpty()) {
                         JsonObject.of(
@@ -74,7 +74,7 @@
     /** 404 only after all that is recorded by now is known here. */
     private suspend fun known(id: SweepId, answer: suspend (SweepState) -> Response): Response {
         if (!context.sync()) return later("the state service doesn't answer")
-        return book.of(id)?.let { answer(it) } ?: HttpServer.refusal(NOT_FOUND, "no such sweep")
+        return sweepRegistry.of(id)?.let { answer(it) } ?: HttpServer.refusal(NOT_FOUND, "no such sweep")
     }
 
     private suspend fun part(id: SweepId, number: Int?, body: JsonObject): Response {
@@ -84,26 +84,28 @@
             throw MalformedJson("part: not from 0 to ${Parts.MOST - 1}")
         }
         return when (library.put(id, number, body.string("data"))) {
-            Library.Put.RECORDED -> ok(mapOf("part" to number))
+            DescriptionStore.Put.RECORDED -> ok(mapOf("part" to number))
 
-            Library.Put.OTHER -> HttpServer.refusal(
+            DescriptionStore.Put.OTHER -> HttpServer.refusal(
                 CONFLICT,
                 "another part $number stands under this name: choose another name for the sweep",
             )
 
-            Library.Put.TOO_LARGE -> HttpServer.refusal(BAD, "data: a part's value may have $valueBytes bytes")
+            DescriptionStore.Put.TOO_LARGE -> HttpServer.refusal(BAD, "data: a part's value may have $valueBytes bytes")
 
-            Library.Put.NOT_NOW -> later("the state service takes no record now")
+            DescriptionStore.Put.NOT_NOW -> later("the state service takes no record now")
         }
     }
 
-    /** Accepted once its manifest stands. A repeat of an accepted sweep is told so, whatever would be said of it now. */
+    /**
+     * Accepted once its manifest stands. A repeat of an accepted sweep is told so, whatever would be said of it now.
+     */
     private suspend fun accept(id: SweepId, body: JsonObject): Response {
         val parts = body.count("parts").toInt()
         val sum = body.string("sum")
         if (parts !in 1..Parts.MOST) throw MalformedJson("parts: not from 1 to ${Parts.MOST}")
         if (!context.sync()) return later("the state service doesn't answer")
-        book.of(id)?.let { return repeated(it, sum) }
+        sweepRegistry.of(id)?.let { return repeated(it, sum) }
         val packed = when (val read = library.parts(id, parts)) {
             is Reading.Packed -> read
             is Reading.Missing -> return HttpServer.refusal(CONFLICT, "part ${read.part} is missing")
@@ -156,7 +158,7 @@
         description: Description,
         checked: Checked.Fine,
     ): Response {
-        if (book.all.count { it.open > 0 } >=
+        if (sweepRegistry.all.count { it.open > 0 } >=
             settings.mostOpen
         ) {
             return Response(
@@ -172,7 +174,7 @@
                 sum,
                 checked.first.team.text,
                 checked.first.jobClass,
-                context.wall.now(),
+                context.wallClock.now(),
                 acceptance.packed(checked.skipped),
             )
         if (Json.bytes(manifest.encode()).size >
@@ -225,13 +227,13 @@
     }
 
     private fun list(after: String?): Response {
-        val all = book.all.sortedBy { it.id.text }.filter { after == null || it.id.text > after }
+        val all = sweepRegistry.all.sortedBy { it.id.text }.filter { after == null || it.id.text > after }
         val page = all.take(PAGE)
         return ok(linkedMapOf("sweeps" to page.map { counts(it) }, "more" to (all.size > page.size)))
     }
 
     private fun counts(state: SweepState): Map<String, Any?> = linkedMapOf(
-        "sweep" to state.id.text, "points" to state.points, "done" to state.done, "withdrawn" to state.withdrawn,
+        "sweep" to state.id.text, "points" to state.points, "done" to state.done, "withdrawn" to state.cancelled,
         "skipped" to state.skippedCount,
         "open" to state.open, "team" to state.manifest.team, "class" to state.manifest.jobClass,
         "accepted" to state.manifest.at.toString(),
@@ -327,7 +329,7 @@
         )
     }
 
-    private suspend fun withdraw(state: SweepState, body: JsonObject): Response {
+    private suspend fun cancel(state: SweepState, body: JsonObject): Response {
         val from = body.longOrNull("from") ?: 0
         val to = body.longOrNull("to") ?: (state.points - 1L)
         if (from < 0 ||
@@ -337,7 +339,7 @@
             throw MalformedJson("from, to: no points of 0 to ${state.points - 1}")
         }
         val range = from.toInt()..minOf(to, state.points - 1L).toInt()
-        if (endings.withdraw(state, range) ==
+        if (endings.cancel(state, range) ==
             Withdrawal.NOT_NOW
         ) {
             return later("the state service takes no record now; what was not recorded is asked for again")
--- a/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
@@ -7,51 +7,68 @@
 import org.elderhitch.features.FeatureContext
 import org.elderhitch.http.Request
 import org.elderhitch.http.Response
-import org.elderhitch.jobs.Answer
-import org.elderhitch.jobs.Ending
+import org.elderhitch.jobs.CompletionBatch
 import org.elderhitch.jobs.JobEvent
 import org.elderhitch.jobs.JobId
-import org.elderhitch.jobs.JobKeeper
-import org.elderhitch.jobs.Standing
-import org.elderhitch.leadership.Tenure
+import org.elderhitch.jobs.JobProvider
+import org.elderhitch.jobs.JobResponse
+import org.elderhitch.jobs.JobStatus
+import org.elderhitch.jobs.TerminalState
+import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.store.Change
 import org.elderhitch.store.Entry
-import org.elderhitch.workers.FinishedBatch
 import kotlin.time.Duration.Companion.minutes
 
-/** Serves sweeps: many jobs from one template, recorded as one thing, each of them a job to its user and to the leader's table. */
+/**
+ * Serves sweeps: many jobs from one template, recorded as one thing, each of them a job to its user and to the leader's
+ * table.
+ */
 public class Sweeps(private val settings: SweepsSettings, private val context: FeatureContext) :
     Feature,
-    JobKeeper {
+    JobProvider {
     override val name: String get() = "sweeps"
-    override val keeper: JobKeeper get() = this
+    override val jobProvider: JobProvider get() = this
 
     private val limits = context.settings.stateLimits
-    private val library = Library(context.client, context.wall, limits.valueBytes)
-    private val book: SweepBook = SweepBook { state, before, after -> feeder.ended(state, before, after) }
-    private val feeder: Feeder = Feeder(context.scope, book, library, settings, context.jobs, context.running)
-    private val endings = Endings(book, context.client, context.sync, limits.txnOps)
-    private val desk = SweepDesk(settings, book, library, endings, Acceptance(context.desk), context, limits.valueBytes)
+    private val library = DescriptionStore(context.client, context.wallClock, limits.valueBytes)
+    private val sweepRegistry: SweepRegistry =
+        SweepRegistry { state, before, after -> feeder.ended(state, before, after) }
+    private val feeder: AdmissionWindow =
+        AdmissionWindow(context.scope, sweepRegistry, library, settings, context.jobs, context.running)
+    private val endings = Endings(sweepRegistry, context.client, context.sync, limits.txnOps)
+    private val jobService =
+        SweepService(
+            settings,
+            sweepRegistry,
+            library,
+            endings,
+            Acceptance(context.jobService),
+            context,
+            limits.valueBytes,
+        )
     private var collecting: Job? = null
 
     override fun start() {
-        context.meters.gauge("sweeps.open") { book.all.count { it.open > 0 } }
-        context.meters.gauge("sweeps.in_table") { feeder.inTable }
+        context.metrics.gauge("sweeps.open") { sweepRegistry.all.count { it.open > 0 } }
+        context.metrics.gauge("sweeps.in_table") { feeder.inTable }
     }
 
-    override fun snapshot(entries: List<Entry>) = book.snapshot(entries)
+    override fun snapshot(entries: List<Entry>) = sweepRegistry.snapshot(entries)
 
-    override fun changed(changes: List<Change>) = book.changed(changes)
+    override fun changed(changes: List<Change>) = sweepRegistry.changed(changes)
 
-    /** A worker's report of a point can't be judged without its description: a point that isn't known would be stopped as ended. */
-    override suspend fun prepare(): Boolean = book.all.filter { it.open > 0 }.all { library.load(it) }
+    /**
+     * A worker's report of a point can't be judged without its description: a point that isn't known would be stopped
+     * as ended.
+     */
+    override suspend fun prepare(): Boolean = sweepRegistry.all.filter { it.open > 0 }.all { library.load(it) }
 
-    override fun termBegins(leading: Tenure.Leading) {
+    override fun termBegins(leadership: LeadershipState.Leader) {
         feeder.begin()
         collecting = context.scope.launch {
             while (true) {
                 delay(COLLECT_EVERY)
-                library.collect { book.of(it) != null }
+                library.collect { sweepRegistry.of(it) != null }
             }
         }
     }
@@ -65,17 +82,17 @@
     override fun keepsFinished(job: JobId): Boolean = keeps(job)
 
     override fun status(): Map<String, Any?> = linkedMapOf(
-        "open" to book.all.count { it.open > 0 },
-        "ended" to book.all.count { it.open == 0 },
-        "open_points" to book.all.sumOf { it.open },
+        "open" to sweepRegistry.all.count { it.open > 0 },
+        "ended" to sweepRegistry.all.count { it.open == 0 },
+        "open_points" to sweepRegistry.all.sumOf { it.open },
         "points_in_table" to feeder.inTable,
     )
 
-    override suspend fun handle(request: Request): Response = desk.handle(request)
+    override suspend fun handle(request: Request): Response = jobService.handle(request)
 
     override suspend fun explain(job: JobId): List<String>? {
         val (id, point) = SweepId.ofPoint(job) ?: return null
-        val state = book.of(id)?.takeIf { point < it.points } ?: return null
+        val state = sweepRegistry.of(id)?.takeIf { point < it.points } ?: return null
         return listOf(
             when (state.endOf(point)) {
                 PointEnd.DONE -> "point $point of sweep $id is done"
@@ -90,29 +107,29 @@
 
     override fun keeps(id: JobId): Boolean = SweepId.ofPoint(id) != null
 
-    override suspend fun show(id: JobId): Answer {
-        val (sweep, point) = SweepId.ofPoint(id) ?: return Answer.Unknown
+    override suspend fun show(id: JobId): JobResponse {
+        val (sweep, point) = SweepId.ofPoint(id) ?: return JobResponse.Unknown
         final(id, sweep, point)?.let { return it }
         // An answer that isn't final is never older than one that another node gave.
-        if (!context.sync()) return Answer.NotNow("the state service doesn't answer")
+        if (!context.sync()) return JobResponse.NotNow("the state service doesn't answer")
         final(id, sweep, point)?.let { return it }
-        val state = book.of(sweep)?.takeIf { point < it.points } ?: return Answer.Unknown
-        if (state.endOf(point) == PointEnd.SKIPPED) return Answer.Unknown
-        return Answer.State(id, Standing.open(0, context.running(id)))
+        val state = sweepRegistry.of(sweep)?.takeIf { point < it.points } ?: return JobResponse.Unknown
+        if (state.endOf(point) == PointEnd.SKIPPED) return JobResponse.Unknown
+        return JobResponse.State(id, JobStatus.open(0, context.running(id)))
     }
 
-    private fun final(id: JobId, sweep: SweepId, point: Int): Answer? {
-        val state = book.of(sweep)?.takeIf { point < it.points } ?: return null
+    private fun final(id: JobId, sweep: SweepId, point: Int): JobResponse? {
+        val state = sweepRegistry.of(sweep)?.takeIf { point < it.points } ?: return null
         return when (state.endOf(point)) {
-            PointEnd.DONE -> Answer.State(
+            PointEnd.DONE -> JobResponse.State(
                 id,
-                Standing.ended(
-                    Ending.DONE,
+                JobStatus.ended(
+                    TerminalState.DONE,
                     library.loaded(sweep)?.let { tasks(it, sweep, point) } ?: 1,
                 ),
             )
 
-            PointEnd.WITHDRAWN -> Answer.State(id, Standing.ended(Ending.WITHDRAWN, 0))
+            PointEnd.WITHDRAWN -> JobResponse.State(id, JobStatus.ended(TerminalState.CANCELLED, 0))
 
             PointEnd.SKIPPED, null -> null
         }
@@ -125,17 +142,17 @@
         1
     }
 
-    override suspend fun withdraw(id: JobId): Answer {
-        val (sweep, point) = SweepId.ofPoint(id) ?: return Answer.Unknown
+    override suspend fun cancel(id: JobId): JobResponse {
+        val (sweep, point) = SweepId.ofPoint(id) ?: return JobResponse.Unknown
         val shown = show(id)
-        val state = book.of(sweep)
-        if (shown !is Answer.State || state == null) return shown
-        return if (endings.withdraw(state, point..point) ==
+        val state = sweepRegistry.of(sweep)
+        if (shown !is JobResponse.State || state == null) return shown
+        return if (endings.cancel(state, point..point) ==
             Withdrawal.RECORDED
         ) {
             show(id)
         } else {
-            Answer.NotNow("the state service takes no record now")
+            JobResponse.NotNow("the state service takes no record now")
         }
     }
 
@@ -143,8 +160,10 @@
         feeder.named(sweep, point)
     }
 
-    override suspend fun record(leading: Tenure.Leading, complete: List<FinishedBatch>): Map<JobId, List<Int>>? =
-        endings.done(leading, complete)
+    override suspend fun record(
+        leadership: LeadershipState.Leader,
+        complete: List<CompletionBatch>,
+    ): Map<JobId, List<Int>>? = endings.done(leadership, complete)
 
     private companion object {
         val COLLECT_EVERY = 10.minutes
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepsSettings.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepsSettings.kt
@@ -11,7 +11,9 @@
     public val mostOpen: Int = 50,
     /** Points that the leader's table holds at a time, of all sweeps together. */
     public val tablePoints: Int = 2000,
-    /** Points of one sweep that wait for room at a time: a round looks at no more of them, and no more is rented for. */
+    /**
+     * Points of one sweep that wait for room at a time: a round looks at no more of them, and no more is rented for.
+     */
     public val waitingPoints: Int = 64,
 )
 
--- a/src/main/kotlin/org/elderhitch/sweeps/Template.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Template.kt
@@ -56,7 +56,10 @@
     }
 }
 
-/** A native job's body with places `${name}`, and the parameters that fill them. Pure: the same values give the same job. */
+/**
+ * A native job's body with places `${name}`, and the parameters that fill them. Pure: the same values give the same
+ * job.
+ */
 public class Template private constructor(
     public val params: Map<String, Param>,
     private val body: Map<String, Any?>,
--- a/src/main/kotlin/org/elderhitch/sweeps/Work.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Work.kt
@@ -1,7 +1,7 @@
 package org.elderhitch.sweeps
 
 import org.HdrHistogram.Histogram
-import org.elderhitch.jobs.Account
+import org.elderhitch.jobs.JobAccount
 import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
 import java.nio.BufferUnderflowException
@@ -9,7 +9,10 @@
 import java.util.Base64
 import java.util.zip.DataFormatException
 
-/** What the points of a block did that completed: sums, and how long each took in task-seconds. Adding two gives the work of both. */
+/**
+ * What the points of a block did that completed: sums, and how long each took in task-seconds. Adding two gives the
+ * work of both.
+ */
 public class Work private constructor(
     public val completed: Long,
     public val attempts: Long,
@@ -21,7 +24,7 @@
     private val durations: Histogram?,
 ) {
     /** With completed points more; an account is null if nobody could say. */
-    public fun with(accounts: Collection<Account?>): Work {
+    public fun with(accounts: Collection<JobAccount?>): Work {
         val took = durations?.copy() ?: histogram()
         for (account in accounts) took.recordValue(((account?.usefulS ?: 0.0) * TENTHS).toLong().coerceIn(0, LONGEST))
         val seen = accounts.filterNotNull()
@@ -50,7 +53,10 @@
         },
     )
 
-    /** Task-seconds that the given share of the completed points took at most, to within a hundredth; null: none completed. */
+    /**
+     * Task-seconds that the given share of the completed points took at most, to within a hundredth; null: none
+     * completed.
+     */
     public fun percentile(share: Double): Double? =
         durations?.getValueAtPercentile(share * PERCENT)?.let { it / TENTHS }
 
--- a/src/main/kotlin/org/elderhitch/workers/FinishedNews.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
@@ -1,32 +1,34 @@
-package org.elderhitch.workers
+package org.elderhitch.tasks
 
-import org.elderhitch.jobs.Account
+import org.elderhitch.jobs.CompletionBatch
+import org.elderhitch.jobs.JobAccount
 import org.elderhitch.jobs.JobId
-import org.elderhitch.leadership.Tenure
-import org.elderhitch.time.Moment
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.scheduler.SchedulerPorts
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.elderhitch.time.WallClock
 import kotlin.time.Duration.Companion.seconds
 
 /** Tasks that have completed and are not recorded yet, on their way to the state service: one batch at a time. */
-internal class FinishedNews(
+internal class CompletionReporter(
     private val table: TaskTable,
     private val clock: SteadyClock,
-    private val wall: WallClock,
-    private val ports: ForemanPorts,
+    private val wallClock: WallClock,
+    private val ports: SchedulerPorts,
 ) {
     private var recording = false
-    private var lastParts = Moment.NEVER
+    private var lastParts = MonotonicInstant.NEVER
 
     fun newTerm() {
         recording = false
     }
 
     /** Of a job of an earlier term it is a lower bound: what that saw is not known here. */
-    fun account(leading: Tenure.Leading, job: JobState): Account =
-        job.tally.account(job, clock.now(), wall.now(), lowerBound = job.version <= leading.counter)
+    fun account(leadership: LeadershipState.Leader, job: JobState): JobAccount =
+        job.tally.account(job, clock.now(), wallClock.now(), lowerBound = job.version <= leadership.counter)
 
-    fun record(leading: Tenure.Leading) {
+    fun record(leadership: LeadershipState.Leader) {
         if (recording) return
         val now = clock.now()
         // Parts of jobs wait for each other: each rewrites whole blocks, and the end of a job waits for none of that.
@@ -38,12 +40,12 @@
                 if (parts) news.filter { it.kept && it.done.all } else emptyList()
             )
             .map {
-                FinishedBatch(
+                CompletionBatch(
                     it.id,
                     it.version,
                     it.done,
                     it.done.beyond(it.finished),
-                    if (it.done.all) account(leading, it) else null,
+                    if (it.done.all) account(leadership, it) else null,
                     it.holdKey != null,
                     it.blockVersions,
                     it.kept,
@@ -52,7 +54,7 @@
         if (batches.isEmpty()) return
         recording = true
         if (parts) lastParts = now
-        ports.record(leading, batches)
+        ports.record(leadership, batches)
     }
 
     fun recorded(finished: Map<JobId, List<Int>>) {
--- a/src/main/kotlin/org/elderhitch/workers/GangState.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/GangState.kt
@@ -1,5 +1,7 @@
-package org.elderhitch.workers
+package org.elderhitch.tasks
 
+import org.elderhitch.heartbeat.TaskPhase
+import org.elderhitch.jobs.Attempt
 import org.elderhitch.jobs.JobKind
 
 /** What a gang is at: which attempt its members belong to, whether that has started, and whether it can still go on. */
--- a/src/main/kotlin/org/elderhitch/workers/ImageHints.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/ImageHints.kt
@@ -1,5 +1,6 @@
-package org.elderhitch.workers
+package org.elderhitch.tasks
 
+import org.elderhitch.fleet.MachineId
 import org.elderhitch.jobs.Image
 import org.elderhitch.json.Json
 import org.elderhitch.json.JsonObject
--- a/src/main/kotlin/org/elderhitch/workers/Tally.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/JobUsage.kt
@@ -1,42 +1,43 @@
-package org.elderhitch.workers
+package org.elderhitch.tasks
 
-import org.elderhitch.jobs.Account
+import org.elderhitch.jobs.JobAccount
 import org.elderhitch.jobs.JobKind
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.WallTime
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
 /**
  * What this term has seen of a job's work. A run counts from when it was first seen running to when it was last: useful
- * if it completed, served or was saved, lost otherwise. An earlier term's part is not guessed: [Account.lowerBound] says so.
+ * if it completed, served or was saved, lost otherwise. An earlier term's part is not guessed: [JobAccount.lowerBound]
+ * says so.
  */
-internal class Tally {
+internal class JobUsage {
     var attempts = 0L
         private set
     var lost = 0L
         private set
     private var useful = Duration.ZERO
     private var wasted = Duration.ZERO
-    private var firstStart = Moment.FOREVER
+    private var firstStart = MonotonicInstant.FOREVER
 
     /** Starts of each task that came to nothing by themselves; kept only where a rule asks for it. */
     private var failures: HashMap<Int, Int>? = null
 
-    fun seenStarting(now: Moment) {
+    fun seenStarting(now: MonotonicInstant) {
         attempts++
         if (now < firstStart) firstStart = now
     }
 
     /** [alike]: when a task that it ran together with was first seen running, for one that was not seen at all. */
-    fun completed(placement: Placement, now: Moment, alike: Moment?) {
+    fun completed(placement: Placement, now: MonotonicInstant, alike: MonotonicInstant?) {
         if (placement.certainty != Certainty.REPORTED) seenStarting(now)
         placement.counted = true
         useful += (placement.runsSince ?: alike)?.let { now - it } ?: Duration.ZERO
     }
 
     /** The task is no longer on its machine, and [completed] was not called for it. */
-    fun gone(job: JobState, placement: Placement, now: Moment, counting: Boolean) {
+    fun gone(job: JobState, placement: Placement, now: MonotonicInstant, counting: Boolean) {
         if (placement.counted || placement.certainty != Certainty.REPORTED) return
         placement.counted = true
         val ran = ran(placement, now)
@@ -44,7 +45,8 @@
         if (saved || job.spec.kind == JobKind.SERVICE) useful += ran else wasted += ran
         if (placement.stop != null) return
         lost++
-        // A member of a gang that waited in vain for the others, or a fetch that was cut short, says nothing of the task.
+        // A member of a gang that waited in vain for the others, or a fetch that was cut short, says nothing of the
+        // task.
         if (counting &&
             (placement.failed || placement.runsSince != null)
         ) {
@@ -58,19 +60,19 @@
         failures = null
     }
 
-    private fun ran(placement: Placement, now: Moment): Duration =
+    private fun ran(placement: Placement, now: MonotonicInstant): Duration =
         placement.runsSince?.let { now - it } ?: Duration.ZERO
 
-    fun account(job: JobState, now: Moment, wall: WallTime, lowerBound: Boolean): Account {
+    fun account(job: JobState, now: MonotonicInstant, wallClock: WallTime, lowerBound: Boolean): JobAccount {
         var serving = useful
         var open = wasted
         for (p in job.placements.values) {
             if (p.counted) continue
             if (job.spec.kind == JobKind.SERVICE) serving += ran(p, now) else open += ran(p, now)
         }
-        return Account(
+        return JobAccount(
             job.spec.team, job.spec.jobClass, attempts, lost, seconds(serving), seconds(open),
-            if (firstStart == Moment.FOREVER) null else wall - (now - firstStart), wall, lowerBound,
+            if (firstStart == MonotonicInstant.FOREVER) null else wallClock - (now - firstStart), wallClock, lowerBound,
         )
     }
 
--- a/src/main/kotlin/org/elderhitch/workers/Roster.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/MachineRegistry.kt
@@ -1,14 +1,15 @@
-package org.elderhitch.workers
+package org.elderhitch.tasks
 
 import org.elderhitch.fleet.Catalog
 import org.elderhitch.fleet.Machine
+import org.elderhitch.fleet.MachineId
 import org.elderhitch.jobs.MachineType
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 
 /** The machines of this term: those that are ours, those that may be given tasks, and those that are surely gone. */
-internal class Roster {
+internal class MachineRegistry {
     private val machines = HashMap<MachineId, Machine>()
-    private val rentedAt = HashMap<MachineId, Moment>()
+    private val rentedAt = HashMap<MachineId, MonotonicInstant>()
     private val mayRun = HashSet<MachineId>()
     private val lost = HashSet<MachineId>()
 
@@ -25,7 +26,7 @@
         lost.clear()
     }
 
-    fun inventory(mayRun: Collection<Machine>, fresh: Collection<Machine>, now: Moment) {
+    fun inventory(mayRun: Collection<Machine>, fresh: Collection<Machine>, now: MonotonicInstant) {
         mayRun.forEach {
             machines[it.id] = it
             this.mayRun.add(it.id)
@@ -33,7 +34,7 @@
         fresh.forEach { rented(it, now) }
     }
 
-    fun rented(machine: Machine, now: Moment) {
+    fun rented(machine: Machine, now: MonotonicInstant) {
         machines[machine.id] = machine
         rentedAt[machine.id] = now
     }
@@ -50,14 +51,14 @@
     }
 
     /** More machines are on their way up than are there. Those that are late may never come: nothing waits for them. */
-    fun mostlyBooting(catalog: Catalog, now: Moment): Boolean =
+    fun mostlyBooting(catalog: Catalog, now: MonotonicInstant): Boolean =
         mayRun.size < machines.values.count { boots(it, catalog, now) }
 
     /** Machines on their way up, by type. */
-    fun booting(catalog: Catalog, now: Moment): Map<MachineType, Int> =
+    fun booting(catalog: Catalog, now: MonotonicInstant): Map<MachineType, Int> =
         machines.values.filter { boots(it, catalog, now) }.groupingBy { it.type }.eachCount()
 
-    private fun boots(machine: Machine, catalog: Catalog, now: Moment): Boolean {
+    private fun boots(machine: Machine, catalog: Catalog, now: MonotonicInstant): Boolean {
         val since = rentedAt[machine.id]
         return machine.id !in mayRun &&
             since != null &&
--- a/src/main/kotlin/org/elderhitch/workers/TaskTable.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/TaskTable.kt
@@ -1,17 +1,22 @@
-package org.elderhitch.workers
+package org.elderhitch.tasks
 
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.jobs.Attempt
 import org.elderhitch.jobs.JobEvent
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.JobSpec
 import org.elderhitch.jobs.TaskId
-import org.elderhitch.time.Moment
+import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import kotlin.time.Duration
 
 /** The leader's table: the open jobs, the workers that report, and which task is where. */
 internal class TaskTable(
     private val clock: SteadyClock,
-    /** For how long what a job's tasks took is remembered after its end. One of them that is found later counts as a whole machine. */
+    /**
+     * For how long what a job's tasks took is remembered after its end. One of them that is found later counts as a
+     * whole machine.
+     */
     private val departedKept: Duration,
     private val keeps: (JobId) -> JobEvent.Opened? = { null },
 ) {
@@ -22,16 +27,17 @@
     var onDone: (JobState, Placement) -> Unit = { _, _ -> }
 
     /** Nothing that had happened to any job then is missing here. */
-    var proven = Moment.NEVER
+    var proven = MonotonicInstant.NEVER
 
     val jobs = LinkedHashMap<JobId, JobState>()
     val workers = HashMap<MachineId, WorkerState>()
 
     /**
-     * What the tasks of jobs took that ended lately, and when: in every role, since a new leader may find some that nobody has told to
+     * What the tasks of jobs took that ended lately, and when: in every role, since a new leader may find some that
+     * nobody has told to
      * stop. Without it they counted for nothing, and their team used more than its limit.
      */
-    private val departed = LinkedHashMap<JobId, Pair<JobSpec, Moment>>()
+    private val departed = LinkedHashMap<JobId, Pair<JobSpec, MonotonicInstant>>()
 
     /** Workers with a start or a stop that they have not been sent. */
     val undelivered = LinkedHashSet<WorkerState>()
@@ -46,7 +52,7 @@
         for (job in jobs.values) {
             job.placements.clear()
             job.surplus = null
-            job.tally = Tally()
+            job.tally = JobUsage()
             job.done.addAll(job.finished)
             job.gang.reset()
         }
@@ -59,7 +65,7 @@
     }
 
     /** Tasks of a job that are recorded as finished. */
-    fun finished(event: JobEvent.Finished) {
+    fun finished(event: JobEvent.TasksCompleted) {
         val job = jobs[event.id] ?: return
         job.blockVersions += event.block to event.version
         job.finished.addAll(event.tasks)
@@ -75,8 +81,8 @@
         attempt: Attempt,
         worker: WorkerState,
         certainty: Certainty,
-        sendBy: Moment,
-        sendFrom: Moment = Moment.NEVER,
+        sendBy: MonotonicInstant,
+        sendFrom: MonotonicInstant = MonotonicInstant.NEVER,
     ): Placement {
         val placement = Placement(task, attempt, worker, certainty, sendBy, sendFrom)
         job.placements[task.index] = placement
@@ -93,7 +99,8 @@
 
     /** A copy that a worker reports beside the one that counts: it is stopped, and uses room until it is gone. */
     fun placeSurplus(job: JobState, task: TaskId, attempt: Attempt, worker: WorkerState): Placement {
-        val placement = Placement(task, attempt, worker, Certainty.REPORTED, Moment.NEVER, Moment.NEVER)
+        val placement =
+            Placement(task, attempt, worker, Certainty.REPORTED, MonotonicInstant.NEVER, MonotonicInstant.NEVER)
         put(job, placement)
         demote(job, placement)
         return placement
@@ -168,7 +175,10 @@
     /** What a task takes of a job that ended lately; null: it is not known. */
     fun departed(id: JobId): JobSpec? = departed[id]?.first
 
-    /** Whether the ending of a job that a worker names has been read here; null: it is not open here, and may have been recorded after what is known. */
+    /**
+     * Whether the ending of a job that a worker names has been read here; null: it is not open here, and may have been
+     * recorded after what is known.
+     */
     fun hasEnded(id: JobId, complete: Boolean): Boolean? =
         named(id)?.ended ?: if (complete || id in departed) true else null
 
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/tasks/WorkerState.kt
@@ -0,0 +1,148 @@
+package org.elderhitch.tasks
+
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.heartbeat.HeartbeatSequence
+import org.elderhitch.heartbeat.LeaseTimeouts
+import org.elderhitch.heartbeat.LeaseView
+import org.elderhitch.heartbeat.MessageFreshness
+import org.elderhitch.heartbeat.TaskPhase
+import org.elderhitch.heartbeat.TaskStatus
+import org.elderhitch.http.Address
+import org.elderhitch.jobs.Attempt
+import org.elderhitch.jobs.Image
+import org.elderhitch.jobs.JobId
+import org.elderhitch.jobs.MachineType
+import org.elderhitch.jobs.TaskId
+import org.elderhitch.placement.MachineView
+import org.elderhitch.settings.Zone
+import org.elderhitch.time.MonotonicInstant
+import kotlin.time.Duration
+
+internal class WorkerState(
+    val id: MachineId,
+    val type: MachineType,
+    val zone: Zone,
+    val spot: Boolean,
+    since: MonotonicInstant,
+) {
+    var address: Address? = null
+    var order: HeartbeatSequence? = null
+
+    /** A report with our term has come: its list is the truth. */
+    var settled: Boolean = false
+
+    /** When it last said anything, by whatever way: a report, or a reply to a question or a command. */
+    var lastWord: MonotonicInstant = since
+
+    /**
+     * When a report of its own was last answered here. Only that renews its lease: one that answers questions and sends
+     * no reports loses all that it runs.
+     */
+    var lastReport: MonotonicInstant = since
+
+    /** Null: it has said nothing yet. */
+    var lease: LeaseView? = null
+        private set
+    var notice: Duration? = null
+    var tasks: List<TaskStatus> = emptyList()
+    val placements: HashMap<TaskId, Placement> = HashMap()
+
+    /**
+     * Of each task here whose job is not open any more: that job. They are told to stop, and use room until they have.
+     */
+    var strangers: List<JobId> = emptyList()
+    var idleSince: MonotonicInstant = since
+
+    /** Errors here by job. */
+    val erredJobs: HashMap<JobId, Int> = HashMap()
+
+    /** Its services are being moved elsewhere; until then nothing new comes. */
+    var drainedUntil: MonotonicInstant = MonotonicInstant.NEVER
+
+    /** Something failed here; until then nothing new comes. */
+    var doubtedUntil: MonotonicInstant = MonotonicInstant.NEVER
+    var sick: Boolean = false
+    var releaseAsked: MonotonicInstant = MonotonicInstant.NEVER
+    var clearAsked: MonotonicInstant = MonotonicInstant.NEVER
+
+    /** A command to its own address is not answered yet. */
+    var calling: Boolean = false
+    var calledAt: MonotonicInstant = MonotonicInstant.NEVER
+
+    /** It took no connection since its last report. */
+    var unreachable: Boolean = false
+
+    /** Starts sent to its own address that nobody answered: each may still be executed, or executed once more. */
+    val loose: HashSet<Pair<TaskId, Attempt>> = HashSet()
+
+    /** Takes a word of the given session that is no [MessageFreshness.STALE] one, sent at [at] at the latest. */
+    fun hears(session: Long, at: MonotonicInstant, obeys: Boolean): MessageFreshness {
+        val before = lease
+        lease = before?.told(session, at, obeys) ?: LeaseView.firstWord(session, at, obeys)
+        return before?.judge(session) ?: MessageFreshness.SAME
+    }
+
+    /** A report of its known session, which came at [at], is being answered. */
+    fun answered(at: MonotonicInstant) {
+        lease = lease?.answered(at)
+    }
+
+    /**
+     * Whether all that it was given is surely gone with its session; from then on no word of that session counts.
+     * [lastAnswer]: by when a
+     * lease delegate of its zone may have renewed it.
+     */
+    fun outlived(now: MonotonicInstant, times: LeaseTimeouts, lastAnswer: MonotonicInstant): Boolean {
+        val belief = lease ?: return false
+        if (!belief.isOver(now, times, lastAnswer)) return false
+        lease = belief.over()
+        return true
+    }
+
+    val isEmpty: Boolean get() = placements.isEmpty() && tasks.none { it.phase != TaskPhase.EXITED }
+
+    /** As scheduling cycles see the machine; null: it changed since the last one. */
+    var view: MachineView? = null
+    var viewedAt: MonotonicInstant = MonotonicInstant.NEVER
+
+    /** Jobs that failed here lately, and until when they go elsewhere. */
+    private val shuns = HashMap<JobId, MonotonicInstant>()
+    val shunnedBy: Set<JobId> get() = if (shuns.isEmpty()) emptySet() else HashSet(shuns.keys)
+
+    fun changed() {
+        view = null
+    }
+
+    fun shun(job: JobId, until: MonotonicInstant) {
+        shuns[job] = until
+        changed()
+    }
+
+    /** Lets jobs come back whose time elsewhere is over. */
+    fun forgive(now: MonotonicInstant) {
+        if (shuns.isNotEmpty() && shuns.values.removeAll { it < now }) changed()
+    }
+
+    /** Images by last use, the latest last; what the machine most likely keeps. */
+    private val images = LinkedHashMap<Image, Double>()
+
+    /** A use makes it the last that the machine would drop. */
+    fun usesImage(image: Image, gb: Double) {
+        images.remove(image)
+        images[image] = gb
+    }
+
+    /** All images ever used here with their sizes, the latest last. */
+    fun usedImages(): Map<Image, Double> = images
+
+    fun cachedImages(cacheGb: Double): Set<Image> {
+        var room = cacheGb
+        val kept = HashSet<Image>()
+        for ((image, gb) in images.entries.reversed()) {
+            room -= gb
+            if (room < 0) break
+            kept.add(image)
+        }
+        return kept
+    }
+}
--- a/src/main/kotlin/org/ggf/drmaa/PartialTimestamp.kt
+++ b/src/main/kotlin/org/ggf/drmaa/PartialTimestamp.kt
@@ -12,8 +12,10 @@
 import java.util.Date
 
 /**
- * A time of which only a part may be given. What is not given is filled so that the time is the next one of its kind that has not
- * passed: "11:30" is today, or tomorrow if it is past that; the 29th of a month that has none is that of the next month that does.
+ * A time of which only a part may be given. What is not given is filled so that the time is the next one of its kind
+ * that has not
+ * passed: "11:30" is today, or tomorrow if it is past that; the 29th of a month that has none is that of the next month
+ * that does.
  * Months count from 0, as in [java.util.Calendar]. The zone is the user's own unless an offset (in minutes) is set.
  */
 @Suppress("LongParameterList")
@@ -61,7 +63,16 @@
         set(YEAR, year)
     }
 
-    public constructor(century: Int, year: Int, month: Int, dayOfMonth: Int, hour: Int, minute: Int, second: Int, zoneOffset: Int) :
+    public constructor(
+        century: Int,
+        year: Int,
+        month: Int,
+        dayOfMonth: Int,
+        hour: Int,
+        minute: Int,
+        second: Int,
+        zoneOffset: Int,
+    ) :
         this(century, year, month, dayOfMonth, hour, minute, second) {
         set(ZONE_OFFSET, zoneOffset)
     }
@@ -113,7 +124,10 @@
 
     public fun getTimeInMillis(): Long = resolve(Instant.now(), offset ?: ZoneId.systemDefault()).toEpochMilli()
 
-    /** The time that is meant at [now] in [zone]: a pure function. Throws [IllegalArgumentException] for a date that never is. */
+    /**
+     * The time that is meant at [now] in [zone]: a pure function. Throws [IllegalArgumentException] for a date that
+     * never is.
+     */
     internal fun resolve(now: Instant, zone: ZoneId): Instant {
         val here = ZonedDateTime.ofInstant(now, zone).toLocalDateTime()
         val minute = if (isSet(MINUTE)) {
--- a/src/main/kotlin/org/ggf/drmaa/Session.kt
+++ b/src/main/kotlin/org/ggf/drmaa/Session.kt
@@ -41,7 +41,9 @@
     @Throws(DrmaaException::class)
     public fun getJobProgramStatus(jobId: String): Int
 
-    /** The session's contact string while one is active, with which other programs can enter it; else the default ones. */
+    /**
+     * The session's contact string while one is active, with which other programs can enter it; else the default ones.
+     */
     public fun getContact(): String
 
     public fun getVersion(): Version
