--- a/src/main/kotlin/org/elderhitch/cluster/PeerHeartbeats.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/PeerHeartbeats.kt
@@ -71,15 +71,15 @@
             is LeadershipState.Leader -> leadershipState.term
             is LeadershipState.Follower -> leadershipState.term
         }
-        val running = if (leading) ports.runningTasks().entries.associate { it.key.text to it.value } else emptyMap()
+        val runningTasks = if (leading) ports.runningTasks() else emptyMap()
         return PeerHeartbeat(
             node = self.node.text,
             run = self.incarnation.text,
             term = term.number,
             leading = leading,
             reachesState = ports.reachesStateService(),
-            running = running,
-            bound = ports.openJobsLimit().bytes,
+            runningTasks = runningTasks.entries.associate { it.key.text to it.value },
+            openJobsLimitBytes = ports.openJobsLimit().bytes,
         )
     }
 
@@ -132,7 +132,7 @@
         peer.reachesStateService = heartbeat.reachesState
         peer.lastHeartbeatAt = clock.now()
         // Stays when the peer falls silent: once it restarts it must be able to load all that is accepted meanwhile.
-        if (heartbeat.bound > 0) peer.openJobsLimit = Footprint(heartbeat.bound)
+        if (heartbeat.openJobsLimitBytes > 0) peer.openJobsLimit = Footprint(heartbeat.openJobsLimitBytes)
         ports.observeTerm(Term(heartbeat.term))
         if (heartbeat.leading) ports.receiveRunningCounts(runningCounts(heartbeat))
         previousLeaders.observe(node, Incarnation(heartbeat.run), Term(heartbeat.term), askedAt)
@@ -140,7 +140,7 @@
     }
 
     private fun runningCounts(heartbeat: PeerHeartbeat): Map<JobId, Int> =
-        heartbeat.running.mapNotNull { (id, count) -> JobId.parse(id)?.let { it to count } }.toMap()
+        heartbeat.runningTasks.mapNotNull { (id, count) -> JobId.parse(id)?.let { it to count } }.toMap()
 
     /** As the leader: reports whether those have stopped that answered workers in the name of earlier terms. */
     fun checkPreviousLeaders() {
--- a/src/main/kotlin/org/elderhitch/cluster/PeerMessages.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/PeerMessages.kt
@@ -6,7 +6,8 @@
 
 /**
  * What controllers tell each other about once a second, as request and as response. Two versions run side by side
- * during an update, so field numbers never change, and fields that were added later have a default.
+ * during an update, so field numbers never change, and fields that were added later have a default. The names of the
+ * fields without one stand in the log line of a message that lacks them.
  */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
@@ -20,9 +21,9 @@
     /** Whether the state service answers the node. */
     @ProtoNumber(5) val reachesState: Boolean,
     /** From the leader: how many tasks of each job run. */
-    @ProtoNumber(6) val running: Map<String, Int> = emptyMap(),
+    @ProtoNumber(6) val runningTasks: Map<String, Int> = emptyMap(),
     /** What the node's memory can hold of open jobs, in bytes; 0 from an earlier version. */
-    @ProtoNumber(7) val bound: Long = 0,
+    @ProtoNumber(7) val openJobsLimitBytes: Long = 0,
     /**
      * In the leader's response: for how many milliseconds from the request on the node may answer as lease delegate of
      * its zone; 0: it may not.
@@ -38,7 +39,7 @@
     @ProtoNumber(2) public val path: String,
     @ProtoNumber(3) public val body: ByteArray,
     /** The IP address that the request came from; empty: not known. */
-    @ProtoNumber(4) public val from: String = "",
+    @ProtoNumber(4) public val senderAddress: String = "",
 )
 
 /** The response to a [ForwardedRequest]. */
@@ -55,7 +56,7 @@
 @Serializable
 public class TerminalStateBroadcast(
     @ProtoNumber(1) public val node: String,
-    @ProtoNumber(2) public val endings: List<TerminalStateNotice> = emptyList(),
+    @ProtoNumber(2) public val notices: List<TerminalStateNotice> = emptyList(),
 )
 
 /** One job's terminal state; [record] has the form that is stored in the state service. */
--- a/src/main/kotlin/org/elderhitch/cluster/RequestForwarder.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/RequestForwarder.kt
@@ -37,7 +37,7 @@
     suspend fun receive(request: Request, serve: suspend (Request) -> Response): Response {
         val forwarded = PeerCodec.decode(ForwardedRequest.serializer(), request.body)
             ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "no request")
-        val sender = forwarded.from.ifEmpty { null }
+        val sender = forwarded.senderAddress.ifEmpty { null }
         val response = serve(Request(forwarded.method, forwarded.path, emptyMap(), forwarded.body, sender))
         return PeerCodec.respond(
             ForwardedResponse.serializer(),
--- a/src/main/kotlin/org/elderhitch/cluster/TerminalStateBroadcaster.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/TerminalStateBroadcaster.kt
@@ -64,7 +64,7 @@
     /** The records that can be read; the others are logged. */
     private fun readableRecords(message: TerminalStateBroadcast): Map<JobId, TerminalRecord> {
         val records = LinkedHashMap<JobId, TerminalRecord>()
-        for (notice in message.endings) {
+        for (notice in message.notices) {
             val id = JobId.parse(notice.job)
             val record = decodeRecord(notice)
             if (id == null || record == null) {
