--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -32,6 +32,7 @@
 import org.elderhitch.jobs.JobMessage
 import org.elderhitch.jobs.JobRegistry
 import org.elderhitch.jobs.JobService
+import org.elderhitch.jobs.SubmissionPolicy
 import org.elderhitch.jobs.TaskId
 import org.elderhitch.jobs.TerminalRecord
 import org.elderhitch.leadership.Incarnation
@@ -151,12 +152,19 @@
             leadership.leadershipState.value
         }) { leader, path, body, timeout -> cluster.callLeader(leader, path, body, timeout) }
     private val jobService = JobService(
-        jobRegistry, stateWatch, client, settings.teams, {
-            catalog.canEverRun(it)
-        }, settings.stateLimits.valueBytes, wallClock,
-        {
-            leaderDesk.account(it.id)
-        }, features.rules, Admission(bound) { cluster.smallestPeerLimit() }, { featureSet().jobProvider(it) },
+        jobRegistry,
+        stateWatch,
+        client,
+        SubmissionPolicy(
+            settings.teams,
+            { catalog.canEverRun(it) },
+            settings.stateLimits.valueBytes,
+            features.rules,
+            Admission(bound) { cluster.smallestPeerLimit() },
+        ),
+        wallClock,
+        { leaderDesk.account(it.id) },
+        { featureSet().jobProvider(it) },
         { id, record -> cluster.broadcastTerminalState(id, record) },
     )
     private val cluster: Cluster =
@@ -164,7 +172,9 @@
     private val features: FeatureSet = FeatureSet(
         features.factories.map {
             it.make(
-                FeatureContext(scope, settings, clock, wallClock, random, client, jobService, metrics, stateWatch::sync, {
+                FeatureContext(scope, settings, clock, wallClock, random, client, jobService, metrics, {
+                    stateWatch.awaitFreshness()
+                }, {
                     leadership.leadershipState.value
                 }, leaderDesk::hold, ::jobEvent, { id: JobId ->
                     wiring.running[id]
@@ -230,7 +240,7 @@
         val now = clock.now()
         if (lastContact > probedAt && now - lastContact > PROBE_AFTER) {
             probedAt = now
-            scope.launch { stateWatch.sync() }
+            scope.launch { stateWatch.awaitFreshness() }
         }
         return failing || lastContact <= probedAt && now - probedAt > PROBE_PATIENCE
     }
@@ -255,7 +265,7 @@
     private fun complete(leader: LeadershipState.Leader) {
         cluster.checkPreviousLeaders()
         scope.launch {
-            while (!stateWatch.sync() || !featureSet().prepare()) {
+            while (!stateWatch.awaitFreshness() || !featureSet().prepare()) {
                 delay(SYNC_RETRY)
                 if ((leadership.leadershipState.value as? LeadershipState.Leader)?.term != leader.term) return@launch
             }
@@ -271,7 +281,7 @@
      */
     private suspend fun prove(leader: LeadershipState.Leader) {
         while ((leadership.leadershipState.value as? LeadershipState.Leader)?.term == leader.term) {
-            delay(if (stateWatch.prove()) times.renewInterval else PROVE_RETRY)
+            delay(if (stateWatch.checkFreshness()) times.renewInterval else PROVE_RETRY)
         }
     }
 
--- a/src/main/kotlin/org/elderhitch/app/RequestRouter.kt
+++ b/src/main/kotlin/org/elderhitch/app/RequestRouter.kt
@@ -111,7 +111,7 @@
 
             else -> emptyList()
         }
-        val standing = (shown as? JobResponse.State)?.standing?.word
+        val standing = (shown as? JobResponse.State)?.status?.phase?.wireName
         return Response(OK, Json.bytes(linkedMapOf("id" to id.text, "standing" to standing, "why" to lines)))
     }
 
@@ -119,8 +119,8 @@
         val account = record.account ?: return listOf("ended before accounts were kept")
         val least = if (account.lowerBound) " at least" else ""
         return listOf(
-            "${record.how.word} at ${account.end}, ${record.done} tasks done",
-            "started$least ${account.attempts} times, of which ${account.lost} were lost;$least ${account.usefulS} task-seconds useful, ${account.lostS} lost",
+            "${record.state.wireName} at ${account.end}, ${record.done} tasks done",
+            "started$least ${account.attempts} times, of which ${account.lost} were lost;$least ${account.usefulSeconds} task-seconds useful, ${account.lostSeconds} lost",
         )
     }
 
@@ -181,9 +181,9 @@
     private fun answer(answer: JobResponse): Response = when (answer) {
         is JobResponse.Accepted -> Response(
             if (answer.isNew) CREATED else OK,
-            JobCodec.standing(answer.id, answer.standing),
+            JobCodec.encodeStatus(answer.id, answer.status),
         )
-        is JobResponse.State -> Response(OK, JobCodec.standing(answer.id, answer.standing))
+        is JobResponse.State -> Response(OK, JobCodec.encodeStatus(answer.id, answer.status))
         is JobResponse.Malformed -> HttpServer.refusal(BAD, answer.reason)
         is JobResponse.NeverRuns -> HttpServer.refusal(UNPROCESSABLE, answer.reason)
         JobResponse.Unknown -> HttpServer.refusal(NOT_FOUND, "no such job")
--- a/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
+++ b/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
@@ -70,9 +70,9 @@
 
     override fun recordCompletions(leader: LeadershipState.Leader, batches: List<CompletionBatch>) {
         scope.launch {
-            val recorded = completionWriter.record(leader, batches.filter { !it.kept })
+            val recorded = completionWriter.record(leader, batches.filter { !it.providerOwned })
             var kept: Map<JobId, List<Int>>? = emptyMap()
-            for ((jobProvider, jobs) in batches.filter { it.kept }.groupBy { features().jobProvider(it.job) }) {
+            for ((jobProvider, jobs) in batches.filter { it.providerOwned }.groupBy { features().jobProvider(it.job) }) {
                 kept = kept?.let { before -> jobProvider?.record(leader, jobs)?.let { before + it } }
             }
             if (recorded == null ||
@@ -85,7 +85,7 @@
     }
 
     override fun deleteCompletions(leader: LeadershipState.Leader, job: JobId, blocks: Set<Int>) {
-        if (!features().keepsFinished(job)) scope.launch { completionWriter.forget(leader, job, blocks) }
+        if (!features().keepsFinished(job)) scope.launch { completionWriter.dropCompletedTasks(leader, job, blocks) }
     }
 
     override fun writeHold(
@@ -124,7 +124,7 @@
     }
 
     override fun deleteHold(leader: LeadershipState.Leader, job: JobId) {
-        scope.launch { completionWriter.forgetHold(leader, job) }
+        scope.launch { completionWriter.dropHold(leader, job) }
     }
 
     override fun saveImageHints(leader: LeadershipState.Leader, images: Map<MachineId, Map<Image, Double>>) {
--- a/src/main/kotlin/org/elderhitch/app/WatchDispatcher.kt
+++ b/src/main/kotlin/org/elderhitch/app/WatchDispatcher.kt
@@ -52,7 +52,7 @@
     }
 
     /** By the same way as the changes before it, so that it reaches the leader's table after them. */
-    override fun proven(since: MonotonicInstant) = jobRegistry.tell(JobMessage.FreshAsOf(since))
+    override fun freshAsOf(since: MonotonicInstant) = jobRegistry.tell(JobMessage.FreshAsOf(since))
 
     private fun hinted(entry: Entry) = scheduler.tell(SchedulerMessage.ImageHintsLoaded(ImageHints.decode(entry.value)))
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
@@ -142,10 +142,10 @@
             return
         }
         val taken = client.list(ReapKey.prefix(session), null) ?: return
-        val blocks = client.list(Keys.finishedOf("${JobName.PREFIX}$session-"), null) ?: return
+        val blocks = client.list(Keys.completedTasksPrefix("${JobName.PREFIX}$session-"), null) ?: return
         taken.entries.chunked(txnOps).forEach { chunk -> drop(leadership, chunk.map { Condition(it.key, it.version) }) }
         blocks.entries.mapNotNull {
-            (Keys.subject(it.key) as? StoredKey.CompletedTasks)?.id
+            (Keys.parse(it.key) as? StoredKey.CompletedTasks)?.id
         }.distinct().mapNotNull(JobName::parse).forEach { dropBlocks(leadership, it) }
         if (taken.entries.isEmpty() && wallClock.now() - at > KEEP_CLOSED) {
             drop(leadership, listOf(Condition(entry.key, entry.version)))
@@ -163,15 +163,15 @@
     public fun changed(changes: List<Change>) {
         val leadership = leadership ?: return
         for (change in changes) {
-            val end = ((change as? Change.Put)?.let { Keys.subject(it.key) } as? StoredKey.TerminalRecord) ?: continue
+            val end = ((change as? Change.Put)?.let { Keys.parse(it.key) } as? StoredKey.TerminalRecord) ?: continue
             val name = JobName.parse(end.id)?.takeIf { it.members != null } ?: continue
-            if (TerminalRecord.decode(change.entry.value)?.how != TerminalState.DONE) continue
+            if (TerminalRecord.decode(change.entry.value)?.state != TerminalState.DONE) continue
             scope.launch { dropBlocks(leadership, name) }
         }
     }
 
     private suspend fun dropBlocks(leadership: LeadershipState.Leader, name: JobName) {
-        val written = client.list(Keys.finishedOf("$name/"), null) ?: return
+        val written = client.list(Keys.completedTasksPrefix("$name/"), null) ?: return
         for (chunk in written.entries.chunked(txnOps)) {
             client.commit(
                 listOf(guard(leadership), Condition(Keys.job(name.id), Revision.ABSENT)),
--- a/src/main/kotlin/org/elderhitch/drmaa/JobControl.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/JobControl.kt
@@ -4,6 +4,7 @@
 import org.elderhitch.jobs.HoldResult
 import org.elderhitch.jobs.JobId
 import org.elderhitch.jobs.JobLookup
+import org.elderhitch.jobs.JobPhase
 import org.elderhitch.jobs.JobResponse
 import org.elderhitch.jobs.JobService
 import org.elderhitch.time.SteadyClock
@@ -186,7 +187,7 @@
 
             is JobResponse.State -> when (val known = jobService.lookup(name.id)) {
                 is JobLookup.Open -> open(known)
-                else -> if (shown.standing.word == "done") ProgramStatus.DONE else ProgramStatus.FAILED
+                else -> if (shown.status.phase == JobPhase.DONE) ProgramStatus.DONE else ProgramStatus.FAILED
             }
 
             is JobResponse.NotNow -> throw notNow(shown.reason)
@@ -198,7 +199,7 @@
     private fun open(known: JobLookup.Open): ProgramStatus = when {
         known.hold?.kind == HoldKind.USER -> ProgramStatus.USER_ON_HOLD
         known.hold?.kind == HoldKind.SUSPENDED -> ProgramStatus.USER_SUSPENDED
-        known.standing.running > 0 -> ProgramStatus.RUNNING
+        known.status.running > 0 -> ProgramStatus.RUNNING
         known.hold != null -> ProgramStatus.SYSTEM_ON_HOLD
         else -> ProgramStatus.QUEUED_ACTIVE
     }
--- a/src/main/kotlin/org/elderhitch/drmaa/Reaper.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Reaper.kt
@@ -119,7 +119,7 @@
                 return null
             }
         }
-        val ended = if (name.member != null && completed) TerminalState.DONE else record?.how ?: return null
+        val ended = if (name.member != null && completed) TerminalState.DONE else record?.state ?: return null
         return Result(name, ended, record)
     }
 
@@ -155,7 +155,7 @@
             SessionRegistry.jobOf(entry.key)?.let { job ->
                 TerminalRecord.decode(entry.value)?.let {
                     job to
-                        TerminalRecord(it.how, it.done)
+                        TerminalRecord(it.state, it.done)
                 }
             }
         } ?: return false
--- a/src/main/kotlin/org/elderhitch/drmaa/SessionRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/SessionRegistry.kt
@@ -188,7 +188,7 @@
         states.clear()
         loaded.clear()
         held.clear()
-        entries.sortedBy { if (Keys.subject(it.key) is StoredKey.Job) 0 else 1 }.forEach { put(it, listed = true) }
+        entries.sortedBy { if (Keys.parse(it.key) is StoredKey.Job) 0 else 1 }.forEach { put(it, listed = true) }
         wakeAll()
     }
 
@@ -217,7 +217,7 @@
         DrmaaKeys.sessionOf(key)?.let { return putSession(it, entry, listed) }
         DrmaaKeys.heldOf(key)?.let { return putHeld(it, entry) }
         ReapKey.parse(key)?.let { return putTaken(it, entry) }
-        when (val subject = Keys.subject(key)) {
+        when (val subject = Keys.parse(key)) {
             is StoredKey.Job -> JobName.parse(subject.id)?.let { state(it.session).opened(it) }
 
             is StoredKey.CompletedTasks -> JobName.parse(subject.id)?.let { putCompleted(it, subject.block, entry) }
@@ -261,7 +261,7 @@
 
     private fun ended(job: JobName, record: TerminalRecord) {
         // In use or not: a job that is no longer listed as open must be known to have ended, once it is known at all.
-        state(job.session).ended(job, record.how)
+        state(job.session).ended(job, record.state)
         wake(job.session)
     }
 
@@ -273,7 +273,7 @@
     private fun loaded(message: BookMessage.Loaded) {
         if (message.session !in records || message.epoch != epoch) return
         val state = state(message.session)
-        message.endings.forEach { (job, record) -> state.ended(job, record.how) }
+        message.endings.forEach { (job, record) -> state.ended(job, record.state) }
         message.blocks.forEach { (key, block) -> state.taken(key, block) }
         loaded.add(message.session)
     }
@@ -304,6 +304,6 @@
 
     internal companion object {
         fun jobOf(endKey: String): JobName? =
-            (Keys.subject(endKey) as? StoredKey.TerminalRecord)?.id?.let { id: JobId -> JobName.parse(id) }
+            (Keys.parse(endKey) as? StoredKey.TerminalRecord)?.id?.let { id: JobId -> JobName.parse(id) }
     }
 }
--- a/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
+++ b/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
@@ -42,7 +42,7 @@
         if (!tableComplete) return listOf("a takeover: the leader is still reading what is recorded")
         val job = table.jobs[id]?.takeUnless { it.isTerminal } ?: return null
         val lines = ArrayList<String>()
-        job.hold?.let { lines.add("held (${it.kind.name.lowercase()}): ${it.reason}") }
+        job.hold?.let { lines.add("held (${it.kind.wireName}): ${it.reason}") }
         if (job.holdPending && job.hold == null) lines.add("a hold is being recorded")
         counts(job, lines)
         val missing = job.spec.tasks - job.completed.count - job.placements.size
--- a/src/main/kotlin/org/elderhitch/features/Feature.kt
+++ b/src/main/kotlin/org/elderhitch/features/Feature.kt
@@ -118,7 +118,7 @@
     public fun keepsFinished(job: JobId): Boolean = features.any { it.keepsFinished(job) }
 
     public fun jobProvider(job: JobId): JobProvider? = features.firstNotNullOfOrNull { feature ->
-        feature.jobProvider?.takeIf { it.keeps(job) }
+        feature.jobProvider?.takeIf { it.owns(job) }
     }
 
     public suspend fun prepare(): Boolean = features.all { it.prepare() }
--- a/src/main/kotlin/org/elderhitch/jobs/CompletedTasks.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/CompletedTasks.kt
@@ -4,26 +4,28 @@
 import java.util.BitSet
 
 /**
- * Which tasks of a job are finished. In the state service they stand in blocks of [BLOCK] tasks, one value a block,
- * each
- * either ranges ("0-5,7") or, where that is shorter, a bitmap: at most [MAX_VALUE_CHARS] characters whatever happened.
+ * The set of completed tasks of a job with [tasks] tasks. The state service stores it in blocks of [BLOCK] tasks, one
+ * value a block. A value is either ranges relative to the block ("0-5,7") or, where that is shorter, a base64 bitmap
+ * behind a marker; it has at most [MAX_VALUE_CHARS] characters.
  */
 public class CompletedTasks(public val tasks: Int) {
     private val bits = BitSet(tasks)
 
     public val count: Int get() = bits.cardinality()
+
+    /** Whether the whole job is complete. */
     public val all: Boolean get() = count == tasks
 
     public operator fun contains(index: Int): Boolean = bits[index]
 
-    /** The first task from [from] on that isn't finished; [tasks] or more if there is none. */
+    /** The first task from [from] on that isn't completed; [tasks] or more if there is none. */
     public fun firstMissing(from: Int): Int = bits.nextClearBit(from)
 
-    /** Those of these tasks that [other] lacks. */
-    public fun beyond(other: CompletedTasks): List<Int> {
-        val fresh = bits.clone() as BitSet
-        fresh.andNot(other.bits)
-        return fresh.stream().boxed().toList()
+    /** The tasks of this set that [other] lacks, in order. */
+    public fun missingIn(other: CompletedTasks): List<Int> {
+        val difference = bits.clone() as BitSet
+        difference.andNot(other.bits)
+        return difference.stream().boxed().toList()
     }
 
     public fun add(index: Int) {
@@ -37,10 +39,15 @@
         bits.or(other.bits)
     }
 
-    /** The value of one block. */
+    /** Encodes one block as its stored value. */
     public fun pack(block: Int): String {
-        val from = block * BLOCK
-        val until = minOf(tasks, from + BLOCK)
+        val ranges = encodeRanges(firstOf(block), endOf(block))
+        val bitmap = encodeBitmap(firstOf(block), endOf(block))
+        return if (ranges.length <= bitmap.length) ranges else bitmap
+    }
+
+    /** The ranges of one block; cut short once they are longer than any bitmap. */
+    private fun encodeRanges(from: Int, until: Int): String {
         val ranges = StringBuilder()
         var start = bits.nextSetBit(from)
         while (start in 0 until until && ranges.length <= MAX_VALUE_CHARS) {
@@ -50,45 +57,61 @@
             if (end - start > 1) ranges.append('-').append(end - 1 - from)
             start = bits.nextSetBit(end)
         }
-        val bitmap = "b" + Base64.getEncoder().encodeToString(bits.get(from, until).toByteArray())
-        return if (ranges.length <= bitmap.length) ranges.toString() else bitmap
+        return ranges.toString()
     }
 
-    /** Adds what one block's value says; false if the value is none of ours. */
+    private fun encodeBitmap(from: Int, until: Int): String =
+        BITMAP_MARKER + Base64.getEncoder().encodeToString(bits.get(from, until).toByteArray())
+
+    /** Adds the tasks of one block's stored value; false, and nothing is added, if the value is malformed. */
     public fun unpack(block: Int, value: String): Boolean {
-        val from = block * BLOCK
-        val until = minOf(tasks, from + BLOCK)
+        val from = firstOf(block)
         if (from < 0 || from >= tasks) return false
-        val read = BitSet()
-        if (value.startsWith("b")) {
-            val bytes = try {
-                Base64.getDecoder().decode(value.substring(1))
-            } catch (_: IllegalArgumentException) {
-                return false
-            }
-            read.or(BitSet.valueOf(bytes))
-        } else if (value.isNotEmpty()) {
-            for (range in value.split(',')) {
-                val first = range.substringBefore('-').toIntOrNull() ?: return false
-                val last = range.substringAfter('-').toIntOrNull() ?: return false
-                if (first < 0 || last < first || last >= BLOCK) return false
-                read.set(first, last + 1)
-            }
-        }
-        if (read.length() > until - from) return false
-        read.stream().forEach { bits.set(from + it) }
+        val decoded = if (value.startsWith(BITMAP_MARKER)) decodeBitmap(value) else decodeRanges(value)
+        if (decoded == null || decoded.length() > endOf(block) - from) return false
+        decoded.stream().forEach { bits.set(from + it) }
         return true
     }
 
+    private fun firstOf(block: Int): Int = block * BLOCK
+
+    private fun endOf(block: Int): Int = minOf(tasks, firstOf(block) + BLOCK)
+
     public companion object {
+        /** How many tasks one stored value covers. */
         public const val BLOCK: Int = 4096
-        private const val BITS = 8
-        private const val BASE64_IN = 3
-        private const val BASE64_OUT = 4
+        private const val BITMAP_MARKER = "b"
+        private const val BITS_PER_BYTE = 8
+        private const val BASE64_BYTES_IN = 3
+        private const val BASE64_CHARS_OUT = 4
 
-        /** The longest value: a marker and the base64 of one bit a task. */
-        public const val MAX_VALUE_CHARS: Int = 1 + (BLOCK / BITS + BASE64_IN - 1) / BASE64_IN * BASE64_OUT
+        /** The longest value: the marker and the base64 of one bit a task. */
+        public const val MAX_VALUE_CHARS: Int =
+            1 + (BLOCK / BITS_PER_BYTE + BASE64_BYTES_IN - 1) / BASE64_BYTES_IN * BASE64_CHARS_OUT
 
+        /** The block that holds the task. */
         public fun blockOf(index: Int): Int = index / BLOCK
+
+        private fun decodeBitmap(value: String): BitSet? = try {
+            BitSet.valueOf(Base64.getDecoder().decode(value.substring(BITMAP_MARKER.length)))
+        } catch (_: IllegalArgumentException) {
+            null
+        }
+
+        private fun decodeRanges(value: String): BitSet? {
+            val decoded = BitSet()
+            if (value.isEmpty()) return decoded
+            for (text in value.split(',')) {
+                val range = decodeRange(text) ?: return null
+                decoded.set(range.first, range.last + 1)
+            }
+            return decoded
+        }
+
+        private fun decodeRange(text: String): IntRange? {
+            val first = text.substringBefore('-').toIntOrNull() ?: return null
+            val last = text.substringAfter('-').toIntOrNull() ?: return null
+            return (first..last).takeIf { first in 0..last && last < BLOCK }
+        }
     }
 }
--- a/src/main/kotlin/org/elderhitch/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/CompletionWriter.kt
@@ -10,49 +10,42 @@
 import org.elderhitch.store.StateClient
 import org.elderhitch.store.Write
 
-/** What one job's newly finished tasks need written, and under which conditions. */
+/** The writes that record completed [tasks] of one job, and the conditions on which they depend. */
 internal class CompletionWrite(
     val job: JobId,
-    val fresh: List<Int>,
+    val tasks: List<Int>,
     val conditions: List<Condition>,
     val writes: List<Write>,
-    val ending: TerminalRecord?,
+    /** Written along if the job is complete. */
+    val terminalRecord: TerminalRecord?,
 )
 
 /**
- * Writes finished tasks, packed, once per scheduling cycle, and decides that a job is done: on the key of its ending,
- * which a
- * withdrawal would create as well, so that exactly one of them wins.
+ * Writes what a leader decides about jobs: completed tasks, packed and once per scheduling cycle, the terminal records
+ * of complete jobs, and holds. A job is complete once its terminal record is created: a cancellation would create the
+ * same key, so exactly one of the two succeeds. Each write depends on the leader's term.
  */
 public class CompletionWriter(
     private val client: StateClient,
     private val jobRegistry: JobRegistry,
-    private val txnOps: Int,
+    /** The most writes of a transaction. */
+    private val maxWrites: Int,
 ) {
-    /** What was recorded; null: another term has begun. */
+    /** Records the batches and returns the tasks recorded, by job; null: another term has begun. */
     public suspend fun record(
         leadership: LeadershipState.Leader,
         batches: List<CompletionBatch>,
     ): Map<JobId, List<Int>>? {
         val recorded = HashMap<JobId, List<Int>>()
-        val queue = ArrayDeque(batches.flatMap(::items))
+        val queue = ArrayDeque(batches.flatMap(::writesOf))
         while (queue.isNotEmpty()) {
-            val group = ArrayList<CompletionWrite>()
-            while (queue.isNotEmpty() &&
-                (group.isEmpty() || group.sumOf { it.writes.size } + queue.first().writes.size <= txnOps)
-            ) {
-                group.add(queue.removeFirst())
-            }
+            val group = nextGroup(queue)
             when (val outcome = commit(leadership, group)) {
-                is CommitOutcome.Committed -> group.forEach { done(it, recorded) }
+                is CommitOutcome.Committed -> group.forEach { committed(it, recorded) }
 
                 is CommitOutcome.Conflict -> {
                     if (Keys.TERM in outcome.failed) return null
-                    // Withdrawn meanwhile, or an earlier try of ours came through: the rest goes on without those.
-                    for (item in group) {
-                        if (item.conditions.any { it.key in outcome.failed }) continue
-                        if (commit(leadership, listOf(item)) is CommitOutcome.Committed) done(item, recorded)
-                    }
+                    recordSingly(leadership, group.filterNot { it.failedIn(outcome) }, recorded)
                 }
 
                 else -> return recorded
@@ -61,106 +54,131 @@
         return recorded
     }
 
-    private fun done(item: CompletionWrite, recorded: MutableMap<JobId, List<Int>>) {
-        recorded[item.job] = recorded[item.job].orEmpty() + item.fresh
-        item.ending?.let { jobRegistry.tell(JobMessage.TerminalStateRecorded(item.job, it)) }
+    /** As many writes as fit in one transaction, and at least one. */
+    private fun nextGroup(queue: ArrayDeque<CompletionWrite>): List<CompletionWrite> {
+        val group = ArrayList<CompletionWrite>()
+        var size = 0
+        while (queue.isNotEmpty() && (group.isEmpty() || size + queue.first().writes.size <= maxWrites)) {
+            val next = queue.removeFirst()
+            group.add(next)
+            size += next.writes.size
+        }
+        return group
+    }
+
+    /** Whether a condition failed: the job was cancelled meanwhile, or an earlier unanswered write was executed. */
+    private fun CompletionWrite.failedIn(conflict: CommitOutcome.Conflict): Boolean =
+        conditions.any { it.key in conflict.failed }
+
+    private suspend fun recordSingly(
+        leadership: LeadershipState.Leader,
+        group: List<CompletionWrite>,
+        recorded: MutableMap<JobId, List<Int>>,
+    ) {
+        for (write in group) {
+            if (commit(leadership, listOf(write)) is CommitOutcome.Committed) committed(write, recorded)
+        }
+    }
+
+    private fun committed(write: CompletionWrite, recorded: MutableMap<JobId, List<Int>>) {
+        recorded[write.job] = recorded[write.job].orEmpty() + write.tasks
+        write.terminalRecord?.let { jobRegistry.tell(JobMessage.TerminalStateRecorded(write.job, it)) }
     }
 
-    private suspend fun commit(leadership: LeadershipState.Leader, items: List<CompletionWrite>): CommitOutcome =
+    private suspend fun commit(leadership: LeadershipState.Leader, group: List<CompletionWrite>): CommitOutcome =
         client.commit(
-            listOf(Condition(Keys.TERM, leadership.termRevision)) + items.flatMap { it.conditions }.distinct(),
-            items.flatMap { it.writes },
-            if (items.any { it.ending != null }) RequestPriority.END else RequestPriority.PROGRESS,
+            listOf(Condition(Keys.TERM, leadership.termRevision)) + group.flatMap { it.conditions }.distinct(),
+            group.flatMap { it.writes },
+            if (group.any { it.terminalRecord != null }) RequestPriority.END else RequestPriority.PROGRESS,
         )
 
-    internal fun items(batch: CompletionBatch): List<CompletionWrite> {
-        val open = Condition(Keys.job(batch.job), batch.version)
-        if (batch.state.all) {
-            val ending = TerminalRecord(TerminalState.DONE, batch.state.tasks, batch.account)
-            return listOf(
-                CompletionWrite(
-                    batch.job,
-                    batch.fresh,
-                    listOf(open, Condition(Keys.terminalRecord(batch.job), Revision.ABSENT)),
-                    listOfNotNull(
-                        Write.Put(Keys.terminalRecord(batch.job), ending.encode()),
-                        Write.Drop(Keys.job(batch.job)),
-                        if (batch.held) Write.Drop(Keys.hold(batch.job)) else null,
-                    ),
-                    ending,
-                ),
-            )
-        }
-        return batch.fresh.groupBy(CompletedTasks::blockOf).map { (block, tasks) ->
-            val write = Write.Put(Keys.finished(batch.job, block), mapOf("f" to batch.state.pack(block)))
-            // A write without an answer may be carried out late: without the version it would undo a newer one, and
-            // tasks that were
-            // told as done would be open again for whoever starts then.
-            val before = Condition(write.key, batch.blockVersions[block] ?: Revision.ABSENT)
-            CompletionWrite(batch.job, tasks, listOf(open, before), listOf(write), null)
-        }
+    /** One write for a complete job, and otherwise one for each block with newly completed tasks. */
+    internal fun writesOf(batch: CompletionBatch): List<CompletionWrite> = if (batch.completedTasks.all) {
+        listOf(completionOf(batch))
+    } else {
+        batch.newlyCompleted.groupBy(CompletedTasks::blockOf).map { (block, tasks) -> blockWrite(batch, block, tasks) }
+    }
+
+    private fun completionOf(batch: CompletionBatch): CompletionWrite {
+        val record = TerminalRecord(TerminalState.DONE, batch.completedTasks.tasks, batch.account)
+        return CompletionWrite(
+            batch.job,
+            batch.newlyCompleted,
+            listOf(isOpen(batch), Condition(Keys.terminalRecord(batch.job), Revision.ABSENT)),
+            listOfNotNull(
+                Write.Put(Keys.terminalRecord(batch.job), record.encode()),
+                Write.Drop(Keys.job(batch.job)),
+                if (batch.hasStoredHold) Write.Drop(Keys.hold(batch.job)) else null,
+            ),
+            record,
+        )
     }
 
+    private fun blockWrite(batch: CompletionBatch, block: Int, tasks: List<Int>): CompletionWrite {
+        val key = Keys.completedTasks(batch.job, block)
+        val write = Write.Put(key, mapOf(JobRegistry.PACKED_TASKS to batch.completedTasks.pack(block)))
+        // An unanswered write may be executed late. Without this condition it would undo a newer one, and tasks that
+        // were reported as completed would be open again for the next leader.
+        val unchanged = Condition(key, batch.blockVersions[block] ?: Revision.ABSENT)
+        return CompletionWrite(batch.job, tasks, listOf(isOpen(batch), unchanged), listOf(write), null)
+    }
+
+    private fun isOpen(batch: CompletionBatch) = Condition(Keys.job(batch.job), batch.version)
+
     /**
-     * Keeps a job from being started; [before]: the version of its hold's key. Whoever has begun another term meanwhile
-     * may have started it: then nothing is written.
+     * Records a hold of a job. [version]: that of the job's record; [holdVersion]: that of the key of its hold. If
+     * another term has begun, its leader may have started the job: then nothing is written.
      */
     public suspend fun hold(
         leadership: LeadershipState.Leader,
         job: JobId,
         version: Revision,
-        before: Revision,
+        holdVersion: Revision,
         hold: JobHold,
     ): CommitOutcome {
-        val conditions =
-            listOf(
-                Condition(Keys.TERM, leadership.termRevision),
-                Condition(Keys.job(job), version),
-                Condition(Keys.hold(job), before),
-            )
-        var outcome: CommitOutcome = CommitOutcome.Unknown
-        repeat(HOLD_TRIES) {
-            outcome =
-                client.commit(conditions, listOf(Write.Put(Keys.hold(job), hold.encode())), RequestPriority.RECORD)
-            if ((outcome as? CommitOutcome.Conflict)?.failed == setOf(Keys.hold(job))) {
-                // Nobody else holds jobs in this term: a hold that is there is the one that an earlier try left.
-                val there =
-                    client.read(Keys.hold(job), RequestPriority.RECORD) as? ReadOutcome.Found
-                        ?: return CommitOutcome.Unknown
-                return if (JobHold.decode(there.entry.value, there.entry.version)?.effective !=
-                    null
-                ) {
-                    CommitOutcome.Committed(there.entry.version)
-                } else {
-                    outcome
-                }
-            }
-            if (outcome != CommitOutcome.Unknown) return outcome
+        val conditions = listOf(
+            Condition(Keys.TERM, leadership.termRevision),
+            Condition(Keys.job(job), version),
+            Condition(Keys.hold(job), holdVersion),
+        )
+        val writes = listOf(Write.Put(Keys.hold(job), hold.encode()))
+        var outcome = client.commit(conditions, writes, RequestPriority.RECORD)
+        var attempts = 1
+        while (outcome == CommitOutcome.Unknown && attempts < MAX_HOLD_ATTEMPTS) {
+            outcome = client.commit(conditions, writes, RequestPriority.RECORD)
+            attempts++
         }
-        return outcome
+        val holdExists = (outcome as? CommitOutcome.Conflict)?.failed == setOf(Keys.hold(job))
+        return if (holdExists) outcomeOfExistingHold(job, outcome) else outcome
     }
 
-    /** A hold that was recorded while its job ended keeps nothing any more. */
-    public suspend fun forgetHold(leadership: LeadershipState.Leader, job: JobId) {
-        client.commit(
-            listOf(Condition(Keys.TERM, leadership.termRevision), Condition(Keys.job(job), Revision.ABSENT)),
-            listOf(Write.Drop(Keys.hold(job))),
-            RequestPriority.OTHER,
-        )
+    /**
+     * Nobody else holds jobs in this term: an effective hold that exists was written by an earlier unanswered attempt.
+     */
+    private suspend fun outcomeOfExistingHold(job: JobId, conflict: CommitOutcome): CommitOutcome {
+        val read = client.read(Keys.hold(job), RequestPriority.RECORD) as? ReadOutcome.Found
+            ?: return CommitOutcome.Unknown
+        val existing = JobHold.decode(read.entry.value, read.entry.version)
+        return if (existing?.effective != null) CommitOutcome.Committed(read.entry.version) else conflict
     }
 
-    /** The finished blocks of an ended job say nothing that its ending doesn't. */
-    public suspend fun forget(leadership: LeadershipState.Leader, job: JobId, blocks: Collection<Int>) {
-        for (chunk in blocks.chunked(txnOps)) {
-            client.commit(
-                listOf(Condition(Keys.TERM, leadership.termRevision), Condition(Keys.job(job), Revision.ABSENT)),
-                chunk.map { Write.Drop(Keys.finished(job, it)) },
-                RequestPriority.OTHER,
-            )
+    /** Drops a hold that was recorded while its job ended. */
+    public suspend fun dropHold(leadership: LeadershipState.Leader, job: JobId) {
+        client.commit(afterEnd(leadership, job), listOf(Write.Drop(Keys.hold(job))), RequestPriority.OTHER)
+    }
+
+    /** Drops blocks of completed tasks of a job that ended: its terminal record says as much. */
+    public suspend fun dropCompletedTasks(leadership: LeadershipState.Leader, job: JobId, blocks: Collection<Int>) {
+        for (chunk in blocks.chunked(maxWrites)) {
+            val writes = chunk.map { Write.Drop(Keys.completedTasks(job, it)) }
+            client.commit(afterEnd(leadership, job), writes, RequestPriority.OTHER)
         }
     }
 
+    private fun afterEnd(leadership: LeadershipState.Leader, job: JobId) =
+        listOf(Condition(Keys.TERM, leadership.termRevision), Condition(Keys.job(job), Revision.ABSENT))
+
     private companion object {
-        const val HOLD_TRIES = 3
+        const val MAX_HOLD_ATTEMPTS = 3
     }
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobLookup.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobLookup.kt
@@ -2,24 +2,29 @@
 
 import org.elderhitch.store.Revision
 
-/** What is known here of a job. */
+/** What this node knows about a job without asking the state service. */
 public sealed interface JobLookup {
-    /** [epoch] counts the gaps in what was followed: what is read elsewhere holds on only within one. */
+    /**
+     * Nothing is known. [epoch] counts the snapshots that [JobRegistry] received: an absence that is read from the
+     * state service is valid only within the epoch in which it was asked for.
+     */
     public data class Unknown(val epoch: Int) : JobLookup
 
-    /** The state service said so, and nothing that happened since says otherwise. */
+    /** The state service confirmed that the job does not exist, and no change since then created it. */
     public data object Absent : JobLookup
 
-    /** [version] is that of the job's record: its place in the order of jobs. */
+    /** The job is open. [version]: that of its record, which orders jobs by their submission. */
     public data class Open(
         val spec: JobSpec,
         val version: Revision,
-        val standing: JobStatus,
-        val holdKey: JobHold? = null,
+        val status: JobStatus,
+        /** What is stored under the key of its hold, if anything. */
+        val storedHold: JobHold? = null,
     ) : JobLookup {
-        /** Null: it may be started. */
-        public val hold: JobHold? get() = holdKey?.effective
+        /** The hold that keeps the job from being started; null: there is none. */
+        public val hold: JobHold? get() = storedHold?.effective
     }
 
+    /** The job ended, and how is still cached here. */
     public data class Ended(val record: TerminalRecord) : JobLookup
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobRegistry.kt
@@ -12,31 +12,34 @@
 import org.elderhitch.store.StoredKey
 import org.slf4j.LoggerFactory
 
-/** The open jobs, and a bounded memory of ended ones; the state service remembers the rest. */
+/**
+ * The actor that mirrors the open jobs of the state service and caches the terminal records of ended ones. An ended job
+ * never opens again here, in whatever order the watch, this node's own writes and other controllers report it.
+ */
 public class JobRegistry(scope: CoroutineScope, private val onEvent: (JobEvent) -> Unit) : Actor<JobMessage>(scope) {
     private class OpenJob(val spec: JobSpec, val version: Revision) {
-        val finished = CompletedTasks(spec.tasks)
+        val completedTasks = CompletedTasks(spec.tasks)
         var running = 0
-        var hold: JobHold? = null
+        var storedHold: JobHold? = null
     }
 
     private val log = LoggerFactory.getLogger("elderhitch.jobs")
-    private val open = HashMap<JobId, OpenJob>()
-    private val ended: Cache<JobId, TerminalRecord> = Caffeine.newBuilder().maximumSize(
-        REMEMBERED,
-    ).executor(Runnable::run).build()
-
-    /** Users ask again and again for jobs that nobody submitted; each question read the state service. */
-    private val absent: Cache<JobId, Unit> = Caffeine.newBuilder().maximumSize(
-        REMEMBERED_ABSENT,
-    ).executor(Runnable::run).build()
+    private val openJobs = HashMap<JobId, OpenJob>()
+    private val endedJobs: Cache<JobId, TerminalRecord> =
+        Caffeine.newBuilder().maximumSize(MAX_CACHED_ENDED).executor(Runnable::run).build()
+
+    /** Ids that no job has: users ask for them again and again, and each lookup would read the state service. */
+    private val absentJobs: Cache<JobId, Unit> =
+        Caffeine.newBuilder().maximumSize(MAX_CACHED_ABSENT).executor(Runnable::run).build()
+
+    /** Counts the snapshots. */
     private var epoch = 0
 
     /**
-     * What was recorded up to then has been told here: who records a job late hears nothing new of it, and perhaps less
-     * than there was.
+     * Everything up to this revision was received. An own write that is reported later than the watch passed it brings
+     * nothing new, and perhaps an outdated state.
      */
-    private var toldUpTo = Revision.ABSENT
+    private var receivedUpTo = Revision.ABSENT
 
     /** What the open jobs take of this process's memory. */
     public var footprint: Footprint = Footprint.NONE
@@ -44,130 +47,153 @@
 
     override fun receive(message: JobMessage) {
         when (message) {
-            is JobMessage.Snapshot -> snapshot(message.entries, message.revision)
-
-            is JobMessage.Changed -> {
-                message.changes.forEach(::changed)
-                message.changes.maxOfOrNull { it.version }?.let { toldUpTo = maxOf(toldUpTo, it) }
-            }
-
+            is JobMessage.Snapshot -> replaceBy(message.entries, message.revision)
+            is JobMessage.Changed -> applyChanges(message.changes)
             is JobMessage.Lookup -> message.reply.complete(lookup(message.id))
-
-            is JobMessage.Recorded -> if (message.version > toldUpTo) opened(message.spec, message.version)
-
-            is JobMessage.TerminalStateRecorded -> ended(message.id, message.record)
-
-            is JobMessage.TerminalStateReceived -> if (message.id in open) {
-                ended(message.id, message.record)
-            } else if (ended.getIfPresent(message.id) == null) {
-                log.info("ending ignored job={} reason=\"not open here\"", message.id)
-            }
-
-            is JobMessage.AbsenceConfirmed -> if (message.epoch == epoch &&
-                lookup(message.id) is JobLookup.Unknown
-            ) {
-                absent.put(message.id, Unit)
-            }
-
+            is JobMessage.Recorded -> if (message.version > receivedUpTo) open(message.spec, message.version)
+            is JobMessage.TerminalStateRecorded -> end(message.id, message.record)
+            is JobMessage.TerminalStateReceived -> endIfOpen(message.id, message.record)
+            is JobMessage.AbsenceConfirmed -> confirmAbsence(message.id, message.epoch)
             is JobMessage.FreshAsOf -> onEvent(JobEvent.FreshAsOf(message.since))
-
-            is JobMessage.RunningCounts -> open.forEach { (id, job) -> job.running = message.counts[id] ?: 0 }
+            is JobMessage.RunningCounts -> openJobs.forEach { (id, job) -> job.running = message.counts[id] ?: 0 }
         }
     }
 
     private fun lookup(id: JobId): JobLookup {
-        ended.getIfPresent(id)?.let { return JobLookup.Ended(it) }
-        val job = open[id] ?: return if (absent.getIfPresent(id) != null) JobLookup.Absent else JobLookup.Unknown(epoch)
-        return JobLookup.Open(job.spec, job.version, JobStatus.open(job.finished.count, job.running), job.hold)
+        val record = endedJobs.getIfPresent(id)
+        val job = openJobs[id]
+        return when {
+            record != null -> JobLookup.Ended(record)
+            job != null -> JobLookup.Open(job.spec, job.version, statusOf(job), job.storedHold)
+            absentJobs.getIfPresent(id) != null -> JobLookup.Absent
+            else -> JobLookup.Unknown(epoch)
+        }
     }
 
-    private fun snapshot(entries: List<Entry>, revision: Revision) {
-        // What began and ended since the last news is in no list.
+    private fun statusOf(job: OpenJob) = JobStatus.open(job.completedTasks.count, job.running)
+
+    private fun confirmAbsence(id: JobId, askedIn: Int) {
+        if (askedIn == epoch && lookup(id) is JobLookup.Unknown) absentJobs.put(id, Unit)
+    }
+
+    private fun replaceBy(entries: List<Entry>, revision: Revision) {
+        // Jobs that were submitted and ended since the last message appear in no listing.
         epoch++
-        toldUpTo = revision
-        absent.invalidateAll()
-        val present = entries.mapNotNull { (Keys.subject(it.key) as? StoredKey.Job)?.id }.toSet()
-        // How these ended is not known here; whoever asks is answered from their own keys.
-        open.values.filter { it.spec.id !in present && it.version <= revision }.forEach { gone(it.spec.id) }
-        val held = entries.mapNotNull { (Keys.subject(it.key) as? StoredKey.JobHold)?.id }.toSet()
-        open.values.filter { it.hold != null && it.spec.id !in held }.forEach { hold(it.spec.id, null) }
-        entries.sortedBy { if (Keys.subject(it.key) is StoredKey.Job) 0 else 1 }.forEach(::put)
+        receivedUpTo = revision
+        absentJobs.invalidateAll()
+        val listed = entries.mapNotNull { (Keys.parse(it.key) as? StoredKey.Job)?.id }.toSet()
+        // How these ended is not known here: whoever asks is answered from their terminal records.
+        openJobs.values.filter { it.spec.id !in listed && it.version <= revision }.forEach { close(it.spec.id) }
+        val held = entries.mapNotNull { (Keys.parse(it.key) as? StoredKey.JobHold)?.id }.toSet()
+        openJobs.values.filter { it.storedHold != null && it.spec.id !in held }.forEach { hold(it.spec.id, null) }
+        entries.sortedBy { if (Keys.parse(it.key) is StoredKey.Job) 0 else 1 }.forEach(::put)
+    }
+
+    private fun applyChanges(changes: List<Change>) {
+        changes.forEach(::applyChange)
+        changes.maxOfOrNull { it.version }?.let { receivedUpTo = maxOf(receivedUpTo, it) }
     }
 
-    private fun changed(change: Change) {
+    private fun applyChange(change: Change) {
         when (change) {
             is Change.Put -> put(change.entry)
 
-            is Change.Drop -> when (val subject = Keys.subject(change.key)) {
-                is StoredKey.Job -> gone(subject.id)
-                is StoredKey.JobHold -> hold(subject.id, null)
+            is Change.Drop -> when (val key = Keys.parse(change.key)) {
+                is StoredKey.Job -> close(key.id)
+                is StoredKey.JobHold -> hold(key.id, null)
                 else -> Unit
             }
         }
     }
 
     private fun put(entry: Entry) {
-        when (val subject = Keys.subject(entry.key)) {
-            is StoredKey.Job -> try {
-                opened(JobCodec.decode(entry.value), entry.version)
-            } catch (e: MalformedJson) {
-                log.error("job record malformed job={} reason=\"{}\"", subject.id, e.message)
-            }
+        when (val key = Keys.parse(entry.key)) {
+            is StoredKey.Job -> putJob(key.id, entry)
+            is StoredKey.TerminalRecord -> putTerminalRecord(key.id, entry)
+            is StoredKey.CompletedTasks -> putCompletedTasks(key, entry)
+            is StoredKey.JobHold -> putHold(key.id, entry)
+            else -> Unit
+        }
+    }
 
-            // Its job is neither open nor started again: the same transaction dropped its record. Whoever asks is told
-            // to ask later.
-            is StoredKey.TerminalRecord -> TerminalRecord.decode(entry.value)?.let { ended(subject.id, it) }
-                ?: log.error("ending malformed key={}", entry.key)
+    private fun putJob(id: JobId, entry: Entry) {
+        try {
+            open(JobCodec.decode(entry.value), entry.version)
+        } catch (e: MalformedJson) {
+            log.error("job record malformed job={} reason=\"{}\"", id, e.message)
+        }
+    }
 
-            is StoredKey.CompletedTasks -> finished(subject, entry)
+    private fun putTerminalRecord(id: JobId, entry: Entry) {
+        val record = TerminalRecord.decode(entry.value)
+        if (record == null) {
+            // The job is neither open nor started again, since the same transaction dropped its record; its users are
+            // asked to try again later.
+            log.error("terminal record malformed key={}", entry.key)
+        } else {
+            end(id, record)
+        }
+    }
 
-            is StoredKey.JobHold -> JobHold.decode(entry.value, entry.version)?.let { hold(subject.id, it) }
-                ?: log.error("hold malformed key={}", entry.key)
+    private fun putCompletedTasks(key: StoredKey.CompletedTasks, entry: Entry) {
+        val job = openJobs[key.id] ?: return
+        val packed = entry.value.raw(PACKED_TASKS) as? String ?: return
+        if (job.completedTasks.unpack(key.block, packed)) {
+            onEvent(JobEvent.TasksCompleted(key.id, job.completedTasks, key.block, entry.version))
+        } else {
+            log.error("completed tasks malformed key={}", entry.key)
+        }
+    }
 
-            else -> Unit
+    private fun putHold(id: JobId, entry: Entry) {
+        val hold = JobHold.decode(entry.value, entry.version)
+        if (hold == null) {
+            log.error("hold malformed key={}", entry.key)
+        } else {
+            hold(id, hold)
         }
     }
 
-    private fun opened(spec: JobSpec, version: Revision) {
-        absent.invalidate(spec.id)
-        // The record is written once, so a second sight of it changes nothing; and an ended job never opens again.
-        if (spec.id in open || ended.getIfPresent(spec.id) != null) return
-        open[spec.id] = OpenJob(spec, version)
+    private fun open(spec: JobSpec, version: Revision) {
+        absentJobs.invalidate(spec.id)
+        // A record is written once, so seeing it again changes nothing; and an ended job never opens again.
+        if (spec.id in openJobs || endedJobs.getIfPresent(spec.id) != null) return
+        openJobs[spec.id] = OpenJob(spec, version)
         footprint += Footprint.of(spec)
         onEvent(JobEvent.Opened(spec, version))
     }
 
-    private fun finished(subject: StoredKey.CompletedTasks, entry: Entry) {
-        val job = open[subject.id] ?: return
-        val value = entry.value.raw("f") as? String ?: return
-        if (job.finished.unpack(subject.block, value)) {
-            onEvent(JobEvent.TasksCompleted(subject.id, job.finished, subject.block, entry.version))
-        } else {
-            log.error("finished block malformed key={}", entry.key)
+    private fun endIfOpen(id: JobId, record: TerminalRecord) {
+        if (id in openJobs) {
+            end(id, record)
+        } else if (endedJobs.getIfPresent(id) == null) {
+            log.info("terminal state ignored job={} reason=\"not open here\"", id)
         }
     }
 
-    private fun ended(id: JobId, record: TerminalRecord) {
-        absent.invalidate(id)
-        ended.put(id, record)
-        gone(id)
+    private fun end(id: JobId, record: TerminalRecord) {
+        absentJobs.invalidate(id)
+        endedJobs.put(id, record)
+        close(id)
     }
 
-    private fun hold(id: JobId, hold: JobHold?) {
-        val job = open[id] ?: return
-        if (job.hold == hold) return
-        job.hold = hold
-        onEvent(JobEvent.HoldChanged(id, hold))
-    }
-
-    private fun gone(id: JobId) {
-        val job = open.remove(id) ?: return
+    private fun close(id: JobId) {
+        val job = openJobs.remove(id) ?: return
         footprint -= Footprint.of(job.spec)
         onEvent(JobEvent.Ended(id))
     }
 
-    private companion object {
-        const val REMEMBERED = 20_000L
-        const val REMEMBERED_ABSENT = 5_000L
+    private fun hold(id: JobId, storedHold: JobHold?) {
+        val job = openJobs[id] ?: return
+        if (job.storedHold == storedHold) return
+        job.storedHold = storedHold
+        onEvent(JobEvent.HoldChanged(id, storedHold))
+    }
+
+    internal companion object {
+        /** The field of a stored block that holds its completed tasks. */
+        const val PACKED_TASKS = "f"
+        private const val MAX_CACHED_ENDED = 20_000L
+        private const val MAX_CACHED_ABSENT = 5_000L
     }
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobService.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobService.kt
@@ -4,8 +4,6 @@
 import org.elderhitch.json.Json
 import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
-import org.elderhitch.settings.Team
-import org.elderhitch.settings.TeamName
 import org.elderhitch.store.CommitOutcome
 import org.elderhitch.store.Condition
 import org.elderhitch.store.Keys
@@ -18,107 +16,96 @@
 import org.elderhitch.time.WallClock
 import org.slf4j.LoggerFactory
 
-/** What is recorded in one transaction with a job, and only if these hold too. */
+/** What is recorded in one transaction with a job, and the conditions on which both depend. */
 public class ExtraWrites(public val conditions: List<Condition>, public val writes: List<Write>) {
     public companion object {
-        public val NOTHING: ExtraWrites = ExtraWrites(emptyList(), emptyList())
+        public val NONE: ExtraWrites = ExtraWrites(emptyList(), emptyList())
     }
 }
 
-/** What the leader has seen of a job's work; null: it can't be asked. */
+/** The leader's usage account of a job. */
 public fun interface AccountSource {
+    /** Null: the leader can't be asked. */
     public suspend fun of(spec: JobSpec): JobAccount?
 }
 
-/** What machines exist in principle; null until the cloud has said. */
-public fun interface MachineCatalogView {
-    public fun canEverRun(spec: JobSpec): Boolean?
-}
-
 /**
- * Records jobs and withdrawals on any node, leader or not: conditionally, and before anybody is told. An answer that is
- * not final is given only after [StateWatch.sync], so it is never older than one that another node gave.
+ * Submits, shows, cancels and releases jobs, on any node, leader or not. Each change is written conditionally, and
+ * before it is answered. An answer that may still change is given only after [StateWatch.awaitFreshness], so it is
+ * never older than an answer that another node gave before.
  */
 public class JobService(
     private val jobRegistry: JobRegistry,
     private val stateWatch: StateWatch,
     private val client: StateClient,
-    private val teams: Map<TeamName, Team>,
-    private val catalogue: MachineCatalogView,
-    private val valueBytes: Int,
+    private val policy: SubmissionPolicy,
     private val wallClock: WallClock,
     private val accounts: AccountSource = AccountSource { null },
-    private val rules: ClassRules = ClassRules.NONE,
-    private val admission: Admission? = null,
     private val jobProvider: (JobId) -> JobProvider? = { null },
-    /** Told of each withdrawal that this node has recorded. */
+    /** Called with each cancellation that this node has recorded. */
     private val onCancelled: (JobId, TerminalRecord) -> Unit = { _, _ -> },
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.jobs")
 
+    /** Submits a job as a user sent it. */
     public suspend fun submit(bytes: ByteArray): JobResponse {
-        val body: JsonObject
-        val id: JobId
-        try {
-            body = Json.parseObject(bytes)
-            id = JobCodec.id(body)
+        val body = try {
+            Json.parseObject(bytes).also(JobCodec::id)
         } catch (e: MalformedJson) {
             return JobResponse.Malformed(e.message.orEmpty())
         }
-        if (!stateWatch.loaded) return JobResponse.NotNow("starting")
+        return if (stateWatch.loaded) submit(body) else STARTING
+    }
+
+    private suspend fun submit(body: JsonObject): JobResponse {
         val spec = try {
             JobCodec.decode(body)
         } catch (e: MalformedJson) {
-            // An accepted job is never refused, whatever a repeat of it looks like.
-            return known(id, orElse = JobResponse.Malformed(e.message.orEmpty()))
+            // A job that was accepted is never refused, whatever a repeated submission looks like.
+            return acceptedBefore(JobCodec.id(body)) ?: JobResponse.Malformed(e.message.orEmpty())
         }
         return submit(spec)
     }
 
-    /** [extra]: fields that are kept in the job's record and mean nothing here. */
+    /** Submits a job. [extra]: fields that are stored in its record and have no meaning here. */
     public suspend fun submit(
         spec: JobSpec,
         extra: Map<String, Any?> = emptyMap(),
-        beside: ExtraWrites = ExtraWrites.NOTHING,
+        extraWrites: ExtraWrites = ExtraWrites.NONE,
     ): JobResponse {
-        if (!stateWatch.loaded) return JobResponse.NotNow("starting")
-        val id = spec.id
+        if (!stateWatch.loaded) return STARTING
         val encoded = JobCodec.encode(spec) + extra
-        if (Json.bytes(encoded).size >
-            valueBytes
-        ) {
-            return known(id, orElse = JobResponse.Malformed("the job's fields are too long"))
-        }
-        if (lookup(id).let {
-                it is JobLookup.Open || it is JobLookup.Ended
-            }
-        ) {
-            return known(id, orElse = JobResponse.NotNow("state unclear"))
-        }
-        if (jobProvider(id) !=
-            null
-        ) {
-            return known(id, orElse = JobResponse.Malformed("id: of a form that is given and not chosen"))
-        }
-        refusal(spec)?.let { return known(id, orElse = it) }
-        if (admission?.admits(jobRegistry.footprint, spec) == false) return known(id, orElse = JobResponse.Full)
-        return record(spec, encoded, beside)
+        val refusal = refusalToRecord(spec, encoded) ?: return record(spec, encoded, extraWrites)
+        return acceptedBefore(spec.id) ?: refusal
+    }
+
+    /** Why the job is not to be recorded, unless it was before; null: it is to be recorded. */
+    private suspend fun refusalToRecord(spec: JobSpec, encoded: Map<String, Any?>): JobResponse? = when {
+        Json.bytes(encoded).size > policy.maxValueBytes -> JobResponse.Malformed("the job's fields are too long")
+        isOpenOrEnded(spec.id) -> STATE_UNCLEAR
+        jobProvider(spec.id) != null -> JobResponse.Malformed("id: of a form that is given and not chosen")
+        else -> refusal(spec) ?: JobResponse.Full.takeUnless { policy.admits(jobRegistry.footprint, spec) }
+    }
+
+    private suspend fun isOpenOrEnded(id: JobId): Boolean {
+        val known = lookup(id)
+        return known is JobLookup.Open || known is JobLookup.Ended
     }
 
-    /** Why the job would be refused, whoever submits it and by whatever way; null: it would not. */
+    /** Why the job would be refused, whoever submits it and in whatever way; null: it would not. */
     public suspend fun refusal(spec: JobSpec): JobResponse? =
-        neverRuns(spec) ?: spec.repeatOf?.let { badRepeat(spec, it) }
+        policy.refusal(spec) ?: spec.repeatOf?.let { repeatRefusal(spec, it) }
 
-    private suspend fun badRepeat(spec: JobSpec, earlier: JobId): JobResponse? = when (val shown = show(earlier)) {
+    private suspend fun repeatRefusal(spec: JobSpec, earlier: JobId): JobResponse? = when (val shown = show(earlier)) {
         JobResponse.Unknown -> JobResponse.NeverRuns("repeatOf: no such job")
 
         is JobResponse.State -> {
-            val known = lookup(earlier)
-            val jobClass =
-                (known as? JobLookup.Open)?.spec?.jobClass ?: (known as? JobLookup.Ended)?.record?.account?.jobClass
-            if (jobClass == null ||
-                jobClass == spec.jobClass
-            ) {
+            val jobClass = when (val known = lookup(earlier)) {
+                is JobLookup.Open -> known.spec.jobClass
+                is JobLookup.Ended -> known.record.account?.jobClass
+                else -> null
+            }
+            if (jobClass == null || jobClass == spec.jobClass) {
                 null
             } else {
                 JobResponse.NeverRuns("repeatOf: a job of class $jobClass")
@@ -128,190 +115,190 @@
         else -> shown
     }
 
-    private fun neverRuns(spec: JobSpec): JobResponse? {
-        rules.deniesRepeat(spec)?.let { return JobResponse.NeverRuns(it) }
-        val team = teams[spec.team] ?: return JobResponse.NeverRuns("desk: unknown team")
-        val atOnce = spec.resources * if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
-        if (team.mostCpus != null &&
-            atOnce.cpus > team.mostCpus ||
-            team.mostGpus != null &&
-            atOnce.gpus > team.mostGpus
-        ) {
-            return JobResponse.NeverRuns("more than the team's limit")
-        }
-        return when (catalogue.canEverRun(spec)) {
-            true -> null
-            false -> JobResponse.NeverRuns("a task fits no allowed machine type")
-            null -> JobResponse.NotNow("machine types not known yet")
-        }
-    }
-
-    private suspend fun record(spec: JobSpec, encoded: Map<String, Any?>, beside: ExtraWrites): JobResponse {
-        val conditions =
-            listOf(
-                Condition(Keys.job(spec.id), Revision.ABSENT),
-                Condition(Keys.terminalRecord(spec.id), Revision.ABSENT),
-            ) +
-                beside.conditions
-        val write = listOf(Write.Put(Keys.job(spec.id), encoded)) + beside.writes
-        repeat(TRIES) {
-            when (val outcome = client.commit(conditions, write, RequestPriority.RECORD)) {
+    private suspend fun record(spec: JobSpec, encoded: Map<String, Any?>, extraWrites: ExtraWrites): JobResponse {
+        val conditions = listOf(
+            Condition(Keys.job(spec.id), Revision.ABSENT),
+            Condition(Keys.terminalRecord(spec.id), Revision.ABSENT),
+        ) + extraWrites.conditions
+        val writes = listOf(Write.Put(Keys.job(spec.id), encoded)) + extraWrites.writes
+        return withRetries {
+            when (val outcome = client.commit(conditions, writes, RequestPriority.RECORD)) {
                 is CommitOutcome.Committed -> {
                     jobRegistry.tell(JobMessage.Recorded(spec, outcome.revision))
-                    return JobResponse.Accepted(spec.id, JobStatus.open(0, 0), isNew = true)
+                    JobResponse.Accepted(spec.id, JobStatus.open(0, 0), isNew = true)
                 }
 
-                is CommitOutcome.Conflict -> return known(spec.id, orElse = JobResponse.NotNow("state unclear"))
+                is CommitOutcome.Conflict -> acceptedBefore(spec.id) ?: STATE_UNCLEAR
 
-                // If the first try was executed after all, the second finds the record and changes nothing.
-                CommitOutcome.Unknown -> Unit
+                // If this attempt was executed after all, the next one finds the record and changes nothing.
+                CommitOutcome.Unknown -> null
 
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return JobResponse.NotNow(
-                    "the state service takes no record now",
-                )
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> WRITE_REFUSED
             }
         }
-        return JobResponse.NotNow("the state service doesn't answer")
     }
 
-    private suspend fun known(id: JobId, orElse: JobResponse): JobResponse = when (val shown = show(id)) {
-        is JobResponse.State -> JobResponse.Accepted(id, shown.standing, isNew = false)
-        JobResponse.Unknown -> orElse
+    /** The answer to a repeated submission, or why there is none; null: no such job is known. */
+    private suspend fun acceptedBefore(id: JobId): JobResponse? = when (val shown = show(id)) {
+        is JobResponse.State -> JobResponse.Accepted(id, shown.status, isNew = false)
+        JobResponse.Unknown -> null
         else -> shown
     }
 
+    /** How a job stands. */
     public suspend fun show(id: JobId): JobResponse {
-        (lookup(id) as? JobLookup.Ended)?.let { return JobResponse.State(id, it.record.standing()) }
-        // A job that was submitted under such an id before somebody kept any is found further down.
-        jobProvider(id)?.let { kept ->
-            if (lookup(id) !is JobLookup.Open) {
-                kept.show(id).let {
-                    if (it !=
-                        JobResponse.Unknown
-                    ) {
-                        return it
-                    }
-                }
-            }
-        }
-        if (!stateWatch.sync()) return JobResponse.NotNow("the state service doesn't answer")
+        val final = (lookup(id) as? JobLookup.Ended)?.let { JobResponse.State(id, it.record.status()) }
+        val answer = final ?: showByProvider(id)
+        if (answer != null) return answer
+        if (!stateWatch.awaitFreshness()) return STORE_UNAVAILABLE
         return when (val known = lookup(id)) {
-            is JobLookup.Ended -> JobResponse.State(id, known.record.standing())
-
-            is JobLookup.Open -> JobResponse.State(id, known.standing)
-
+            is JobLookup.Ended -> JobResponse.State(id, known.record.status())
+            is JobLookup.Open -> JobResponse.State(id, known.status)
             JobLookup.Absent -> JobResponse.Unknown
+            is JobLookup.Unknown -> showStored(id, known.epoch)
+        }
+    }
 
-            is JobLookup.Unknown -> when (val read = client.read(Keys.terminalRecord(id), RequestPriority.END)) {
-                is ReadOutcome.Found -> TerminalRecord.decode(read.entry.value)?.let {
-                    jobRegistry.tell(JobMessage.TerminalStateRecorded(id, it))
-                    JobResponse.State(id, it.standing())
-                } ?: JobResponse.NotNow("the job's ending can't be read")
+    /** Null for an id that no provider knows: a job may have been submitted under it before there was a provider. */
+    private suspend fun showByProvider(id: JobId): JobResponse? {
+        val provider = jobProvider(id) ?: return null
+        if (lookup(id) is JobLookup.Open) return null
+        return provider.show(id).takeIf { it != JobResponse.Unknown }
+    }
 
-                ReadOutcome.Absent -> {
-                    jobRegistry.tell(JobMessage.AbsenceConfirmed(id, known.epoch))
-                    JobResponse.Unknown
+    /** How a job stands that is not open: by its terminal record, which is not cached here. */
+    private suspend fun showStored(id: JobId, epoch: Int): JobResponse =
+        when (val read = client.read(Keys.terminalRecord(id), RequestPriority.END)) {
+            is ReadOutcome.Found -> {
+                val record = TerminalRecord.decode(read.entry.value)
+                if (record == null) {
+                    JobResponse.NotNow("the job's ending can't be read")
+                } else {
+                    jobRegistry.tell(JobMessage.TerminalStateRecorded(id, record))
+                    JobResponse.State(id, record.status())
                 }
+            }
 
-                ReadOutcome.Unavailable -> JobResponse.NotNow("the state service doesn't answer")
+            ReadOutcome.Absent -> {
+                jobRegistry.tell(JobMessage.AbsenceConfirmed(id, epoch))
+                JobResponse.Unknown
             }
+
+            ReadOutcome.Unavailable -> STORE_UNAVAILABLE
         }
-    }
 
+    /** Cancels a job; the answer to a job that has ended is how it ended. */
     public suspend fun cancel(id: JobId): JobResponse {
-        var unanswered = false
-        repeat(TRIES) {
-            if (lookup(id) !is JobLookup.Open) {
-                val shown = show(id)
-                if (shown !is JobResponse.State) return shown
-                val known = lookup(id)
-                if (known is JobLookup.Ended) {
-                    // Most likely recorded by the try that got no answer: others may hear of it as late as this node
-                    // did.
-                    if (unanswered && known.record.how == TerminalState.CANCELLED) onCancelled(id, known.record)
-                    return JobResponse.State(id, known.record.standing())
-                }
-                if (known !is JobLookup.Open) return jobProvider(id)?.cancel(id) ?: shown
-            }
-            val open = lookup(id) as? JobLookup.Open ?: return@repeat
-            val record = TerminalRecord(
-                TerminalState.CANCELLED,
-                open.standing.done,
-                accounts.of(open.spec) ?: JobAccount.unseen(open.spec, wallClock.now()),
-            )
-            val outcome = client.commit(
-                // Done or withdrawn: whoever creates the key of the ending has decided it.
-                listOf(Condition(Keys.terminalRecord(id), Revision.ABSENT), Condition(Keys.job(id), open.version)),
-                listOfNotNull(
-                    Write.Put(Keys.terminalRecord(id), record.encode()),
-                    Write.Drop(Keys.job(id)),
-                    open.holdKey?.let {
-                        Write.Drop(Keys.hold(id))
-                    },
-                ),
-                RequestPriority.RECORD,
-            )
-            when (outcome) {
-                is CommitOutcome.Committed -> {
-                    log.info("job withdrawn job={}", id)
-                    jobRegistry.tell(JobMessage.TerminalStateRecorded(id, record))
-                    onCancelled(id, record)
-                    return JobResponse.State(id, record.standing())
-                }
+        val cancellation = Cancellation(id)
+        return withRetries { cancellation.attempt() }
+    }
 
-                is CommitOutcome.Conflict -> if (!stateWatch.sync()) {
-                    return JobResponse.NotNow(
-                        "the state service doesn't answer",
-                    )
+    /** One request to cancel a job, over its attempts. */
+    private inner class Cancellation(private val id: JobId) {
+        /** Whether an attempt got no response: it may have been executed. */
+        private var unanswered = false
+
+        /** Null: to be attempted again. */
+        suspend fun attempt(): JobResponse? {
+            val answer = answerUnlessOpen()
+            if (answer != null) return answer
+            val open = lookup(id) as? JobLookup.Open ?: return null
+            val account = accounts.of(open.spec) ?: JobAccount.unobserved(open.spec, wallClock.now())
+            val record = TerminalRecord(TerminalState.CANCELLED, open.status.done, account)
+            return when (commit(open, record)) {
+                is CommitOutcome.Committed -> committed(record)
+
+                is CommitOutcome.Conflict -> STORE_UNAVAILABLE.takeUnless { stateWatch.awaitFreshness() }
+
+                CommitOutcome.Unknown -> {
+                    unanswered = true
+                    null
                 }
 
-                CommitOutcome.Unknown -> unanswered = true
-
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return JobResponse.NotNow(
-                    "the state service takes no record now",
-                )
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> WRITE_REFUSED
             }
         }
-        return JobResponse.NotNow("the state service doesn't answer")
-    }
 
-    /** Takes a hold away; [JobResponse.Unknown] if there is none to be taken. */
-    public suspend fun release(id: JobId, may: (JobHold) -> Boolean): JobResponse {
-        repeat(TRIES) {
+        private suspend fun answerUnlessOpen(): JobResponse? {
+            if (lookup(id) is JobLookup.Open) return null
             val shown = show(id)
             if (shown !is JobResponse.State) return shown
-            val open = lookup(id) as? JobLookup.Open
-            val hold = open?.hold?.takeIf(may) ?: return JobResponse.Unknown
-            val outcome = client.commit(
-                listOf(Condition(Keys.hold(id), hold.version)),
-                listOf(Write.Put(Keys.hold(id), JobHold.of(HoldKind.RELEASED, hold.reason).encode())),
-                RequestPriority.RECORD,
-            )
-            when (outcome) {
-                is CommitOutcome.Committed -> return JobResponse.State(id, open.standing)
-
-                is CommitOutcome.Conflict, CommitOutcome.Unknown -> if (!stateWatch.sync()) {
-                    return JobResponse.NotNow(
-                        "the state service doesn't answer",
-                    )
+            return when (val known = lookup(id)) {
+                is JobLookup.Open -> null
+
+                is JobLookup.Ended -> {
+                    // Most likely recorded by the unanswered attempt: other nodes may learn of it as late as this one.
+                    if (unanswered && known.record.state == TerminalState.CANCELLED) onCancelled(id, known.record)
+                    JobResponse.State(id, known.record.status())
                 }
 
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return JobResponse.NotNow(
-                    "the state service takes no record now",
-                )
+                JobLookup.Absent, is JobLookup.Unknown -> jobProvider(id)?.cancel(id) ?: shown
             }
         }
-        return JobResponse.NotNow("the state service doesn't answer")
+
+        /** Whoever creates the key of the terminal record decides whether the job is done or cancelled. */
+        private suspend fun commit(open: JobLookup.Open, record: TerminalRecord): CommitOutcome = client.commit(
+            listOf(Condition(Keys.terminalRecord(id), Revision.ABSENT), Condition(Keys.job(id), open.version)),
+            listOfNotNull(
+                Write.Put(Keys.terminalRecord(id), record.encode()),
+                Write.Drop(Keys.job(id)),
+                open.storedHold?.let { Write.Drop(Keys.hold(id)) },
+            ),
+            RequestPriority.RECORD,
+        )
+
+        private fun committed(record: TerminalRecord): JobResponse {
+            log.info("job cancelled job={}", id)
+            jobRegistry.tell(JobMessage.TerminalStateRecorded(id, record))
+            onCancelled(id, record)
+            return JobResponse.State(id, record.status())
+        }
     }
 
-    /** What is known here, without asking anybody. */
+    /** Releases a job's hold if it is one that [permitted] accepts; [JobResponse.Unknown] if there is none such. */
+    public suspend fun release(id: JobId, permitted: (JobHold) -> Boolean): JobResponse =
+        withRetries { attemptRelease(id, permitted) }
+
+    private suspend fun attemptRelease(id: JobId, permitted: (JobHold) -> Boolean): JobResponse? {
+        val shown = show(id)
+        if (shown !is JobResponse.State) return shown
+        val open = lookup(id) as? JobLookup.Open
+        val hold = open?.hold?.takeIf(permitted) ?: return JobResponse.Unknown
+        val outcome = client.commit(
+            listOf(Condition(Keys.hold(id), hold.version)),
+            listOf(Write.Put(Keys.hold(id), JobHold.of(HoldKind.RELEASED, hold.reason).encode())),
+            RequestPriority.RECORD,
+        )
+        return when (outcome) {
+            is CommitOutcome.Committed -> JobResponse.State(id, open.status)
+
+            is CommitOutcome.Conflict, CommitOutcome.Unknown ->
+                STORE_UNAVAILABLE.takeUnless { stateWatch.awaitFreshness() }
+
+            CommitOutcome.Refused, CommitOutcome.NoSuchLease -> WRITE_REFUSED
+        }
+    }
+
+    /** What is known about a job on this node, without asking the state service. */
     public suspend fun lookup(id: JobId): JobLookup {
         val reply = CompletableDeferred<JobLookup>()
         jobRegistry.tell(JobMessage.Lookup(id, reply))
         return reply.await()
     }
 
+    /** Repeats [attempt], up to [MAX_ATTEMPTS] times, until it has an answer. */
+    private inline fun withRetries(attempt: () -> JobResponse?): JobResponse {
+        repeat(MAX_ATTEMPTS) {
+            attempt()?.let { return it }
+        }
+        return STORE_UNAVAILABLE
+    }
+
     private companion object {
-        const val TRIES = 3
+        const val MAX_ATTEMPTS = 3
+        val STARTING = JobResponse.NotNow("starting")
+        val STATE_UNCLEAR = JobResponse.NotNow("state unclear")
+        val STORE_UNAVAILABLE = JobResponse.NotNow("the state service doesn't answer")
+        val WRITE_REFUSED = JobResponse.NotNow("the state service takes no record now")
     }
 }
--- a/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
@@ -79,7 +79,7 @@
         noClaimBefore = clock.now() + RESIGN_PAUSE
         stateMachine.endTerm(reason)
         scope.launch {
-            client.end(leader.lease)
+            client.revokeLease(leader.lease)
             delay(RESIGN_PAUSE)
             tell(LeadershipMessage.RetryClaim)
         }
@@ -138,7 +138,7 @@
             delay(pause)
             if (stateMachine.leaderOf(term) == null) return
             val sentAt = clock.now()
-            val outcome = client.extend(lease)
+            val outcome = client.renewLease(lease)
             val leader = stateMachine.leaderOf(term) ?: return
             pause = when (outcome) {
                 is LeaseOutcome.Held -> {
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipClaim.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipClaim.kt
@@ -90,7 +90,7 @@
         LeadershipCodec.decodeClaimant(entry.value),
     )
 
-    private suspend fun grantLease(): LeaseId? = (client.grant(leaseTtl) as? LeaseOutcome.Held)?.lease
+    private suspend fun grantLease(): LeaseId? = (client.grantLease(leaseTtl) as? LeaseOutcome.Held)?.lease
 
     private fun newClaimId(): String = random.nextLong().toULong().toString(CLAIM_ID_RADIX)
 
--- a/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
@@ -133,7 +133,7 @@
 
     /** Holds the job if a task of it was started as often as the rule of its class allows. */
     fun failed(leadership: LeadershipState.Leader, job: JobState, index: Int) {
-        val most = rules.of(job.spec.jobClass).attempts ?: return
+        val most = rules.of(job.spec.jobClass).maxAttempts ?: return
         if (job.hold != null || job.holdPending || job.isTerminal || job.usage.failuresOf(index) < most) return
         log.info("job held job={} rule=attempts task={} starts={}", job.id, index, job.usage.failuresOf(index))
         begin(
@@ -150,7 +150,7 @@
         suspended.remove(id)
     }
 
-    fun counts(job: JobState): Boolean = rules.any && rules.of(job.spec.jobClass).attempts != null
+    fun counts(job: JobState): Boolean = rules.any && rules.of(job.spec.jobClass).maxAttempts != null
 
     private companion object {
         val SAVE_MARGIN: Duration = 1.seconds
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -379,7 +379,7 @@
                 table.markTerminal(job)
             }
 
-            is JobEvent.HoldChanged -> holds.heard(currentLeadership(), event.id, event.key)
+            is JobEvent.HoldChanged -> holds.heard(currentLeadership(), event.id, event.storedHold)
 
             is JobEvent.FreshAsOf -> {
                 table.freshAsOf = event.since
--- a/src/main/kotlin/org/elderhitch/store/StateWatch.kt
+++ b/src/main/kotlin/org/elderhitch/store/StateWatch.kt
@@ -9,26 +9,31 @@
 import org.elderhitch.time.MonotonicInstant
 import org.elderhitch.time.SteadyClock
 import org.slf4j.LoggerFactory
+import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What the state service holds under [Keys.OPEN], all at once, and then each change under [Keys.ALL] in order. */
+/** Receives the contents of the state service under [Keys.OPEN], and then each change under [Keys.ALL] in order. */
 public interface StateWatchListener {
+    /** All entries under [Keys.OPEN]; changes after [revision] follow. Replaces whatever was received before. */
     public fun snapshot(entries: List<Entry>, revision: Revision)
 
+    /** All changes up to [revision] that were not passed on before, in their order. */
     public fun changed(changes: List<Change>, revision: Revision)
 
     /**
-     * All that the state service held at [since] has been passed on before this is called; [since] is when the request
-     * that proves it was sent.
+     * Everything that the state service held at [since] has been passed on before this call. [since] is the time at
+     * which the request was sent whose response shows it.
      */
-    public fun proven(since: MonotonicInstant) {}
+    public fun freshAsOf(since: MonotonicInstant) {}
 }
 
 /**
- * Follows the state service. Blocking watches bring news; [sync] proves that nothing is missing: it asks for all
- * changes
- * up to now, so an answer given after it is no older than any answer that any node gave before it.
+ * Keeps a local copy of the state service up to date: one listing at the start, then blocking watches from its revision
+ * on. If the service has compacted the revision that the watch stands at, everything is listed again.
+ *
+ * Watches may lag. [awaitFreshness] and [checkFreshness] are linearizable reads: they ask for all changes up to now, so
+ * an answer given after one of them is no older than any answer that any node gave before it began.
  */
 public class StateWatch(
     private val scope: CoroutineScope,
@@ -37,131 +42,159 @@
     private val listener: StateWatchListener,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.store")
-    private val loading = Mutex()
+    private val reloadMutex = Mutex()
 
-    /** Null: not loaded, or the thread was lost and all is being read again. */
+    /** Up to where changes were passed on; null: nothing is loaded yet, or everything is being listed again. */
     private var revision: Revision? = null
-    private var waiting = ArrayList<CompletableDeferred<Boolean>>()
-    private var syncing = false
-    private var syncedAt = MonotonicInstant.NEVER
+    private var freshnessWaiters = ArrayList<CompletableDeferred<Boolean>>()
+    private var freshnessRoundsRunning = false
+    private var lastFreshnessRound = MonotonicInstant.NEVER
 
+    /** Whether the local copy is complete as of some revision. */
     public val loaded: Boolean get() = revision != null
 
+    /** Loads everything and follows the changes, until the scope is cancelled. */
     public fun start() {
         scope.launch {
             while (true) {
-                val at = revision
-                val sent = clock.now()
-                if (at == null) {
-                    if (!load(null, sent)) delay(RETRY)
-                    continue
-                }
-                when (val outcome = client.watch(Keys.ALL, at, WAIT, RequestPriority.LEADERSHIP)) {
-                    is WatchOutcome.Changes -> if (!apply(outcome, at, sent)) delay(RETRY)
-                    WatchOutcome.TooOld -> load(at, clock.now())
-                    WatchOutcome.Unavailable -> delay(RETRY)
-                }
+                if (!followOnce()) delay(RETRY_DELAY)
             }
         }
     }
 
-    /** True once everything that was in the state service when this was called is known here; false: can't tell. */
-    public suspend fun sync(): Boolean {
+    /** One listing or one blocking watch; false: wait before the next. */
+    private suspend fun followOnce(): Boolean {
+        val current = revision
+        val sent = clock.now()
+        if (current == null) return reload(null, sent)
+        return when (val outcome = client.watch(Keys.ALL, current, WATCH_WAIT, RequestPriority.LEADERSHIP)) {
+            is WatchOutcome.Changes -> apply(outcome, current, sent)
+
+            WatchOutcome.TooOld -> {
+                reload(current, clock.now())
+                true
+            }
+
+            WatchOutcome.Unavailable -> false
+        }
+    }
+
+    /**
+     * Waits until everything that was in the state service when this was called has been passed on; false: that could
+     * not be established. Callers that wait at the same time share one request, and requests are at least
+     * [FRESHNESS_SPACING] apart.
+     */
+    public suspend fun awaitFreshness(): Boolean {
         if (revision == null) return false
-        val answer = CompletableDeferred<Boolean>()
-        waiting.add(answer)
-        if (!syncing) {
-            syncing = true
-            scope.launch { syncRounds() }
+        val waiter = CompletableDeferred<Boolean>()
+        freshnessWaiters.add(waiter)
+        if (!freshnessRoundsRunning) {
+            freshnessRoundsRunning = true
+            scope.launch { runFreshnessRounds() }
         }
-        return answer.await()
+        return waiter.await()
     }
 
-    private suspend fun syncRounds() {
+    private suspend fun runFreshnessRounds() {
         try {
-            while (waiting.isNotEmpty()) {
-                val pause = SPACING - (clock.now() - syncedAt)
+            while (freshnessWaiters.isNotEmpty()) {
+                val pause = FRESHNESS_SPACING - (clock.now() - lastFreshnessRound)
                 if (pause.isPositive()) delay(pause)
-                syncedAt = clock.now()
-                // Whoever asks after the request was sent needs the next one.
-                val served = waiting
-                waiting = ArrayList()
-                var fresh = false
-                try {
-                    fresh = syncOnce(RequestPriority.END)
-                } finally {
-                    served.forEach { it.complete(fresh) }
-                }
+                lastFreshnessRound = clock.now()
+                runFreshnessRound()
             }
         } finally {
-            syncing = false
+            freshnessRoundsRunning = false
         }
     }
 
-    /** A [sync] that waits for nobody else's, and comes before all but renewals: for whoever leads. */
-    public suspend fun prove(): Boolean = syncOnce(RequestPriority.LEADERSHIP)
+    private suspend fun runFreshnessRound() {
+        // Whoever asks after the request was sent is served by the next round.
+        val served = freshnessWaiters
+        freshnessWaiters = ArrayList()
+        var fresh = false
+        try {
+            fresh = readChanges(RequestPriority.END)
+        } finally {
+            served.forEach { it.complete(fresh) }
+        }
+    }
+
+    /**
+     * Like [awaitFreshness], for a leader: sends a request of its own at once, with the priority of lease renewals.
+     * What a leader knows ages with the time since the last success.
+     */
+    public suspend fun checkFreshness(): Boolean = readChanges(RequestPriority.LEADERSHIP)
 
-    private suspend fun syncOnce(purpose: RequestPriority): Boolean {
-        val at = revision ?: return false
+    private suspend fun readChanges(priority: RequestPriority): Boolean {
+        val current = revision ?: return false
         val sent = clock.now()
-        return when (val outcome = client.watch(Keys.ALL, at, kotlin.time.Duration.ZERO, purpose)) {
-            is WatchOutcome.Changes -> apply(outcome, at, sent)
-            WatchOutcome.TooOld -> load(at, sent)
+        return when (val outcome = client.watch(Keys.ALL, current, Duration.ZERO, priority)) {
+            is WatchOutcome.Changes -> apply(outcome, current, sent)
+            WatchOutcome.TooOld -> reload(current, sent)
             WatchOutcome.Unavailable -> false
         }
     }
 
     /**
-     * Reads all again, unless that was done since the thread was lost at [lost]. False: it wasn't read by this call.
+     * Lists everything again, unless another call has done so since [compacted] turned out to be too old. [sent]: when
+     * the caller's first request was sent. False: this call did not load anything.
      */
-    private suspend fun load(lost: Revision?, sent: MonotonicInstant): Boolean = loading.withLock {
-        if (revision != lost) return false
-        // Answers that are still on their way belong to the thread that was lost: they must not join what is read now.
+    private suspend fun reload(compacted: Revision?, sent: MonotonicInstant): Boolean = reloadMutex.withLock {
+        if (revision != compacted) return false
+        // Responses that are still under way continue the old revision: they must not be applied to the new listing.
         revision = null
+        val listing = listOpen() ?: return false
+        log.info("store loaded entries={} revision={}", listing.entries.size, listing.revision)
+        revision = listing.revision
+        listener.snapshot(listing.entries, listing.revision)
+        listener.freshAsOf(sent)
+        return true
+    }
+
+    private class Listing(val entries: List<Entry>, val revision: Revision)
+
+    private suspend fun listOpen(): Listing? {
         val entries = ArrayList<Entry>()
-        var first: Revision? = null
+        var firstRevision: Revision? = null
         var after: String? = null
-        while (true) {
-            val page = client.list(Keys.OPEN, after) ?: return false
+        do {
+            val page = client.list(Keys.OPEN, after) ?: return null
             // Later pages may hold later changes; following from the first page's revision brings each of them again.
-            if (first == null) first = page.revision
+            if (firstRevision == null) firstRevision = page.revision
             entries.addAll(page.entries)
             after = page.entries.lastOrNull()?.key
-            if (!page.more || after == null) break
-        }
-        val from = first ?: return false
-        log.info("store loaded entries={} revision={}", entries.size, from)
-        revision = from
-        listener.snapshot(entries, from)
-        listener.proven(sent)
-        return true
+        } while (page.more && after != null)
+        return firstRevision?.let { Listing(entries, it) }
     }
 
     /**
-     * Takes in the answer to a request for what changed after [asked], which was sent at [sent]. False: it tells
-     * nothing. A reload may have gone back to before
-     * [asked]: what lies between is in no answer to that request (`docs/incidents/reload-race.md`). And an answer older
-     * than what was known when it was asked for is none of a consistent store.
+     * Passes on the response to a request for the changes after [asked] that was sent at [sent]. False: the response is
+     * unusable. A reload may have gone back to before [asked]: the changes in between are then in no response to that
+     * request (`docs/incidents/reload-race.md`). And a consistent store never answers with an older revision than the
+     * one that it was asked to continue.
      */
-    private fun apply(news: WatchOutcome.Changes, asked: Revision, sent: MonotonicInstant): Boolean {
+    private fun apply(response: WatchOutcome.Changes, asked: Revision, sent: MonotonicInstant): Boolean {
         val known = revision ?: return false
         if (asked > known) return false
-        if (news.revision < asked) {
-            log.error("state answer older than known asked={} answered={}", asked, news.revision)
+        if (response.revision < asked) {
+            log.error("state answer older than known asked={} answered={}", asked, response.revision)
             return false
         }
-        // A watch and a sync may bring the same changes: each is passed on once.
-        if (news.revision > known) {
-            revision = news.revision
-            listener.changed(news.changes.filter { it.version > known }.sortedBy { it.version }, news.revision)
+        // A watch and a freshness check may bring the same changes: each is passed on once.
+        if (response.revision > known) {
+            revision = response.revision
+            val unseen = response.changes.filter { it.version > known }.sortedBy { it.version }
+            listener.changed(unseen, response.revision)
         }
-        listener.proven(sent)
+        listener.freshAsOf(sent)
         return true
     }
 
     private companion object {
-        val WAIT = 10.seconds
-        val RETRY = 300.milliseconds
-        val SPACING = 120.milliseconds
+        /** How long a watch without changes blocks. */
+        val WATCH_WAIT = 10.seconds
+        val RETRY_DELAY = 300.milliseconds
+        val FRESHNESS_SPACING = 120.milliseconds
     }
 }
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/store/StoredKey.kt
@@ -0,0 +1,27 @@
+package org.elderhitch.store
+
+import org.elderhitch.jobs.JobId
+
+/** What a key of the state service stands for, as [Keys.parse] reads it. */
+public sealed interface StoredKey {
+    /** The counter of leadership terms. */
+    public data object TermCounter : StoredKey
+
+    /** The current leader, attached to its lease. */
+    public data object Leader : StoredKey
+
+    /** The record of an open job. */
+    public data class Job(val id: JobId) : StoredKey
+
+    /** How a job ended; written once and never dropped. */
+    public data class TerminalRecord(val id: JobId) : StoredKey
+
+    /** The hold of an open job. */
+    public data class JobHold(val id: JobId) : StoredKey
+
+    /** Block number [block] of the completed tasks of an open job. */
+    public data class CompletedTasks(val id: JobId, val block: Int) : StoredKey
+
+    /** The write-ahead record of a request for machines. */
+    public data class ProvisioningIntent(val name: String) : StoredKey
+}
--- a/src/main/kotlin/org/elderhitch/sweeps/AdmissionWindow.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/AdmissionWindow.kt
@@ -91,7 +91,7 @@
     }
 
     private fun opens(state: SweepState, description: Description, point: Int): JobEvent.Opened? = try {
-        JobEvent.Opened(description.job(state.id, point), state.version, kept = true).also {
+        JobEvent.Opened(description.job(state.id, point), state.version, providerOwned = true).also {
             opened.getOrPut(state.id) { Opened() }.points.add(point)
         }
     } catch (e: BadPoint) {
--- a/src/main/kotlin/org/elderhitch/sweeps/Endings.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Endings.kt
@@ -44,7 +44,7 @@
         return complete.filter { batch ->
             SweepId.ofPoint(batch.job)?.let { (id, point) -> sweepRegistry.of(id)?.endOf(point) } !=
                 null
-        }.associate { it.job to it.fresh }
+        }.associate { it.job to it.newlyCompleted }
     }
 
     /** False: some block could not be written now; null: another term has begun. */
--- a/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
@@ -79,7 +79,7 @@
         collecting?.cancel()
     }
 
-    override fun keepsFinished(job: JobId): Boolean = keeps(job)
+    override fun keepsFinished(job: JobId): Boolean = owns(job)
 
     override fun status(): Map<String, Any?> = linkedMapOf(
         "open" to sweepRegistry.all.count { it.open > 0 },
@@ -107,7 +107,7 @@
 
     // ---- points as jobs ----------------------------------------------------------------------------------------
 
-    override fun keeps(id: JobId): Boolean = SweepId.ofPoint(id) != null
+    override fun owns(id: JobId): Boolean = SweepId.ofPoint(id) != null
 
     override suspend fun show(id: JobId): JobResponse {
         val (sweep, point) = SweepId.ofPoint(id) ?: return JobResponse.Unknown
--- a/src/main/kotlin/org/elderhitch/sweeps/Work.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Work.kt
@@ -26,14 +26,16 @@
     /** With completed points more; an account is null if nobody could say. */
     public fun with(accounts: Collection<JobAccount?>): Work {
         val took = durations?.copy() ?: histogram()
-        for (account in accounts) took.recordValue(((account?.usefulS ?: 0.0) * TENTHS).toLong().coerceIn(0, LONGEST))
+        for (account in accounts) {
+            took.recordValue(((account?.usefulSeconds ?: 0.0) * TENTHS).toLong().coerceIn(0, LONGEST))
+        }
         val seen = accounts.filterNotNull()
         return Work(
             completed + accounts.size,
             attempts + seen.sumOf { it.attempts },
             lost + seen.sumOf { it.lost },
-            usefulS + seen.sumOf { it.usefulS },
-            lostS + seen.sumOf { it.lostS },
+            usefulS + seen.sumOf { it.usefulSeconds },
+            lostS + seen.sumOf { it.lostSeconds },
             least + accounts.count { it == null || it.lowerBound },
             took,
         )
--- a/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
@@ -57,7 +57,7 @@
         job.id,
         job.version,
         job.completed,
-        job.completed.beyond(job.recorded),
+        job.completed.missingIn(job.recorded),
         if (job.completed.all) account(leadership, job) else null,
         job.storedHold != null,
         job.blockVersions,
--- a/src/main/kotlin/org/elderhitch/tasks/TaskTable.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/TaskTable.kt
@@ -69,7 +69,7 @@
 
     /** Adds an open job, or returns it if it is in the table already. */
     fun open(event: JobEvent.Opened): JobState = jobs.getOrPut(event.spec.id) {
-        JobState(event.spec, event.version, clock.now(), event.kept)
+        JobState(event.spec, event.version, clock.now(), event.providerOwned)
     }
 
     /** Completed tasks of a job were recorded. */
