--- a/src/main/kotlin/org/elderhitch/app/ClassArchiveTraining.kt
+++ b/src/main/kotlin/org/elderhitch/app/ClassArchiveTraining.kt
@@ -1,6 +1,5 @@
 package org.elderhitch.app
 
-import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
@@ -10,16 +9,10 @@
 import org.elderhitch.http.HttpServer
 import org.elderhitch.http.channelGroup
 import org.elderhitch.json.Json
-import org.elderhitch.json.MalformedJson
 import org.elderhitch.settings.Settings
-import org.elderhitch.standin.CloudStandIn
-import org.elderhitch.standin.StandInPlatform
-import org.elderhitch.standin.TaskScript
-import org.elderhitch.standin.TaskWatch
 import org.elderhitch.time.SystemSteadyClock
 import org.elderhitch.time.SystemWallClock
 import org.slf4j.LoggerFactory
-import java.io.File
 import java.io.IOException
 import java.net.InetAddress
 import java.net.ServerSocket
@@ -28,188 +21,88 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The daemon against the stand-ins on loopback: for a first try by hand, and for the build's class archive. */
+/**
+ * The training run of the class archive (CDS): a controller serves requests against the stand-ins on loopback, so that
+ * the archive contains the classes that a controller loads. The build runs it with `-XX:ArchiveClassesAtExit`.
+ */
 internal object ClassArchiveTraining {
+    private const val MAX_ATTEMPTS = 3
+    private const val EXIT_FAILURE = 1
+    private val TRAINING_TIME = 7.seconds
+    private val POLL_INTERVAL = 200.milliseconds
+    private val CANCELLATION_TIME = 1.seconds
+    private val REQUEST_TIMEOUT = 2.seconds
     private val log = LoggerFactory.getLogger("elderhitch.standin")
-    private const val MACHINES_PER_ZONE = 8
-    private const val SOCKETS = 256
-    private val BACKLOG = 1
-    private val REHEARSAL = 7.seconds
-    private val POLL = 200.milliseconds
-    private val TIMEOUT = 2.seconds
-
-    private object Silent : TaskWatch {
-        override fun started(task: String, machine: String) = log.info("task started task={} machine={}", task, machine)
-
-        override fun ended(task: String, machine: String) = log.info("task ended task={} machine={}", task, machine)
-    }
-
-    fun standIns(config: String, nodes: Map<String, Address>?, uploads: File?) {
-        val settings = Daemon.settings(config)
-        val loop = Daemon.loop()
-        val scope = Daemon.scope(loop)
-        val group = channelGroup(loop)
-        val platform =
-            start(
-                settings,
-                scope,
-                HttpClient(group, SystemSteadyClock),
-                HttpServer(group, scope, SystemSteadyClock, SOCKETS),
-                nodes,
-            )
-        uploads?.let { folder -> platform.uploaded = { job -> uploaded(File(folder, "$job.json")) } }
-        log.info("stand-ins up state={} cloud={}", settings.state, settings.cloud)
-    }
-
-    /** Null: no such file, or no job's description. */
-    private fun uploaded(file: File): TaskScript? = try {
-        if (file.isFile) StandInPlatform.script(Json.parseObject(file.readBytes())) else null
-    } catch (e: IOException) {
-        log.error("upload unreadable file={} reason=\"{}\"", file, e.message)
-        null
-    } catch (e: MalformedJson) {
-        log.error("upload malformed file={} reason=\"{}\"", file, e.message)
-        null
-    }
-
-    private fun start(
-        settings: Settings,
-        scope: CoroutineScope,
-        client: HttpClient,
-        server: HttpServer,
-        known: Map<String, Address>? = null,
-    ): StandInPlatform {
-        // The settings name the other controllers' cluster addresses only.
-        val nodes = known ?: mapOf(settings.node.text to settings.clientListen)
-        val platform = StandInPlatform(
-            scope, SystemSteadyClock, { client }, nodes, settings.workers, Random.Default,
-            settings.zones.map { it.name }, MACHINES_PER_ZONE, CloudStandIn.QUICK_BOOT, Silent,
-        )
-        platform.start()
-        server.listen(settings.state, platform.state)
-        server.listen(settings.cloud, platform.cloud)
-        return platform
-    }
 
     /**
-     * Ends the process whatever happens: its threads would keep it, and the build that waits for it, for ever. Seen:
-     * another
-     * process had taken a port between its choice and its use.
+     * Runs the training and ends the process, also after an unexpected error: the threads of the event loop would keep
+     * the process, and the build that waits for it, alive for ever. Retries when another process has taken one of the
+     * ports between their choice and their use.
      */
     fun run() {
-        var tries = 0
-        while (true) {
+        repeat(MAX_ATTEMPTS) {
             try {
-                rehearse(Settings.parse(Json.bytes(exampleSettings(freePorts(PORTS)))))
+                train(Settings.parse(Json.bytes(TrainingInputs.settings(freePorts(TrainingInputs.PORTS)))))
                 exitProcess(0)
             } catch (e: IOException) {
-                log.error("rehearsal failed reason=\"{}\"", e.message)
-                if (++tries == TRIES) exitProcess(1)
-            } catch (@Suppress("TooGenericExceptionCaught") e: Exception) {
-                log.error("rehearsal failed", e)
-                exitProcess(1)
+                log.error("class archive training failed reason=\"{}\"", e.message)
+            } catch (@Suppress("TooGenericExceptionCaught") e: Exception) { // Whatever it is, the process must end.
+                log.error("class archive training failed", e)
+                exitProcess(EXIT_FAILURE)
             }
         }
+        exitProcess(EXIT_FAILURE)
     }
 
-    private fun rehearse(settings: Settings) {
+    private fun train(settings: Settings) {
         val loop = Daemon.loop()
         val scope = Daemon.scope(loop)
         val group = channelGroup(loop)
         val client = HttpClient(group, SystemSteadyClock)
-        val server = HttpServer(group, scope, SystemSteadyClock, SOCKETS)
+        val server = HttpServer(group, scope, SystemSteadyClock, StandInServices.MAX_CONNECTIONS)
         runBlocking {
             withContext(scope.coroutineContext) {
-                start(settings, scope, client, server)
-                val controller =
-                    Controller(
-                        scope,
-                        settings,
-                        FleetPolicy(),
-                        client,
-                        SystemSteadyClock,
-                        SystemWallClock,
-                        Random.Default,
-                    )
+                StandInServices.start(settings, scope, client, server, StandInServices.ownAddress(settings))
+                val controller = Controller(
+                    scope,
+                    settings,
+                    FleetPolicy(),
+                    client,
+                    SystemSteadyClock,
+                    SystemWallClock,
+                    Random.Default,
+                )
                 controller.start()
                 server.listen(settings.clientListen, controller.clients)
                 server.listen(settings.clusterListen, controller.peers)
-                exercise(client, settings.clientListen)
+                sendRequests(client, settings.clientListen)
             }
         }
     }
 
-    private suspend fun exercise(client: HttpClient, node: Address) {
-        val until = SystemSteadyClock.now() + REHEARSAL
-        while (SystemSteadyClock.now() < until) {
-            for ((n, kind) in listOf("array", "gang", "daemon").withIndex()) {
-                client.call(node, "POST", "/work", Json.bytes(exampleJob("req-$n", kind)), TIMEOUT)
-                client.call(node, "GET", "/work/req-$n", null, TIMEOUT)
+    private suspend fun sendRequests(client: HttpClient, controller: Address) {
+        val deadline = SystemSteadyClock.now() + TRAINING_TIME
+        while (SystemSteadyClock.now() < deadline) {
+            for ((index, kind) in listOf("array", "gang", "daemon").withIndex()) {
+                val job = Json.bytes(exampleJob("req-$index", kind))
+                client.call(controller, "POST", "/work", job, REQUEST_TIMEOUT)
+                client.call(controller, "GET", "/work/req-$index", null, REQUEST_TIMEOUT)
             }
-            client.call(node, "GET", "/ready", null, TIMEOUT)
-            client.call(node, "GET", "/status", null, TIMEOUT)
-            client.call(node, "GET", "/work/req-9", null, TIMEOUT)
-            delay(POLL)
+            client.call(controller, "GET", "/ready", null, REQUEST_TIMEOUT)
+            client.call(controller, "GET", "/status", null, REQUEST_TIMEOUT)
+            client.call(controller, "GET", "/work/req-9", null, REQUEST_TIMEOUT)
+            delay(POLL_INTERVAL)
         }
-        client.call(node, "POST", "/work/req-2/withdraw", ByteArray(0), TIMEOUT)
-        delay(1.seconds)
+        client.call(controller, "POST", "/work/req-2/withdraw", ByteArray(0), REQUEST_TIMEOUT)
+        delay(CANCELLATION_TIME)
     }
 
-    private const val PORTS = 5
-
-    private const val TRIES = 3
-
-    /** All held until the last is chosen, so that none is chosen twice. */
+    /** All sockets stay open until the last port is chosen, so that no port is chosen twice. */
     private fun freePorts(count: Int): List<Int> {
-        val held = List(count) { ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress()) }
-        return held.map { it.localPort }.also { held.forEach(ServerSocket::close) }
+        val sockets = List(count) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()) }
+        return sockets.map { it.localPort }.also { sockets.forEach(ServerSocket::close) }
     }
 
-    fun exampleJob(id: String, kind: String): Map<String, Any?> = linkedMapOf(
-        "id" to id, "lotClass" to "example", "desk" to "team", "lotKind" to kind, "urgency" to "normal", "crates" to 2,
-        "cores" to 4.0, "accelerators" to 1.0, "memGb" to 8.0, "catchImage" to "img-1", "pullGb" to 1.0, "rigs" to null,
-        "hall" to null,
-        "samePlace" to false,
-        "spread" to false,
-        "borrowedRigs" to true,
-        "haulS" to 1.0,
-        "tallyS" to 0.0,
-        "stowS" to 0.0, "closingS" to null,
-    )
-
-    private fun exampleSettings(ports: List<Int>): Map<String, Any?> {
-        val (clients, cluster, cloud, state, nobody) = ports.map { "127.0.0.1:$it" }
-        return linkedMapOf(
-            "node_name" to "rehearsal-0",
-            "zone" to "a",
-            "client_listen" to clients,
-            "cluster_listen" to cluster,
-            // A peer that isn't there: the code that greets it is rehearsed as well.
-            "known" to listOf(linkedMapOf("node_name" to "rehearsal-1", "zone" to "b", "address" to nobody)),
-            "external" to linkedMapOf("cloud" to cloud, "state" to state),
-            "settings" to linkedMapOf(
-                "zones" to listOf("a", "b"),
-                "teams" to
-                    listOf(
-                        linkedMapOf(
-                            "name" to "team",
-                            "cpus" to 0.0,
-                            "cpus_max" to 0.0,
-                            "gpus" to 0.0,
-                            "gpus_max" to 64.0,
-                        ),
-                    ),
-                "workers" to
-                    linkedMapOf(
-                        "report_s" to 0.5,
-                        "lease_s" to 10.0,
-                        "gang_wait_s" to 30.0,
-                        "gang_peer_s" to 5.0,
-                        "cancel_s" to 40.0,
-                    ),
-                "state" to linkedMapOf("rps" to 200.0, "write_rps" to 50.0, "value_kb" to 8.0, "txn_ops" to 8),
-                "cloud" to linkedMapOf("rps" to 10.0, "list_lag_s" to 1.0),
-            ),
-        )
-    }
+    /** A small job in its wire format, with the given id and kind. */
+    fun exampleJob(id: String, kind: String): Map<String, Any?> = TrainingInputs.job(id, kind)
 }
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/app/ControllerStatus.kt
@@ -0,0 +1,45 @@
+package org.elderhitch.app
+
+import org.elderhitch.features.FeatureSet
+import org.elderhitch.leadership.Incarnation
+import org.elderhitch.leadership.Leadership
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.settings.NodeName
+
+/** Builds the answer to `GET /status`; its field names are described in docs/operations.md. */
+internal class ControllerStatus(
+    private val node: NodeName,
+    private val incarnation: Incarnation,
+    private val leadership: Leadership,
+    private val connection: StateConnection,
+    private val features: FeatureSet,
+    private val metrics: Metrics,
+    /** The counts of actions that the latest term led here requested, by their recipient. */
+    private val actionCounts: () -> Map<String, Map<String, Any?>>,
+) {
+    /** The status as a JSON object. */
+    fun read(): Map<String, Any?> {
+        val state = leadership.leadershipState.value
+        return linkedMapOf(
+            "node" to node.text,
+            "run" to incarnation.text,
+            "leading" to (state is LeadershipState.Leader),
+            "leader" to leaderName(state),
+            "term" to term(state),
+            "reaches_state" to connection.isReachable(),
+            "features" to features.status(),
+            "orders" to actionCounts(),
+            "meters" to metrics.read(),
+        )
+    }
+
+    private fun leaderName(state: LeadershipState): String? = when (state) {
+        is LeadershipState.Leader -> node.text
+        is LeadershipState.Follower -> state.leader?.text
+    }
+
+    private fun term(state: LeadershipState): Long = when (state) {
+        is LeadershipState.Leader -> state.term.number
+        is LeadershipState.Follower -> state.term.number
+    }
+}
--- a/src/main/kotlin/org/elderhitch/app/Daemon.kt
+++ b/src/main/kotlin/org/elderhitch/app/Daemon.kt
@@ -25,39 +25,49 @@
 import kotlin.random.asKotlinRandom
 import kotlin.system.exitProcess
 
-/** The long-running process. One thread runs everything; a second one only waits for the sockets. */
+/**
+ * The long-running process of a controller. One thread, the event loop, runs all of its code; a second thread only waits
+ * for the sockets. Mistakes in the files that it is given end the process with a message and exit code 2.
+ */
 internal object Daemon {
-    private const val EXIT_SETTINGS = 2
+    private const val EXIT_BAD_SETTINGS = 2
+
+    /** Sockets that are left to outgoing connections; also the least that incoming ones get. */
     private const val OUTGOING_SOCKETS = 80
     private val log = LoggerFactory.getLogger("elderhitch")
 
-    /** The settings, or the end of the process with a message that names what is wrong. */
+    /** Reads the settings file, or ends the process with a message that names the field that is wrong. */
     fun settings(config: String): Settings = try {
         Settings.parse(File(config).readBytes())
     } catch (e: MalformedJson) {
-        System.err.println("elderhitch: $config: ${e.message}")
-        exitProcess(EXIT_SETTINGS)
+        exit("$config: ${e.message}")
     } catch (e: IOException) {
-        System.err.println("elderhitch: $config can't be read: ${e.message}")
-        exitProcess(EXIT_SETTINGS)
+        exit("$config can't be read: ${e.message}")
     }
 
-    /** What is switched on, or the end of the process: users rely on it, so it isn't left out because of a mistake. */
+    /** Reads the features file, or ends the process: users rely on features, so a mistake must not leave them out. */
     private fun features(file: File): Features = try {
         FeaturesFile.load(file)
     } catch (e: BadScript) {
-        System.err.println("elderhitch: ${e.message}")
-        exitProcess(EXIT_SETTINGS)
+        exit(e.message.orEmpty())
+    }
+
+    private fun exit(reason: String): Nothing {
+        System.err.println("elderhitch: $reason")
+        exitProcess(EXIT_BAD_SETTINGS)
     }
 
+    /** The executor of the event loop: one thread, which keeps the process alive. */
     fun loop(): ScheduledThreadPoolExecutor =
         ScheduledThreadPoolExecutor(1) { task -> Thread(task, "loop") }.apply { removeOnCancelPolicy = true }
 
+    /** A scope whose coroutines run on [loop]. One that fails is logged and ends no other. */
     fun scope(loop: ScheduledThreadPoolExecutor): CoroutineScope {
         val failures = CoroutineExceptionHandler { _, error -> log.error("a coroutine failed", error) }
         return CoroutineScope(SupervisorJob() + loop.asCoroutineDispatcher() + failures)
     }
 
+    /** Runs a controller until the process is killed. */
     fun run(config: String, policyFile: String?, featuresFile: String?) {
         val settings = settings(config)
         val policy = if (policyFile == null) FleetPolicy() else PolicyScript.load(File(policyFile))
@@ -65,38 +75,20 @@
         val loop = loop()
         val scope = scope(loop)
         val group = channelGroup(loop)
-        val client = HttpClient(group, SystemSteadyClock)
-        val controller =
-            Controller(
-                scope,
-                settings,
-                policy,
-                client,
-                SystemSteadyClock,
-                SystemWallClock,
-                SecureRandom().asKotlinRandom(),
-                features,
-            ) { reason ->
-                System.err.println("elderhitch: $reason")
-                exitProcess(EXIT_SETTINGS)
-            }
-        val server =
-            HttpServer(
-                group,
-                scope,
-                SystemSteadyClock,
-                (settings.maxSockets - OUTGOING_SOCKETS).coerceAtLeast(OUTGOING_SOCKETS),
-            )
+        val controller = Controller(
+            scope,
+            settings,
+            policy,
+            HttpClient(group, SystemSteadyClock),
+            SystemSteadyClock,
+            SystemWallClock,
+            SecureRandom().asKotlinRandom(),
+            features,
+            onMissingFeature = ::exit,
+        )
+        val server = HttpServer(group, scope, SystemSteadyClock, maxIncomingConnections(settings))
         scope.launch {
-            try {
-                server.listen(settings.clientListen, controller.clients)
-                server.listen(settings.clusterListen, controller.peers)
-            } catch (e: IOException) {
-                System.err.println(
-                    "elderhitch: can't listen on ${settings.clientListen} or ${settings.clusterListen}: ${e.message}",
-                )
-                exitProcess(EXIT_SETTINGS)
-            }
+            listen(server, settings, controller)
             controller.start()
             log.info(
                 "node up node={} clients={} cluster={}",
@@ -106,4 +98,16 @@
             )
         }
     }
+
+    private fun maxIncomingConnections(settings: Settings): Int =
+        (settings.maxSockets - OUTGOING_SOCKETS).coerceAtLeast(OUTGOING_SOCKETS)
+
+    private fun listen(server: HttpServer, settings: Settings, controller: Controller) {
+        try {
+            server.listen(settings.clientListen, controller.clients)
+            server.listen(settings.clusterListen, controller.peers)
+        } catch (e: IOException) {
+            exit("can't listen on ${settings.clientListen} or ${settings.clusterListen}: ${e.message}")
+        }
+    }
 }
--- a/src/main/kotlin/org/elderhitch/app/Logging.kt
+++ b/src/main/kotlin/org/elderhitch/app/Logging.kt
@@ -1,12 +1,14 @@
 package org.elderhitch.app
 
-/** Sets up the log before the first logger is made. */
+/** The configuration of the log, which slf4j-simple reads from system properties when the first logger is created. */
 internal object Logging {
-    private val levels = setOf("error", "info", "debug")
+    private const val DEFAULT_LEVEL = "info"
+    private val levels = setOf("error", DEFAULT_LEVEL, "debug")
 
+    /** Sets the level, [DEFAULT_LEVEL] if [level] is none of the known ones. Call it before any logger is created. */
     fun configure(level: String?) {
-        val chosen = level?.lowercase()?.takeIf { it in levels } ?: "info"
-        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", chosen)
+        val knownLevel = level?.lowercase()?.takeIf { it in levels } ?: DEFAULT_LEVEL
+        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", knownLevel)
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "false")
         System.setProperty("org.slf4j.simpleLogger.showDateTime", "true")
--- a/src/main/kotlin/org/elderhitch/app/Main.kt
+++ b/src/main/kotlin/org/elderhitch/app/Main.kt
@@ -10,28 +10,45 @@
 import org.elderhitch.sweeps.SweepCommand
 import org.elderhitch.sweeps.TemplateCommand
 
+private const val SERVE = "serve"
+
+/** Names of commands in earlier versions; accepted, but not listed in the help. */
+private val formerNames = mapOf(
+    "withdraw" to listOf(CancelCommand.NAME),
+    "rehearse" to listOf(TrainClassArchiveCommand.NAME),
+)
+
 private class Elderhitch : CoreCliktCommand(name = "elderhitch") {
     init {
-        // Without its terminal parts the library leaves it to the program to end with an error's code.
+        // CoreCliktCommand alone leaves it to the program to exit with an error's status code.
         context { exitProcess = { code -> kotlin.system.exitProcess(code) } }
         versionOption(Elderhitch::class.java.`package`.implementationVersion ?: "development")
     }
 
+    override fun aliases(): Map<String, List<String>> = formerNames
+
     override fun run() = Unit
 }
 
+/** The program's entry point. `--config FILE` alone, as the platform starts it, means `serve --config FILE`. */
 public fun main(args: Array<String>) {
     Logging.configure(System.getenv("LOG_LEVEL"))
-    // What the platform starts: "--config FILE" alone is "serve --config FILE".
-    val words = if (args.firstOrNull() == "--config") arrayOf("serve", *args) else args
-    val commands = listOf(Serve(), Submit(), Show(), Cancel(), Explain(), Release(), Status(), StandIns(), Rehearse())
-    // The daemon starts on a small share of a core: it loads nothing of what others may do.
-    val others = if (words.firstOrNull() ==
-        "serve"
-    ) {
-        emptyList()
-    } else {
-        listOf(DrmaaCommand(), TemplateCommand(), SweepCommand(), LabCommand())
-    }
-    Elderhitch().subcommands(commands + others).main(words)
+    val arguments = if (args.firstOrNull() == "--config") arrayOf(SERVE) + args else args
+    // A controller starts on a small share of a core, so it doesn't load the classes of commands that it won't run.
+    val extensionCommands = if (arguments.firstOrNull() == SERVE) emptyList() else extensionCommands()
+    Elderhitch().subcommands(coreCommands() + extensionCommands).main(arguments)
 }
+
+private fun coreCommands() = listOf(
+    ServeCommand(),
+    SubmitCommand(),
+    ShowCommand(),
+    CancelCommand(),
+    ExplainCommand(),
+    ReleaseCommand(),
+    StatusCommand(),
+    StandInsCommand(),
+    TrainClassArchiveCommand(),
+)
+
+private fun extensionCommands() = listOf(DrmaaCommand(), TemplateCommand(), SweepCommand(), LabCommand())
--- a/src/main/kotlin/org/elderhitch/app/Metrics.kt
+++ b/src/main/kotlin/org/elderhitch/app/Metrics.kt
@@ -2,55 +2,59 @@
 
 import io.micrometer.core.instrument.Counter
 import io.micrometer.core.instrument.Gauge
+import io.micrometer.core.instrument.Meter
 import io.micrometer.core.instrument.Timer
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry
+import org.elderhitch.http.HttpStatus
 import org.elderhitch.http.Request
 import org.elderhitch.http.Response
 import org.elderhitch.time.SteadyClock
 import java.util.concurrent.TimeUnit
 
-/** Counters and timers of this process, readable at /status. */
+/** Counters, timers and gauges of this process, shown under `meters` in `/status`. */
 public class Metrics(private val clock: SteadyClock) {
     private val registry = SimpleMeterRegistry()
     private val submissions = Timer.builder("users.submit").register(registry)
-    private val shows = Timer.builder("users.show").register(registry)
-    private val withdrawals = Timer.builder("users.withdraw").register(registry)
-    private val refused = Counter.builder("users.refused").register(registry)
+    private val polls = Timer.builder("users.show").register(registry)
+    private val cancellations = Timer.builder("users.withdraw").register(registry)
+    private val refusals = Counter.builder("users.refused").register(registry)
 
+    /** Registers a gauge, whose value is read whenever the status is. */
     public fun gauge(name: String, value: () -> Number) {
         Gauge.builder(name, value).register(registry)
     }
 
+    /** Serves a user's request about jobs, and records how long that took and whether it was refused with 503. */
     public suspend fun timed(request: Request, serve: suspend () -> Response): Response {
-        val from = clock.now()
+        val startedAt = clock.now()
         val response = serve()
-        val timer = when {
-            request.method == "GET" -> shows
-            request.path.endsWith("/withdraw") -> withdrawals
-            else -> submissions
-        }
-        timer.record((clock.now() - from).inWholeNanoseconds, TimeUnit.NANOSECONDS)
-        if (response.status == REFUSED) refused.increment()
+        val elapsed = clock.now() - startedAt
+        timerOf(request).record(elapsed.inWholeNanoseconds, TimeUnit.NANOSECONDS)
+        if (response.status == HttpStatus.SERVICE_UNAVAILABLE) refusals.increment()
         return response
     }
 
-    public fun read(): Map<String, Any?> = registry.meters.sortedBy { it.id.name }.associate { meter ->
-        meter.id.name to when (meter) {
-            is Timer -> mapOf(
-                "count" to meter.count(),
-                "mean_ms" to meter.mean(TimeUnit.MILLISECONDS),
-                "max_ms" to meter.max(TimeUnit.MILLISECONDS),
-            )
+    private fun timerOf(request: Request): Timer = when {
+        request.method == "GET" -> polls
+        request.path.endsWith("/withdraw") -> cancellations
+        else -> submissions
+    }
 
-            is Counter -> meter.count()
+    /** The current values by name, in alphabetical order. */
+    public fun read(): Map<String, Any?> =
+        registry.meters.sortedBy { it.id.name }.associate { meter -> meter.id.name to valueOf(meter) }
 
-            is Gauge -> meter.value()
+    private fun valueOf(meter: Meter): Any? = when (meter) {
+        is Timer -> mapOf(
+            "count" to meter.count(),
+            "mean_ms" to meter.mean(TimeUnit.MILLISECONDS),
+            "max_ms" to meter.max(TimeUnit.MILLISECONDS),
+        )
 
-            else -> null
-        }
-    }
+        is Counter -> meter.count()
+
+        is Gauge -> meter.value()
 
-    private companion object {
-        const val REFUSED = 503
+        else -> null
     }
 }
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/app/SchedulerStateWriter.kt
@@ -0,0 +1,131 @@
+package org.elderhitch.app
+
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import org.elderhitch.features.FeatureSet
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.jobs.CompletionBatch
+import org.elderhitch.jobs.CompletionWriter
+import org.elderhitch.jobs.HoldWriteResult
+import org.elderhitch.jobs.Image
+import org.elderhitch.jobs.JobHold
+import org.elderhitch.jobs.JobId
+import org.elderhitch.leadership.Leadership
+import org.elderhitch.leadership.LeadershipMessage
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.leadership.Term
+import org.elderhitch.scheduler.SchedulerMessage
+import org.elderhitch.store.CommitOutcome
+import org.elderhitch.store.Condition
+import org.elderhitch.store.Keys
+import org.elderhitch.store.RequestPriority
+import org.elderhitch.store.Revision
+import org.elderhitch.store.StateClient
+import org.elderhitch.store.Write
+import org.elderhitch.tasks.ImageHints
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * Writes the scheduler's records to the state service, each in a coroutine of its own, and sends the results back to
+ * the scheduler as messages.
+ */
+internal class SchedulerStateWriter(
+    private val scope: CoroutineScope,
+    private val client: StateClient,
+    private val completionWriter: CompletionWriter,
+    private val leadership: Leadership,
+    private val features: () -> FeatureSet,
+    private val maxValueBytes: Int,
+    private val tellScheduler: (SchedulerMessage) -> Unit,
+) {
+    private var lastImageHints: Map<String, Any?> = emptyMap()
+
+    /** Records completed tasks; [SchedulerMessage.CompletionsRecorded] says which of them are recorded. */
+    fun recordCompletions(leader: LeadershipState.Leader, batches: List<CompletionBatch>) {
+        scope.launch {
+            val recorded = completionWriter.record(leader, batches.filter { !it.providerOwned })
+            val recordedByProviders = recordAtProviders(leader, batches.filter { it.providerOwned })
+            if (recorded == null || recordedByProviders == null) {
+                leadership.tell(LeadershipMessage.TermObserved(Term(leader.term.number + 1)))
+            }
+            tellScheduler(
+                SchedulerMessage.CompletionsRecorded(leader.term, recorded.orEmpty() + recordedByProviders.orEmpty()),
+            )
+        }
+    }
+
+    /** Null if another term has begun, or if the provider of a job isn't switched on. */
+    private suspend fun recordAtProviders(
+        leader: LeadershipState.Leader,
+        batches: List<CompletionBatch>,
+    ): Map<JobId, List<Int>>? {
+        var recorded: Map<JobId, List<Int>> = emptyMap()
+        for ((provider, ownBatches) in batches.groupBy { features().jobProvider(it.job) }) {
+            recorded = recorded + (provider?.record(leader, ownBatches) ?: return null)
+        }
+        return recorded
+    }
+
+    /** Deletes the completion records of a terminated job, unless a feature retains them. */
+    fun deleteCompletions(leader: LeadershipState.Leader, job: JobId, blocks: Set<Int>) {
+        if (!features().retainsCompletions(job)) scope.launch { completionWriter.dropCompletedTasks(leader, job, blocks) }
+    }
+
+    /**
+     * Records a hold in place of revision [replaces] of its key. Each attempt sends [SchedulerMessage.HoldWritten]; the
+     * scheduler starts no task of the job until the result is known, so an unknown one is retried without limit.
+     */
+    fun writeHold(leader: LeadershipState.Leader, job: JobId, version: Revision, replaces: Revision, hold: JobHold) {
+        scope.launch {
+            var unknownBefore = false
+            while (true) {
+                val outcome = completionWriter.hold(leader, job, version, replaces, hold)
+                val result = holdWriteResult(outcome, job, unknownBefore)
+                tellScheduler(SchedulerMessage.HoldWritten(leader.term, job, result))
+                if (result != HoldWriteResult.UNKNOWN) return@launch
+                unknownBefore = true
+                delay(HOLD_RETRY)
+            }
+        }
+    }
+
+    /** [unknownBefore]: an earlier attempt got no answer, and may still be executed although this one was refused. */
+    private fun holdWriteResult(outcome: CommitOutcome, job: JobId, unknownBefore: Boolean): HoldWriteResult =
+        when (outcome) {
+            is CommitOutcome.Committed -> HoldWriteResult.WRITTEN
+
+            is CommitOutcome.Conflict -> {
+                val onlyJobChanged = Keys.job(job) in outcome.failed && Keys.TERM !in outcome.failed
+                if (onlyJobChanged) HoldWriteResult.JOB_GONE else HoldWriteResult.NOT_WRITTEN
+            }
+
+            CommitOutcome.Unknown -> HoldWriteResult.UNKNOWN
+
+            CommitOutcome.Refused, CommitOutcome.NoSuchLease ->
+                if (unknownBefore) HoldWriteResult.UNKNOWN else HoldWriteResult.NOT_WRITTEN
+        }
+
+    /** Deletes the hold of a job. */
+    fun deleteHold(leader: LeadershipState.Leader, job: JobId) {
+        scope.launch { completionWriter.dropHold(leader, job) }
+    }
+
+    /** Stores which images the machines have, for later terms; skipped if nothing changed since the last call. */
+    fun writeImageHints(leader: LeadershipState.Leader, images: Map<MachineId, Map<Image, Double>>) {
+        val hints = ImageHints.encode(images, maxValueBytes)
+        if (hints == lastImageHints) return
+        lastImageHints = hints
+        scope.launch {
+            client.commit(
+                listOf(Condition(Keys.TERM, leader.termRevision)),
+                listOf(Write.Put(Keys.IMAGES, hints)),
+                RequestPriority.OTHER,
+            )
+        }
+    }
+
+    private companion object {
+        val HOLD_RETRY = 1.seconds
+    }
+}
--- a/src/main/kotlin/org/elderhitch/app/WatchDispatcher.kt
+++ b/src/main/kotlin/org/elderhitch/app/WatchDispatcher.kt
@@ -18,7 +18,7 @@
 import org.elderhitch.tasks.ImageHints
 import org.elderhitch.time.MonotonicInstant
 
-/** Tells each slice what the state service says. */
+/** Passes what the watch of the state service reports to the parts of the controller that follow it. */
 internal class WatchDispatcher(
     private val jobRegistry: JobRegistry,
     private val provisioning: ProvisioningActor,
@@ -26,33 +26,36 @@
     private val scheduler: SchedulerActor,
     private val leadership: Leadership,
     private val features: () -> FeatureSet,
-    private val onUnserved: (String) -> Unit,
+    /** Called with the reason when an entry requires a feature that is off. */
+    private val onMissingFeature: (String) -> Unit,
 ) : StateWatchListener {
     override fun snapshot(entries: List<Entry>, revision: Revision) {
-        features().unserved(entries)?.let(onUnserved)
+        features().unmetRequirement(entries)?.let(onMissingFeature)
         jobRegistry.tell(JobMessage.Snapshot(entries, revision))
         provisioning.tell(FleetMessage.Snapshot(entries))
-        features().snapshot(entries)
+        features().onSnapshot(entries)
         entries.firstOrNull { it.key == Keys.TYPES }?.let { catalog.stored(it) }
-        entries.firstOrNull { it.key == Keys.IMAGES }?.let { hinted(it) }
+        entries.firstOrNull { it.key == Keys.IMAGES }?.let { loadImageHints(it) }
         leadership.tell(LeadershipMessage.LeaderObserved(entries.firstOrNull { it.key == Keys.LEADER }))
     }
 
     override fun changed(changes: List<Change>, revision: Revision) {
         if (changes.isEmpty()) return
-        features().unserved(changes.mapNotNull { (it as? Change.Put)?.entry })?.let(onUnserved)
+        features().unmetRequirement(changes.mapNotNull(::newEntry))?.let(onMissingFeature)
         jobRegistry.tell(JobMessage.Changed(changes))
         provisioning.tell(FleetMessage.Changed(changes))
-        features().changed(changes)
-        changes.lastOrNull {
-            it.key == Keys.IMAGES
-        }?.let { change -> (change as? Change.Put)?.let { hinted(it.entry) } }
-        val last = changes.lastOrNull { it.key == Keys.LEADER } ?: return
-        leadership.tell(LeadershipMessage.LeaderObserved((last as? Change.Put)?.entry))
+        features().onChanges(changes)
+        changes.lastOrNull { it.key == Keys.IMAGES }?.let(::newEntry)?.let(::loadImageHints)
+        val leaderChange = changes.lastOrNull { it.key == Keys.LEADER } ?: return
+        leadership.tell(LeadershipMessage.LeaderObserved(newEntry(leaderChange)))
     }
 
-    /** By the same way as the changes before it, so that it reaches the leader's table after them. */
+    /** Passed through the job registry, as the changes are, so that it reaches the scheduler after them. */
     override fun freshAsOf(since: MonotonicInstant) = jobRegistry.tell(JobMessage.FreshAsOf(since))
 
-    private fun hinted(entry: Entry) = scheduler.tell(SchedulerMessage.ImageHintsLoaded(ImageHints.decode(entry.value)))
+    /** Null if the change deletes the key. */
+    private fun newEntry(change: Change): Entry? = (change as? Change.Put)?.entry
+
+    private fun loadImageHints(entry: Entry) =
+        scheduler.tell(SchedulerMessage.ImageHintsLoaded(ImageHints.decode(entry.value)))
 }
--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/app/WorkerCommandSender.kt
@@ -0,0 +1,45 @@
+package org.elderhitch.app
+
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.launch
+import org.elderhitch.fleet.MachineId
+import org.elderhitch.heartbeat.Command
+import org.elderhitch.heartbeat.WorkerClient
+import org.elderhitch.http.Address
+import org.elderhitch.leadership.LeadershipState
+import org.elderhitch.scheduler.SchedulerMessage
+
+/**
+ * Calls workers at their own addresses for the scheduler, each call in a coroutine of its own, and sends the results
+ * back to the scheduler as messages.
+ */
+internal class WorkerCommandSender(
+    private val scope: CoroutineScope,
+    private val workerClient: WorkerClient,
+    /** Whether the term may still send commands; checked right before each request is sent. */
+    private val maySendCommands: (LeadershipState.Leader) -> Boolean,
+    private val tellScheduler: (SchedulerMessage) -> Unit,
+) {
+    /** Sends commands; the result comes back as [SchedulerMessage.CommandsDelivered]. */
+    fun send(
+        leader: LeadershipState.Leader,
+        address: Address,
+        machine: MachineId,
+        agentEpoch: Long,
+        commands: List<Command>,
+    ) {
+        scope.launch {
+            val outcome = workerClient.send(address, leader.term, agentEpoch, commands) { maySendCommands(leader) }
+            val starts = commands.filterIsInstance<Command.Start>().map { it.task to it.attempt }.toSet()
+            tellScheduler(SchedulerMessage.CommandsDelivered(leader.term, machine, agentEpoch, starts, outcome))
+        }
+    }
+
+    /** Asks a worker for its tasks and tells it the term; the result comes back as [SchedulerMessage.ProbeCompleted]. */
+    fun probe(leader: LeadershipState.Leader, address: Address, machine: MachineId) {
+        scope.launch {
+            val outcome = workerClient.probe(address, leader.term) { maySendCommands(leader) }
+            tellScheduler(SchedulerMessage.ProbeCompleted(leader.term, machine, outcome))
+        }
+    }
+}
--- a/src/main/kotlin/org/elderhitch/drmaa/Drmaa.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Drmaa.kt
@@ -35,12 +35,12 @@
             context.wallClock,
             settings,
             limits.valueBytes,
-            context.sync,
+            context::sync,
         )
     private val waits =
-        Waits(sessionRegistry, reaper, context.sync, context.clock, mostWaits(context.settings.maxSockets))
+        Waits(sessionRegistry, reaper, context::sync, context.clock, mostWaits(context.settings.maxSockets))
     private val control =
-        JobControl(sessionRegistry, context.jobService, submissions, context.sync, context.hold, context.clock)
+        JobControl(sessionRegistry, context.jobService, submissions, context::sync, context::hold, context.clock)
     private val housekeeping =
         Housekeeping(
             context,
@@ -61,18 +61,18 @@
         context.metrics.gauge("drmaa.sessions") { sessionRegistry.open }
     }
 
-    override fun snapshot(entries: List<Entry>) = sessionRegistry.tell(BookMessage.Snapshot(entries))
+    override fun onSnapshot(entries: List<Entry>) = sessionRegistry.tell(BookMessage.Snapshot(entries))
 
-    override fun changed(changes: List<Change>) {
+    override fun onChanges(changes: List<Change>) {
         sessionRegistry.tell(BookMessage.Changed(changes))
         housekeeping.changed(changes)
     }
 
-    override fun termBegins(leadership: LeadershipState.Leader) = housekeeping.begin(leadership)
+    override fun onTermStarted(leadership: LeadershipState.Leader) = housekeeping.begin(leadership)
 
-    override fun termEnds() = housekeeping.end()
+    override fun onTermEnded() = housekeeping.end()
 
-    override fun keepsFinished(job: JobId): Boolean = JobName.parse(job)?.members != null
+    override fun retainsCompletions(job: JobId): Boolean = JobName.parse(job)?.members != null
 
     override fun status(): Map<String, Any?> = linkedMapOf(
         "sessions" to sessionRegistry.open,
--- a/src/main/kotlin/org/elderhitch/drmaa/DrmaaSettings.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/DrmaaSettings.kt
@@ -30,35 +30,35 @@
     }
 
     internal fun settings(section: LuaSection, file: File): DrmaaSettings {
-        section.allow(KEYS)
-        val keyFile = section.text("keys") ?: section.bad("keys", "missing: DRMAA doesn't start without a key file")
+        section.requireKnownKeys(KEYS)
+        val keyFile = section.stringOrNull("keys") ?: section.fail("keys", "missing: DRMAA doesn't start without a key file")
         val tokens = try {
             Tokens.load(File(keyFile).let { if (it.isAbsolute) it else File(file.absoluteFile.parentFile, keyFile) })
         } catch (e: BadKeys) {
-            section.bad("keys", e.message.orEmpty())
+            section.fail("keys", e.message.orEmpty())
         }
         val networks = try {
-            Networks.of(section.texts("networks") ?: Networks.LOOPBACK)
+            Networks.of(section.stringsOrNull("networks") ?: Networks.LOOPBACK)
         } catch (e: IllegalArgumentException) {
-            section.bad("networks", e.message.orEmpty())
+            section.fail("networks", e.message.orEmpty())
         }
         val defaults = DrmaaSettings(tokens, networks, emptyMap())
         return DrmaaSettings(
             tokens,
             networks,
-            section.section("categories")?.let(::categories).orEmpty(),
-            section.whole("sessions_per_team", 1, MOST_SESSIONS) ?: defaults.sessionsPerTeam,
-            section.whole("results_per_session", 1, MOST_RESULTS) ?: defaults.resultsPerSession,
-            section.whole("held_per_team", 0, MOST_HELD) ?: defaults.heldPerTeam,
-            section.number("keep_results_days", LEAST_DAYS, MOST_DAYS)?.days ?: defaults.keepResults,
-            section.number("keep_sessions_days", LEAST_SESSION_DAYS, MOST_DAYS)?.days ?: defaults.keepSessions,
+            section.sectionOrNull("categories")?.let(::categories).orEmpty(),
+            section.intOrNull("sessions_per_team", 1, MOST_SESSIONS) ?: defaults.sessionsPerTeam,
+            section.intOrNull("results_per_session", 1, MOST_RESULTS) ?: defaults.resultsPerSession,
+            section.intOrNull("held_per_team", 0, MOST_HELD) ?: defaults.heldPerTeam,
+            section.numberOrNull("keep_results_days", LEAST_DAYS, MOST_DAYS)?.days ?: defaults.keepResults,
+            section.numberOrNull("keep_sessions_days", LEAST_SESSION_DAYS, MOST_DAYS)?.days ?: defaults.keepSessions,
         )
     }
 
     private fun categories(section: LuaSection): Map<String, Map<String, Any?>> = section.keys.associateWith { name ->
-        val category = section.section(name) ?: section.bad(name, "must be a table of a native job's fields")
-        category.allow(TemplateCheck.CATEGORY_FIELDS)
-        category.keys.associateWith { category.plain(it) }
+        val category = section.sectionOrNull(name) ?: section.fail(name, "must be a table of a native job's fields")
+        category.requireKnownKeys(TemplateCheck.CATEGORY_FIELDS)
+        category.keys.associateWith { category.jsonValueOrNull(it) }
     }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/failuredetection/DetectionTimeouts.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/DetectionTimeouts.kt
@@ -28,7 +28,7 @@
     internal companion object {
         /**
          * A heartbeat may be a quarter late; its answer may be lost, which the worker notices after
-         * [WorkerTimeouts.ANSWER_WAIT]; then it asks the next node, which may send it back here.
+         * [WorkerTimeouts.HEARTBEAT_RESPONSE_TIMEOUT]; then it asks the next node, which may send it back here.
          */
         private val NEXT_NODE = 1.seconds
         private val UNLISTED = 2.seconds
@@ -38,7 +38,7 @@
 
         fun of(workers: WorkerTimeouts, leases: LeaseTimeouts): DetectionTimeouts = DetectionTimeouts(
             heartbeatOverdue = workers.heartbeatDeadline,
-            unresponsive = workers.heartbeatDeadline + WorkerTimeouts.ANSWER_WAIT + NEXT_NODE * 2.0,
+            unresponsive = workers.heartbeatDeadline + WorkerTimeouts.HEARTBEAT_RESPONSE_TIMEOUT + NEXT_NODE * 2.0,
             oneWayPartition = leases.maxDuration,
             unlisted = UNLISTED,
             unprobedMargin = UNPROBED_MARGIN,
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
@@ -52,7 +52,7 @@
     private val ports: SchedulerPorts,
 ) {
     /** A worker whose messages or renewals are missing for so long is suspected, and gets no new tasks. */
-    val suspectAfter: Duration = settings.timeouts.report * SUSPECT_HEARTBEATS + SUSPECT_MARGIN
+    val suspectAfter: Duration = settings.timeouts.heartbeatInterval * SUSPECT_HEARTBEATS + SUSPECT_MARGIN
     private val overdueAfter = settings.timeouts.heartbeatDeadline + OVERDUE_MARGIN
     private val rules = SuspicionRules(DetectionTimeouts.of(settings.timeouts, settings.leases))
     private val reception = ReceptionTracker(pauseDetector, delegates)
--- a/src/main/kotlin/org/elderhitch/failuredetection/ZoneHealthMonitor.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/ZoneHealthMonitor.kt
@@ -62,7 +62,7 @@
         val quiet = HashSet<Zone>()
         for ((zone, health) in zones) {
             val ticks = ticksWithoutMessage.merge(zone, 1, Int::plus) ?: 1
-            val chance = timeouts.report * (MAX_MISSED_HEARTBEATS / health.workers)
+            val chance = timeouts.heartbeatInterval * (MAX_MISSED_HEARTBEATS / health.workers)
             val longestPause = QUIET_MARGIN + minOf(timeouts.heartbeatDeadline, chance)
             if (health.workers >= ZoneHealth.MIN_MACHINES && tick * ticks > longestPause) quiet.add(zone)
         }
--- a/src/main/kotlin/org/elderhitch/features/FeaturesFile.kt
+++ b/src/main/kotlin/org/elderhitch/features/FeaturesFile.kt
@@ -8,59 +8,70 @@
 import java.io.File
 import java.io.IOException
 
-/** What is switched on beyond the core. */
+/** The content of a features file: the rules of job classes, and the factories of the features that are on. */
 public class Features(public val rules: ClassRules, public val factories: List<FeatureFactory>) {
     public companion object {
+        /** No features file: no rules, and nothing beyond the core. */
         public val NONE: Features = Features(ClassRules.NONE, emptyList())
     }
 }
 
-/** Reads a direction's section of the features file. Throws [BadScript] for what can't be. */
+/** Reads one feature's section of the features file. */
 public fun interface SectionReader {
+    /** Throws [BadScript] if the section has a mistake. */
     public fun read(section: LuaSection, file: File): FeatureFactory
 }
 
 /**
- * The features file: a Lua script that returns a table with a section for each direction that is on, and `classes`.
- * Unlike the
- * policy it decides what users may rely on, so a mistake in it keeps the controller from starting.
+ * Parser of the features file: a Lua script that returns a table with a section for each feature that is on, and
+ * `classes` with the rules of job classes.
+ *
+ * Users rely on features, so a mistake in the file keeps the controller from starting; a mistake in the policy script
+ * ([org.elderhitch.settings.PolicyScript]) doesn't.
  */
 public object FeaturesFile {
     private const val CLASSES = "classes"
-    private const val MOST_ATTEMPTS = 1000
+    private const val REPEATS = "repeats"
+    private const val ATTEMPTS = "attempts"
+    private const val MAX_ATTEMPTS = 1000
 
-    /** Named, not referred to: the classes of a direction that is off are never loaded. */
-    private val directions = mapOf(
+    /** Class names of the [SectionReader]s. They are strings so that the classes of a feature that is off never load. */
+    private val sectionReaders = mapOf(
         "drmaa" to "org.elderhitch.drmaa.DrmaaSection",
         "sweeps" to "org.elderhitch.sweeps.SweepsSection",
     )
 
-    /** Throws [BadScript] naming file, line and key. */
+    /** Reads [file]. Throws [BadScript], whose message names file, line and key. */
     public fun load(file: File): Features {
         val script = try {
             file.readText()
         } catch (e: IOException) {
-            throw BadScript("$file can't be read: ${e.message}")
+            throw BadScript("$file can't be read: ${e.message}", e)
         }
         return parse(file, script)
     }
 
+    /** Parses the text of [file]. Throws [BadScript], whose message names file, line and key. */
     public fun parse(file: File, script: String): Features {
         val table = LuaScript.table(file.name, script)
-        table.allow(directions.keys + CLASSES)
-        val rules = table.section(CLASSES)?.let(::rules) ?: ClassRules.NONE
-        val factories = directions.filterKeys(table::has).map { (name, reader) ->
-            val section = table.section(name) ?: table.bad(name, "must be a table")
-            (Class.forName(reader).getDeclaredConstructor().newInstance() as SectionReader).read(section, file)
+        table.requireKnownKeys(sectionReaders.keys + CLASSES)
+        val rules = table.sectionOrNull(CLASSES)?.let(::classRules) ?: ClassRules.NONE
+        val factories = sectionReaders.filterKeys(table::has).map { (name, className) ->
+            val section = table.sectionOrNull(name) ?: table.fail(name, "must be a table")
+            sectionReader(className).read(section, file)
         }
         return Features(rules, factories)
     }
 
-    private fun rules(classes: LuaSection): ClassRules = ClassRules(
-        classes.keys.associateWith { name ->
-            val rule = classes.section(name) ?: classes.bad(name, "must be a table")
-            rule.allow(listOf("repeats", "attempts"))
-            ClassRule(rule.flag("repeats") ?: true, rule.whole("attempts", 1, MOST_ATTEMPTS))
-        },
-    )
+    private fun sectionReader(className: String): SectionReader =
+        Class.forName(className).getDeclaredConstructor().newInstance() as SectionReader
+
+    private fun classRules(classes: LuaSection): ClassRules =
+        ClassRules(classes.keys.associateWith { classRule(classes, it) })
+
+    private fun classRule(classes: LuaSection, name: String): ClassRule {
+        val section = classes.sectionOrNull(name) ?: classes.fail(name, "must be a table")
+        section.requireKnownKeys(listOf(REPEATS, ATTEMPTS))
+        return ClassRule(section.booleanOrNull(REPEATS) ?: true, section.intOrNull(ATTEMPTS, 1, MAX_ATTEMPTS))
+    }
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatHandler.kt
@@ -56,7 +56,7 @@
         return when {
             messageRecorder.isStale(worker, heartbeat) -> HeartbeatAdmission.Dropped
             messageRecorder.isNewest(worker, heartbeat) -> HeartbeatAdmission.Newest(worker)
-            now - worker.lastCommandAt > WorkerTimeouts.ANSWER_WAIT -> HeartbeatAdmission.Dropped
+            now - worker.lastCommandAt > WorkerTimeouts.HEARTBEAT_RESPONSE_TIMEOUT -> HeartbeatAdmission.Dropped
             else -> HeartbeatAdmission.Overtaken(worker)
         }
     }
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -145,7 +145,7 @@
         CommandDispatcher(
             table,
             commands,
-            workerTimes.report,
+            workerTimes.heartbeatInterval,
             messageRecorder,
             workerReconciler,
             events,
--- a/src/main/kotlin/org/elderhitch/settings/PolicyScript.kt
+++ b/src/main/kotlin/org/elderhitch/settings/PolicyScript.kt
@@ -7,25 +7,26 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The operators' own settings: a Lua script that returns a table of policy values. It sets what is rented and returned,
- * within bounds, and nothing that a rule depends on. It is read once, at start; without one nothing of Lua is loaded.
+ * Parser of the operators' policy: a Lua script that returns a table. It tunes when machines are provisioned and
+ * terminated, within bounds, and can't break any guarantee. It is read once, at start; without a policy no Lua class is
+ * loaded.
  */
 public object PolicyScript {
     private val log = LoggerFactory.getLogger("elderhitch.settings")
 
-    private class Key(val least: Double, val most: Double, val set: (FleetPolicy, Double) -> FleetPolicy)
+    private class NumberKey(val min: Double, val max: Double, val set: FleetPolicy.(Double) -> FleetPolicy)
 
-    private val numbers = mapOf(
-        "headroom_s" to Key(0.0, 600.0) { p, v -> p.copy(headroom = v.seconds) },
-        "spare_machines" to Key(0.0, 20.0) { p, v -> p.copy(spareMachines = v) },
-        "return_after_s" to Key(0.0, 3600.0) { p, v -> p.copy(terminateIdleAfter = v.seconds) },
-        "return_surplus_after_s" to Key(0.0, 3600.0) { p, v -> p.copy(terminateSurplusAfter = v.seconds) },
-        "return_spot_after_s" to Key(0.0, 3600.0) { p, v -> p.copy(terminateIdleSpotAfter = v.seconds) },
-        "silent_return_share" to Key(0.01, 1.0) { p, v -> p.copy(suspectedTerminationShare = v) },
+    private val numberKeys = mapOf(
+        "headroom_s" to NumberKey(0.0, 600.0) { copy(headroom = it.seconds) },
+        "spare_machines" to NumberKey(0.0, 20.0) { copy(spareMachines = it) },
+        "return_after_s" to NumberKey(0.0, 3600.0) { copy(terminateIdleAfter = it.seconds) },
+        "return_surplus_after_s" to NumberKey(0.0, 3600.0) { copy(terminateSurplusAfter = it.seconds) },
+        "return_spot_after_s" to NumberKey(0.0, 3600.0) { copy(terminateIdleSpotAfter = it.seconds) },
+        "silent_return_share" to NumberKey(0.01, 1.0) { copy(suspectedTerminationShare = it) },
     )
     private const val USE_SPOT = "use_spot"
 
-    /** The script's policy, or, with a line in the log, the defaults: a bad script never keeps a controller down. */
+    /** Reads [file]. A bad script must not keep a controller down: it is logged, and the defaults apply. */
     public fun load(file: File): FleetPolicy = try {
         parse(file.name, file.readText())
     } catch (e: BadScript) {
@@ -36,12 +37,15 @@
         FleetPolicy()
     }
 
+    /** Parses the text of a policy; [name] stands for the file in messages. Throws [BadScript]. */
     public fun parse(name: String, script: String): FleetPolicy {
         val table = LuaScript.table(name, script)
-        table.allow(numbers.keys + USE_SPOT)
+        table.requireKnownKeys(numberKeys.keys + USE_SPOT)
         var policy = FleetPolicy()
-        for ((number, key) in numbers) table.number(number, key.least, key.most)?.let { policy = key.set(policy, it) }
-        table.flag(USE_SPOT)?.let { policy = policy.copy(useSpot = it) }
+        for ((key, spec) in numberKeys) {
+            table.numberOrNull(key, spec.min, spec.max)?.let { policy = spec.set(policy, it) }
+        }
+        table.booleanOrNull(USE_SPOT)?.let { policy = policy.copy(useSpot = it) }
         return policy
     }
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/Sources.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sources.kt
@@ -120,7 +120,7 @@
         return builder.build()
     }
 
-    private fun rowsOf(list: LuaSection): List<Map<String, Any?>> = list.tables().map { row ->
-        row.keys.associateWith { row.plain(it) }
+    private fun rowsOf(list: LuaSection): List<Map<String, Any?>> = list.sections().map { row ->
+        row.keys.associateWith { row.jsonValueOrNull(it) }
     }
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepService.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepService.kt
@@ -250,7 +250,7 @@
     private fun hundredths(seconds: Double): Double = Math.rint(seconds * HUNDREDTHS) / HUNDREDTHS
 
     private fun stateOf(state: SweepState, point: Int): String =
-        state.endOf(point)?.name?.lowercase() ?: if (context.running(state.id.point(point)) > 0) "running" else "open"
+        state.endOf(point)?.name?.lowercase() ?: if (context.runningTasks(state.id.point(point)) > 0) "running" else "open"
 
     private suspend fun points(state: SweepState, query: Map<String, String>): Response {
         val wanted = query["state"]
@@ -278,7 +278,7 @@
 
     /** Open points that failed wherever they were tried: with a mistake of their own, most likely. */
     private suspend fun failed(state: SweepState, after: Int, count: Int): Response {
-        val failing = context.atFault() ?: return later("no leader answers")
+        val failing = context.faultyJobs() ?: return later("no leader answers")
         val points = failing.mapNotNull { job ->
             SweepId.ofPoint(job)?.takeIf { it.first == state.id }?.second
         }.filter {
--- a/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
@@ -34,8 +34,8 @@
     private val sweepRegistry: SweepRegistry =
         SweepRegistry { state, before, after -> feeder.ended(state, before, after) }
     private val feeder: AdmissionWindow =
-        AdmissionWindow(context.scope, sweepRegistry, library, settings, context.jobs, context.running)
-    private val endings = Endings(sweepRegistry, context.client, context.sync, limits.txnOps)
+        AdmissionWindow(context.scope, sweepRegistry, library, settings, context::publish, context::runningTasks)
+    private val endings = Endings(sweepRegistry, context.client, context::sync, limits.txnOps)
     private val jobService =
         SweepService(
             settings,
@@ -53,9 +53,9 @@
         context.metrics.gauge("sweeps.in_table") { feeder.inTable }
     }
 
-    override fun snapshot(entries: List<Entry>) = sweepRegistry.snapshot(entries)
+    override fun onSnapshot(entries: List<Entry>) = sweepRegistry.snapshot(entries)
 
-    override fun changed(changes: List<Change>) = sweepRegistry.changed(changes)
+    override fun onChanges(changes: List<Change>) = sweepRegistry.changed(changes)
 
     /**
      * A worker's report of a point can't be judged without its description: a point that isn't known would be stopped
@@ -63,7 +63,7 @@
      */
     override suspend fun prepare(): Boolean = sweepRegistry.all.filter { it.open > 0 }.all { library.load(it) }
 
-    override fun termBegins(leadership: LeadershipState.Leader) {
+    override fun onTermStarted(leadership: LeadershipState.Leader) {
         feeder.begin()
         collecting = context.scope.launch {
             while (true) {
@@ -73,13 +73,13 @@
         }
     }
 
-    override fun termEnds() {
+    override fun onTermEnded() {
         feeder.end()
         library.clear()
         collecting?.cancel()
     }
 
-    override fun keepsFinished(job: JobId): Boolean = owns(job)
+    override fun retainsCompletions(job: JobId): Boolean = owns(job)
 
     override fun status(): Map<String, Any?> = linkedMapOf(
         "open" to sweepRegistry.all.count { it.open > 0 },
@@ -117,7 +117,7 @@
         final(id, sweep, point)?.let { return it }
         val state = sweepRegistry.of(sweep)
         if (state == null || point >= state.points || state.endOf(point) == PointEnd.SKIPPED) return JobResponse.Unknown
-        return JobResponse.State(id, JobStatus.open(0, context.running(id)))
+        return JobResponse.State(id, JobStatus.open(0, context.runningTasks(id)))
     }
 
     private fun final(id: JobId, sweep: SweepId, point: Int): JobResponse? {
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepsSettings.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepsSettings.kt
@@ -20,12 +20,12 @@
 /** The section `sweeps` of the features file. */
 public class SweepsSection : SectionReader {
     override fun read(section: LuaSection, file: File): FeatureFactory {
-        section.allow(listOf("most_open", "table_points", "waiting_points"))
+        section.requireKnownKeys(listOf("most_open", "table_points", "waiting_points"))
         val defaults = SweepsSettings()
         val settings = SweepsSettings(
-            section.whole("most_open", 1, MOST_OPEN) ?: defaults.mostOpen,
-            section.whole("table_points", 1, MOST_TABLE) ?: defaults.tablePoints,
-            section.whole("waiting_points", 1, MOST_WAITING) ?: defaults.waitingPoints,
+            section.intOrNull("most_open", 1, MOST_OPEN) ?: defaults.mostOpen,
+            section.intOrNull("table_points", 1, MOST_TABLE) ?: defaults.tablePoints,
+            section.intOrNull("waiting_points", 1, MOST_WAITING) ?: defaults.waitingPoints,
         )
         return FeatureFactory { Sweeps(settings, it) }
     }
