--- a/src/main/kotlin/org/elderhitch/tasks/WorkerState.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/WorkerState.kt
@@ -135,11 +135,7 @@
      * worker any more, and no message of that epoch counts. [lastDelegateResponse]: by when a lease delegate of the
      * worker's zone may have renewed the lease.
      */
-    fun expireLease(
-        now: MonotonicInstant,
-        timeouts: LeaseTimeouts,
-        lastDelegateResponse: MonotonicInstant,
-    ): Boolean {
+    fun expireLease(now: MonotonicInstant, timeouts: LeaseTimeouts, lastDelegateResponse: MonotonicInstant): Boolean {
         val current = lease ?: return false
         if (!current.isExpired(now, timeouts, lastDelegateResponse)) return false
         lease = current.expired()
