--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -23,8 +23,8 @@
 import org.elderhitch.http.Request
 import org.elderhitch.http.Response
 import org.elderhitch.http.Transport
-import org.elderhitch.jobs.ClassRules
 import org.elderhitch.jobs.Admission
+import org.elderhitch.jobs.ClassRules
 import org.elderhitch.jobs.CompletionWriter
 import org.elderhitch.jobs.Footprint
 import org.elderhitch.jobs.HoldKind
@@ -289,8 +289,7 @@
 
         override fun previousLeaderEnded(term: Term) = scheduler.tell(SchedulerMessage.PreviousLeaderEnded(term))
 
-        override fun previousLeadersStopped(term: Term) =
-            scheduler.tell(SchedulerMessage.PreviousLeadersStopped(term))
+        override fun previousLeadersStopped(term: Term) = scheduler.tell(SchedulerMessage.PreviousLeadersStopped(term))
 
         override suspend fun grantDelegation(node: NodeName): DelegationOffer? = leaderQueries.grantDelegation(node)
 
--- a/src/main/kotlin/org/elderhitch/app/Daemon.kt
+++ b/src/main/kotlin/org/elderhitch/app/Daemon.kt
@@ -26,7 +26,8 @@
 import kotlin.system.exitProcess
 
 /**
- * The long-running process of a controller. One thread, the event loop, runs all of its code; a second thread only waits
+ * The long-running process of a controller. One thread, the event loop, runs all of its code; a second thread only
+ * waits
  * for the sockets. Mistakes in the files that it is given end the process with a message and exit code 2.
  */
 internal object Daemon {
--- a/src/main/kotlin/org/elderhitch/app/SchedulerStateWriter.kt
+++ b/src/main/kotlin/org/elderhitch/app/SchedulerStateWriter.kt
@@ -69,20 +69,18 @@
 
     /** Deletes the completion records of a terminated job, unless a feature retains them. */
     fun deleteCompletions(leader: LeadershipState.Leader, job: JobId, blocks: Set<Int>) {
-        if (!features().retainsCompletions(job)) scope.launch { completionWriter.dropCompletedTasks(leader, job, blocks) }
+        if (!features().retainsCompletions(job)) {
+            scope.launch {
+                completionWriter.dropCompletedTasks(leader, job, blocks)
+            }
+        }
     }
 
     /**
      * Records a hold in place of revision [replaces] of its key. Each attempt sends [SchedulerMessage.HoldWritten]; the
      * scheduler starts no task of the job until the result is known, so an unknown one is retried without limit.
      */
-    fun writeHold(
-        leader: LeadershipState.Leader,
-        job: JobId,
-        version: Revision,
-        replaces: Revision,
-        hold: JobHold,
-    ) {
+    fun writeHold(leader: LeadershipState.Leader, job: JobId, version: Revision, replaces: Revision, hold: JobHold) {
         scope.launch {
             var unknownBefore = false
             while (true) {
--- a/src/main/kotlin/org/elderhitch/app/TrainingInputs.kt
+++ b/src/main/kotlin/org/elderhitch/app/TrainingInputs.kt
@@ -51,7 +51,9 @@
         put("lotKind", kind)
     }
 
-    /** The settings of a controller on loopback. Its one peer doesn't run, so that calls to an absent peer are covered. */
+    /**
+     * The settings of a controller on loopback. Its one peer doesn't run, so that calls to an absent peer are covered.
+     */
     fun settings(ports: List<Int>): Map<String, Any?> {
         val addresses = ports.map { "127.0.0.1:$it" }.iterator()
         return linkedMapOf(
--- a/src/main/kotlin/org/elderhitch/app/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/elderhitch/app/WorkerCommandSender.kt
@@ -35,7 +35,9 @@
         }
     }
 
-    /** Asks a worker for its tasks and tells it the term; the result comes back as [SchedulerMessage.ProbeCompleted]. */
+    /**
+     * Asks a worker for its tasks and tells it the term; the result comes back as [SchedulerMessage.ProbeCompleted].
+     */
     fun probe(leader: LeadershipState.Leader, address: Address, machine: MachineId) {
         scope.launch {
             val outcome = workerClient.probe(address, leader.term) { maySendCommands(leader) }
--- a/src/main/kotlin/org/elderhitch/delegates/DelegationRules.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/DelegationRules.kt
@@ -13,8 +13,10 @@
  *
  * @property unaccountedMachines how many machines of the zone may run tasks and have not been heard of in this term;
  * null: it isn't known yet which machines there are.
- * @property workersWithUnknownTasks how many workers of the zone run tasks of jobs that the leader doesn't know as open.
- * @property oldestTerminalState of the terminal jobs that still have tasks in the zone, the earliest instant after which
+ * @property workersWithUnknownTasks how many workers of the zone run tasks of jobs that the leader doesn't know as
+ * open.
+ * @property oldestTerminalState of the terminal jobs that still have tasks in the zone, the earliest instant after
+ * which
  * a terminal state may have been recorded; null: there is no such job.
  */
 public class ZoneStatus(
--- a/src/main/kotlin/org/elderhitch/delegates/PreviousLeaders.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/PreviousLeaders.kt
@@ -36,7 +36,8 @@
     }
 
     /**
-     * Whether the incarnation that led before [leadership] has ended: then whoever reported to it has noticed, and tries
+     * Whether the incarnation that led before [leadership] has ended: then whoever reported to it has noticed, and
+     * tries
      * the next controller. Lease delegates may still be answering. A previous leader that is no other controller was
      * this node itself.
      */
--- a/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
+++ b/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
@@ -127,7 +127,8 @@
         val isExhausted = context.unavailableMarkets.containsAll(catalog.markets(spec))
         val more = if (isExhausted) "none more to be had" else "more can be rented"
         val types = fitting.joinToString(" or ") { it.name.name }
-        return "waits for room of ${spec.resources.cpus} CPUs on $types: $up up, $more; others leave them as their tasks end"
+        return "waits for room of ${spec.resources.cpus} CPUs on $types: $up up, $more; " +
+            "others leave them as their tasks end"
     }
 
     private fun freeCapacityReason(job: JobState, allowed: List<WorkerState>, context: ExplanationContext): String {
@@ -156,7 +157,8 @@
         if (spec.kind == JobKind.SERVICE && spec.spread) append(", spread over zones,")
     }
 
-    private fun mayUse(spec: JobSpec, worker: WorkerState): Boolean = spec.permitsMachine(worker.type, worker.zone, worker.spot)
+    private fun mayUse(spec: JobSpec, worker: WorkerState): Boolean =
+        spec.permitsMachine(worker.type, worker.zone, worker.spot)
 
     private fun freeOn(worker: WorkerState, catalog: Catalog): Resources? {
         var free = catalog.resources(worker.type) ?: return null
--- a/src/main/kotlin/org/elderhitch/failuredetection/SuspectTerminator.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/SuspectTerminator.kt
@@ -28,6 +28,7 @@
     private val ports: SchedulerPorts,
 ) {
     private val takeover: Takeover get() = currentTakeover()
+
     /** When the termination of machines was last requested that have sent no message in this term. */
     private val neverSeenRequestedAt = HashMap<MachineId, MonotonicInstant>()
 
--- a/src/main/kotlin/org/elderhitch/features/FeaturesFile.kt
+++ b/src/main/kotlin/org/elderhitch/features/FeaturesFile.kt
@@ -35,7 +35,9 @@
     private const val ATTEMPTS = "attempts"
     private const val MAX_ATTEMPTS = 1000
 
-    /** Class names of the [SectionReader]s. They are strings so that the classes of a feature that is off never load. */
+    /**
+     * Class names of the [SectionReader]s. They are strings so that the classes of a feature that is off never load.
+     */
     private val sectionReaders = mapOf(
         "drmaa" to "org.elderhitch.drmaa.DrmaaSection",
         "sweeps" to "org.elderhitch.sweeps.SweepsSection",
--- a/src/main/kotlin/org/elderhitch/http/HttpClient.kt
+++ b/src/main/kotlin/org/elderhitch/http/HttpClient.kt
@@ -124,9 +124,7 @@
             HEAD_SIZE,
         ).append(method).append(' ').append(target).append(" HTTP/1.1\r\nHost: ").append(to.text)
             .append("\r\n")
-        if (body !=
-            null
-        ) {
+        if (body != null) {
             head.append("Content-Type: application/json\r\nContent-Length: ").append(body.size).append("\r\n")
         }
         if (last) head.append("Connection: close\r\n")
--- a/src/main/kotlin/org/elderhitch/http/HttpServer.kt
+++ b/src/main/kotlin/org/elderhitch/http/HttpServer.kt
@@ -140,7 +140,9 @@
 
     private suspend fun send(channel: AsynchronousSocketChannel, response: Response, keepAlive: Boolean) {
         val head = StringBuilder(HEAD_SIZE)
-            .append("HTTP/1.1 ").append(response.status).append(' ').append(HttpStatus.reasonPhrase(response.status)).append("\r\n")
+            .append("HTTP/1.1 ").append(response.status).append(' ').append(
+                HttpStatus.reasonPhrase(response.status),
+            ).append("\r\n")
             .append("Content-Type: ").append(response.contentType).append("\r\n")
             .append("Content-Length: ").append(response.body.size).append("\r\n")
         for ((name, value) in response.headers) head.append(name).append(": ").append(value).append("\r\n")
@@ -166,9 +168,7 @@
         public fun refusal(status: Int, reason: String, retryAfter: Duration? = null): Response = Response(
             status,
             Json.bytes(mapOf("error" to reason)),
-            if (retryAfter ==
-                null
-            ) {
+            if (retryAfter == null) {
                 emptyMap()
             } else {
                 mapOf("Retry-After" to retryAfter.inWholeSeconds.coerceAtLeast(1).toString())
--- a/src/main/kotlin/org/elderhitch/http/MessageParser.kt
+++ b/src/main/kotlin/org/elderhitch/http/MessageParser.kt
@@ -79,9 +79,7 @@
         if (byte == LF || byte == 0.toByte()) throw BadMessage(BAD_REQUEST, "a control character in a line")
         line.append(byte)
         when (stage) {
-            Stage.START -> if (line.size >
-                limits.startLine
-            ) {
+            Stage.START -> if (line.size > limits.startLine) {
                 throw BadMessage(URI_TOO_LONG, "the first line is too long")
             }
 
@@ -226,9 +224,7 @@
         /** The request that a message states. */
         public fun request(message: Message, from: String? = null): Request {
             val parts = message.startLine.split(' ')
-            if (parts.size != 3 ||
-                !parts[2].startsWith("HTTP/1.")
-            ) {
+            if (parts.size != 3 || !parts[2].startsWith("HTTP/1.")) {
                 throw BadMessage(BAD_REQUEST, "no HTTP/1.1 request line")
             }
             val (method, target) = parts
@@ -260,9 +256,7 @@
         /** The response that a message states. */
         public fun response(message: Message): Response {
             val status = message.startLine.split(' ').getOrNull(1)?.toIntOrNull()
-            if (!message.startLine.startsWith("HTTP/1.") ||
-                status == null
-            ) {
+            if (!message.startLine.startsWith("HTTP/1.") || status == null) {
                 throw BadMessage(BAD_REQUEST, "no status line")
             }
             return Response(status, message.body, message.headers)
--- a/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
@@ -130,8 +130,7 @@
         return sums.values.toList()
     }
 
-    private fun mayReserve(job: JobState): Boolean =
-        !job.isTerminal && !job.isGang && job.spec.priority != Priority.LOW
+    private fun mayReserve(job: JobState): Boolean = !job.isTerminal && !job.isGang && job.spec.priority != Priority.LOW
 
     /** The most that any open job's tasks use of CPUs and memory for each GPU. */
     private fun hostResourcesPerGpu(): Resources {
--- a/src/main/kotlin/org/elderhitch/scheduler/CycleRunner.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleRunner.kt
@@ -47,8 +47,7 @@
     fun isRested(now: MonotonicInstant): Boolean = now > pauseEndsAt
 
     /** Whether a cycle should run now because something changed, or because the last one was long ago. */
-    fun isDue(now: MonotonicInstant): Boolean =
-        isRested(now) && (table.dirty || now - lastCycleAt > MAX_CYCLE_INTERVAL)
+    fun isDue(now: MonotonicInstant): Boolean = isRested(now) && (table.dirty || now - lastCycleAt > MAX_CYCLE_INTERVAL)
 
     /** Runs one cycle. [responding]: the worker whose heartbeat is being answered, which needs no separate request. */
     fun run(term: LeadershipTerm, now: MonotonicInstant, responding: WorkerState? = null) {
@@ -65,7 +64,9 @@
         finish(input, output, now)
     }
 
-    /** On machines that the cloud takes back, tasks that can save do so; those that can't run on as long as they may. */
+    /**
+     * On machines that the cloud takes back, tasks that can save do so; those that can't run on as long as they may.
+     */
     private fun drainPreempted() {
         for (worker in table.workers.values) {
             val notice = worker.preemptionNotice ?: continue
@@ -73,7 +74,9 @@
                 val job = table.jobs[placement.task.job] ?: continue
                 if (placement.stopGrace != null) continue
                 if (placement.state == PlacementState.ASSIGNED) table.remove(job, placement)
-                if (job.spec.takesCheckpoints && job.spec.checkpointDuration < notice) table.stop(job, placement, saveGrace(job.spec))
+                if (job.spec.takesCheckpoints && job.spec.checkpointDuration < notice) {
+                    table.stop(job, placement, saveGrace(job.spec))
+                }
             }
         }
     }
--- a/src/main/kotlin/org/elderhitch/scheduler/LeadershipUpdateHandler.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/LeadershipUpdateHandler.kt
@@ -34,7 +34,11 @@
         state.leadershipState = next
         when (next) {
             is LeadershipState.Follower -> delegates.observeTerm(next.term)
-            is LeadershipState.Leader -> if (previousTerm?.number == next.term) previousTerm.renew(next) else begin(next)
+            is LeadershipState.Leader -> if (previousTerm?.number == next.term) {
+                previousTerm.renew(next)
+            } else {
+                begin(next)
+            }
         }
     }
 
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerMessage.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerMessage.kt
@@ -81,10 +81,8 @@
 
     // ---- workers
 
-    public data class HeartbeatReceived(
-        val heartbeat: Heartbeat,
-        val reply: CompletableDeferred<HeartbeatResponse>,
-    ) : WorkerUpdate
+    public data class HeartbeatReceived(val heartbeat: Heartbeat, val reply: CompletableDeferred<HeartbeatResponse>) :
+        WorkerUpdate
 
     /** The outcome of commands that were sent to a worker's own address; [starts]: the starts among them. */
     public data class CommandsDelivered(
--- a/src/main/kotlin/org/elderhitch/settings/LuaScript.kt
+++ b/src/main/kotlin/org/elderhitch/settings/LuaScript.kt
@@ -18,7 +18,8 @@
 public class BadScript(message: String, cause: Throwable? = null) : Exception(message, cause)
 
 /**
- * Runs operators' Lua scripts, which return a table. They can compute, but have no access to files, the network or Java,
+ * Runs operators' Lua scripts, which return a table. They can compute, but have no access to files, the network or
+ * Java,
  * and are stopped after [MAX_INSTRUCTIONS].
  */
 public object LuaScript {
--- a/src/main/kotlin/org/elderhitch/settings/Settings.kt
+++ b/src/main/kotlin/org/elderhitch/settings/Settings.kt
@@ -59,8 +59,8 @@
         get() = objectives.filter(::isInstant).map { it.jobClass }.toSet()
 
     private fun isInstant(objective: Objective): Boolean = objective.kind == OBJECTIVE_START &&
-            objective.within != null &&
-            objective.within < workers.heartbeatInterval * 2 + SAVE_AND_CYCLE
+        objective.within != null &&
+        objective.within < workers.heartbeatInterval * 2 + SAVE_AND_CYCLE
 
     public companion object {
         private const val OBJECTIVE_START = "wait"
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepService.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepService.kt
@@ -249,8 +249,13 @@
 
     private fun hundredths(seconds: Double): Double = Math.rint(seconds * HUNDREDTHS) / HUNDREDTHS
 
-    private fun stateOf(state: SweepState, point: Int): String =
-        state.endOf(point)?.name?.lowercase() ?: if (context.runningTasks(state.id.point(point)) > 0) "running" else "open"
+    private fun stateOf(state: SweepState, point: Int): String = state.endOf(point)?.name?.lowercase() ?: if (
+        context.runningTasks(state.id.point(point)) > 0
+    ) {
+        "running"
+    } else {
+        "open"
+    }
 
     private suspend fun points(state: SweepState, query: Map<String, String>): Response {
         val wanted = query["state"]
