--- a/src/main/kotlin/org/elderhitch/fleet/Arrivals.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Arrivals.kt
@@ -7,34 +7,34 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** The recent arrival rate of tasks by job class: an exponentially weighted average over two minutes. */
+/** The recent arrival rate of tasks by job class: an average with exponential decay over [TIME_CONSTANT]. */
 internal class Arrivals {
-    private class ClassRate(val latestSpec: JobSpec, val tasksPerS: Double, val at: MonotonicInstant)
+    private class ClassRate(val latestSpec: JobSpec, val tasksPerS: Double, val updatedAt: MonotonicInstant)
 
-    private val classes = HashMap<String, ClassRate>()
+    private val rateByClass = HashMap<String, ClassRate>()
 
-    /** A job was opened. */
+    /** Counts the tasks of a job that was opened. */
     fun add(spec: JobSpec, now: MonotonicInstant) {
-        val rate = tasksPerSecond(spec.jobClass, now) + spec.tasks / AVERAGED_OVER.toDouble(DurationUnit.SECONDS)
-        classes[spec.jobClass] = ClassRate(spec, rate, now)
+        val rate = tasksPerSecond(spec.jobClass, now) + spec.tasks / TIME_CONSTANT.toDouble(DurationUnit.SECONDS)
+        rateByClass[spec.jobClass] = ClassRate(spec, rate, now)
     }
 
     fun tasksPerSecond(jobClass: String, now: MonotonicInstant): Double =
-        classes[jobClass]?.let { it.tasksPerS * exp(-((now - it.at) / AVERAGED_OVER)) } ?: 0.0
+        rateByClass[jobClass]?.let { it.tasksPerS * exp(-((now - it.updatedAt) / TIME_CONSTANT)) } ?: 0.0
 
-    /** The rate of each class, with the latest job of the class as its shape. */
-    fun expected(now: MonotonicInstant): List<ExpectedArrivals> = classes.values.map {
+    /** The arrival rate of each class, with the latest job of the class as the model of its tasks. */
+    fun expected(now: MonotonicInstant): List<ExpectedArrivals> = rateByClass.values.map {
         ExpectedArrivals(it.latestSpec, tasksPerSecond(it.latestSpec.jobClass, now))
     }
 
-    /** How many machines the tasks would fill that arrive while a machine boots. */
-    fun machinesPerBoot(catalog: Catalog, now: MonotonicInstant): Double = classes.values.sumOf { known ->
-        val type = catalog.fitting(known.latestSpec).minByOrNull { it.price } ?: return@sumOf 0.0
-        tasksPerSecond(known.latestSpec.jobClass, now) * type.bootTime.toDouble(DurationUnit.SECONDS) /
-            CapacityEstimates.tasksPerMachine(known.latestSpec, type).coerceAtLeast(1.0)
+    /** Number of machines that the tasks arriving during the boot of a machine would fill. */
+    fun machinesFilledDuringBoot(catalog: Catalog, now: MonotonicInstant): Double = rateByClass.values.sumOf { rate ->
+        val type = catalog.fitting(rate.latestSpec).minByOrNull { it.price } ?: return@sumOf 0.0
+        tasksPerSecond(rate.latestSpec.jobClass, now) * type.bootTime.toDouble(DurationUnit.SECONDS) /
+            CapacityEstimates.tasksPerMachine(rate.latestSpec, type).coerceAtLeast(1.0)
     }
 
     private companion object {
-        val AVERAGED_OVER = 120.seconds
+        val TIME_CONSTANT = 120.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/BootTimes.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/BootTimes.kt
@@ -1,54 +1,55 @@
 package org.elderhitch.fleet
 
 /**
- * How long machines lately took to boot, as multiples of the time that the cloud states for their type.
+ * Statistics of recent boot times, as multiples of the boot time that the cloud states for the machine type.
  *
- * Some machines never come up and are charged all the same. The limit after which a machine is given up follows the
- * slowest of the recent boots, so that it moves with a slow hour of the cloud.
+ * Some machines never come up but are charged nevertheless, so they are terminated after a boot timeout. The timeout
+ * follows the slowest of the recent boots, so that it adapts to periods when the cloud is slow.
  */
 public class BootTimes {
     private val recent = ArrayDeque<Double>()
 
-    /** After which multiple a machine that is not up is given up and terminated. */
-    public val hopelessMultiple: Double
+    /** The boot timeout, after which a machine that is not up is terminated. */
+    public val timeoutMultiple: Double
         get() =
             if (recent.size < MIN_SAMPLES) {
-                DEFAULT_HOPELESS_MULTIPLE
+                DEFAULT_TIMEOUT_MULTIPLE
             } else {
-                (recent.max() * HOPELESS_MARGIN).coerceIn(MIN_HOPELESS_MULTIPLE, DEFAULT_HOPELESS_MULTIPLE)
+                (recent.max() * TIMEOUT_FACTOR).coerceIn(MIN_TIMEOUT_MULTIPLE, DEFAULT_TIMEOUT_MULTIPLE)
             }
 
     /**
-     * After which multiple a machine counts as late, so that another is provisioned in its place.
+     * The multiple after which a machine is late, so that another is provisioned in its place.
      *
-     * While no machine came up at all ([anyUp] is false), or all come up late, the cloud is slow and a replacement
-     * would come later still: at two and a half times the usual boot time, a whole fleet was provisioned twice.
+     * If no machine has come up ([hasRunningMachines] is false) or all boots are slow, the cloud is slow, and a
+     * replacement would come up later still: at two and a half times the usual boot time, a whole fleet was provisioned
+     * twice.
      */
-    public fun lateMultiple(anyUp: Boolean): Double = when {
-        !anyUp -> DEFAULT_HOPELESS_MULTIPLE
+    public fun lateMultiple(hasRunningMachines: Boolean): Double = when {
+        !hasRunningMachines -> DEFAULT_TIMEOUT_MULTIPLE
 
         recent.isEmpty() -> DEFAULT_LATE_MULTIPLE
 
         else -> (recent.sorted()[recent.size / 2] * DEFAULT_LATE_MULTIPLE).coerceIn(
             DEFAULT_LATE_MULTIPLE,
-            DEFAULT_HOPELESS_MULTIPLE,
+            DEFAULT_TIMEOUT_MULTIPLE,
         )
     }
 
-    /** A machine came up after that multiple of its usual boot time. */
+    /** Records that a machine came up after [multiple] times its usual boot time. */
     public fun add(multiple: Double) {
         recent.addLast(multiple)
         if (recent.size > MAX_SAMPLES) recent.removeFirst()
     }
 
     public companion object {
-        /** The multiple at which a machine is late while nothing is known of recent boots. */
+        /** The multiple after which a machine is late while no recent boot is known, which is also its minimum. */
         public const val DEFAULT_LATE_MULTIPLE: Double = 2.0
 
-        /** The multiple at which a machine is given up while little is known of recent boots, and at the latest. */
-        public const val DEFAULT_HOPELESS_MULTIPLE: Double = 3.5
-        private const val MIN_HOPELESS_MULTIPLE = 2.0
-        private const val HOPELESS_MARGIN = 1.25
+        /** The boot timeout while few recent boots are known, which is also its maximum. */
+        public const val DEFAULT_TIMEOUT_MULTIPLE: Double = 3.5
+        private const val MIN_TIMEOUT_MULTIPLE = 2.0
+        private const val TIMEOUT_FACTOR = 1.25
         private const val MIN_SAMPLES = 10
         private const val MAX_SAMPLES = 40
     }
--- a/src/main/kotlin/org/elderhitch/fleet/CapacityEstimates.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CapacityEstimates.kt
@@ -3,16 +3,16 @@
 import org.elderhitch.jobs.JobSpec
 import kotlin.math.floor
 
-/** Estimates of how many tasks of one shape arrive, fit on a machine, or are lost with it. */
+/** Estimates how many tasks of one resource shape arrive, fit on a machine, or are displaced by machine failures. */
 internal object CapacityEstimates {
     private const val MS_PER_S = 1000.0
 
-    /** How many tasks arrive while a machine of [type] boots and for the time of the policy's headroom on top. */
+    /** How many tasks arrive during the boot of a machine of [type] plus the headroom time of the policy. */
     fun arrivingTasks(type: TypeInfo, arrivalsPerS: Double, policy: FleetPolicy): Double =
         arrivalsPerS * (type.bootTime + policy.headroom).inWholeMilliseconds / MS_PER_S
 
-    /** How many tasks need another machine when as many are lost as the policy provides for. */
-    fun strandedTasks(spec: JobSpec, type: TypeInfo, policy: FleetPolicy): Double =
+    /** How many tasks need other machines after the loss of as many machines as the policy provides for. */
+    fun displacedTasks(spec: JobSpec, type: TypeInfo, policy: FleetPolicy): Double =
         policy.spareMachines * tasksPerMachine(spec, type)
 
     /** How many tasks fit on an empty machine of [type]. */
--- a/src/main/kotlin/org/elderhitch/fleet/CatalogRefresher.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CatalogRefresher.kt
@@ -20,29 +20,29 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Keeps the catalog of machine types up to date. The leader stores a copy in the state service, so that a node which
- * starts while the cloud is unavailable can still tell which jobs could run.
+ * Refreshes the catalog of machine types. The leader stores a copy in the state service, so that a node that starts
+ * while the cloud is unavailable can still decide which jobs could run.
  */
 public class CatalogRefresher(
     private val scope: CoroutineScope,
     private val cloud: CloudClient,
     private val store: StateClient,
-    /** The largest value that the state service takes, in bytes. */
+    /** The maximum size of a value in the state service, in bytes. */
     private val maxValueBytes: Int,
-    /** Whether this node has read the state service, and so the stored catalog if there is one. */
+    /** Whether this node has loaded the state service's contents, including the stored catalog if there is one. */
     private val isStoreLoaded: () -> Boolean,
     private val onCatalog: (Catalog) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
     private var catalog = Catalog.EMPTY
 
-    /** A copy is stored, or is too large to be. */
+    /** Whether a copy is stored, or is too large to be stored. */
     private var isStored = false
 
-    /** Whether a task of the job could run on any machine type; null: no catalog is known yet. */
+    /** Whether a task of the job could run on any machine type; null while the catalog is unknown. */
     public fun canEverRun(spec: JobSpec): Boolean? = if (catalog.isEmpty) null else catalog.fitting(spec).isNotEmpty()
 
-    /** Begins to refresh the catalog, in the background. */
+    /** Starts refreshing the catalog in the background. */
     public fun start(leadershipState: StateFlow<LeadershipState>) {
         scope.launch {
             awaitLeadershipOrCatalog(leadershipState)
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Gives a node that does not lead time to find the catalog in the state service. When seven controllers that came
-     * back together all asked the cloud at once, at 1.5 requests a second, the new leader's list of machines was
-     * refused, and its takeover waited 6 s for machines that were long gone.
+     * Gives a follower time to read the catalog from the state service instead of the cloud. When seven controllers
+     * restarted together and all requested the catalog at once, at a limit of 1.5 requests a second, the new leader's
+     * list request was refused, and its takeover waited 6 s for machines that no longer existed.
      */
     private suspend fun awaitLeadershipOrCatalog(leadershipState: StateFlow<LeadershipState>) {
         repeat(STARTUP_CHECKS) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** [leadership] is null on a node that follows, which asks the cloud only while it knows no catalog. */
+    /** [leadership] is null on a follower, which requests the catalog only while it knows none. */
     private suspend fun refresh(leadership: LeadershipState.Leader?) {
         if (!catalog.isEmpty && leadership == null) return
         val fresh = cloud.catalog() ?: return
@@ -78,7 +78,7 @@
         onCatalog(fresh)
     }
 
-    /** Stores the catalog once: prices change all the time, and a copy with older ones serves as well. */
+    /** Stores the catalog only once: prices change often, and a copy with outdated prices is sufficient. */
     private suspend fun storeCopy(leadership: LeadershipState.Leader) {
         if (isStored) return
         val value = CatalogCodec.encodeTypes(catalog.types.values)
@@ -96,7 +96,7 @@
         isStored = outcome is CommitOutcome.Committed
     }
 
-    /** The state service holds a copy of the catalog, which is used until the cloud has answered. */
+    /** Receives the copy of the catalog in the state service, which is used until the cloud has responded. */
     public fun stored(entry: Entry) {
         try {
             val types = CatalogCodec.decodeTypes(entry.value)
--- a/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
@@ -10,28 +10,33 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
-/** The cloud's answer to a provisioning request. */
+/** The outcome of a provisioning request. */
 public sealed interface ProvisioningOutcome {
-    /** The machines that were provisioned: fewer than requested, or none, where capacity is short. */
+    /** The machines that were provisioned: fewer than requested, or none, if capacity is insufficient. */
     public data class Provisioned(val machines: List<MachineId>) : ProvisioningOutcome
 
-    /** The market has no capacity; nothing was provisioned. */
+    /** The market has no capacity, and no machine was provisioned. */
     public data object NoCapacity : ProvisioningOutcome
 
-    /** The cloud calls the request malformed: it must not be repeated. */
+    /** The cloud rejected the request as malformed. It must not be repeated. */
     public data object Rejected : ProvisioningOutcome
 
-    /** The request may be carried out, now or later: it must be repeated under the same name. */
+    /** The request may have been executed, or may be executed later. It must be repeated under the same name. */
     public data object Unknown : ProvisioningOutcome
 }
 
-/** A machine as the cloud lists it; [state] is the cloud's own word, [address] that of its worker once it is known. */
+/**
+ * An entry of the cloud's machine list.
+ *
+ * @property state the state as named by the cloud
+ * @property address the address of the machine's worker; null until it is known
+ */
 public class ListedMachine(public val machine: Machine, public val state: String, public val address: Address?) {
-    /** The machine stopped by itself. */
+    /** Whether the machine failed, rather than being terminated. */
     internal val isFailed: Boolean get() = CloudCodec.isFailed(state)
 }
 
-/** The client of the cloud's API. All requests share one rate limiter; none is retried here. */
+/** A client of the cloud API. All requests share one rate limiter. Failed requests are not retried here. */
 public class CloudClient(
     private val transport: Transport,
     private val address: Address,
@@ -39,7 +44,7 @@
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
 
-    /** The machine types that the cloud offers; null if they could not be fetched. */
+    /** Fetches the machine types that the cloud offers; null if they are unavailable. */
     public suspend fun catalog(): Catalog? {
         val response = call("GET", "/flavors", null, RequestPriority.PROGRESS) ?: return null
         if (response.status != STATUS_OK) return null
@@ -50,10 +55,10 @@
     }
 
     /**
-     * Requests [count] machines under [name]; the same name never provisions twice.
+     * Requests [count] machines. Requests are idempotent by [name].
      *
-     * [maySend] is asked immediately before the request is sent, as it may have waited for the rate limiter or the
-     * process may have paused.
+     * [maySend] is evaluated immediately before the request is sent, as the request may have waited for the rate
+     * limiter or the process may have been paused.
      */
     public suspend fun provision(
         name: String,
@@ -83,17 +88,19 @@
     }
 
     /**
-     * Terminates at most [MAX_TERMINATED] machines. True: they are gone, with all that ran on them.
+     * Terminates at most [MAX_TERMINATED] machines. Returns true if the machines and their tasks are certainly gone.
      *
-     * [maySend] is asked immediately before the request is sent: a later leader may use the machines by then.
+     * [maySend] is evaluated immediately before the request is sent, as a later leader may use the machines by then.
      */
     public suspend fun terminate(machines: List<MachineId>, maySend: () -> Boolean): Boolean {
-        check(machines.size <= MAX_TERMINATED) { "${machines.size} machines in a request" }
+        check(machines.size <= MAX_TERMINATED) {
+            "termination request for ${machines.size} machines, more than $MAX_TERMINATED"
+        }
         val body = CloudCodec.terminationRequest(machines)
         return call("POST", "/machines/release", body, RequestPriority.LEADERSHIP, maySend)?.status == STATUS_OK
     }
 
-    /** All machines of the cluster; null if any page could not be fetched. */
+    /** Lists all machines of the cluster; null if any page is unavailable. */
     public suspend fun list(priority: RequestPriority = RequestPriority.OTHER): List<ListedMachine>? {
         val all = ArrayList<ListedMachine>()
         do {
@@ -122,13 +129,13 @@
     }
 
     public companion object {
-        /** The most machines that one termination request may name. */
+        /** Maximum number of machines in a termination request. */
         public const val MAX_TERMINATED: Int = 100
 
-        /** The most machines that one provisioning request may ask for. */
+        /** Maximum number of machines in a provisioning request. */
         public const val MAX_PROVISIONED: Int = 50
 
-        /** Machines on a page of the list. */
+        /** Number of machines on a page of the list. */
         public const val PAGE_SIZE: Int = 500
         private const val PEER = "cloud"
         private const val STATUS_OK = 200
--- a/src/main/kotlin/org/elderhitch/fleet/CloudCodec.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudCodec.kt
@@ -8,7 +8,7 @@
 import org.elderhitch.settings.Zone
 import kotlin.time.Duration.Companion.seconds
 
-/** The bodies of the cloud's requests and answers. Malformed answers throw `MalformedJson`. */
+/** Encodes and decodes the bodies of cloud API requests and responses. Malformed responses throw `MalformedJson`. */
 internal object CloudCodec {
     private const val FAILED_STATE = "failed"
     private const val NO_CAPACITY = "no capacity"
@@ -26,7 +26,7 @@
     fun provisionedMachines(body: ByteArray): List<MachineId> =
         Json.parseObject(body).stringsOrNull("stalls").orEmpty().map(::MachineId)
 
-    /** Whether the body of a refusal says that the market is empty. */
+    /** Whether the body of an error response states that the market has no capacity. */
     fun lacksCapacity(body: ByteArray): Boolean = body.decodeToString().contains(NO_CAPACITY)
 
     fun terminationRequest(machines: List<MachineId>): ByteArray =
@@ -51,12 +51,12 @@
     )
 }
 
-/** One page of the cloud's list of machines. */
+/** One page of the cloud's machine list; [more] tells whether further pages follow. */
 internal class MachinePage(val machines: List<ListedMachine>, val more: Boolean)
 
 /**
- * The machine types, in the one form that the cloud answers with and the state service stores. Malformed values throw
- * `MalformedJson`.
+ * Encodes and decodes machine types. The cloud's responses and the copy in the state service share one format.
+ * Malformed values throw `MalformedJson`.
  */
 public object CatalogCodec {
     private const val MS_PER_S = 1000.0
--- a/src/main/kotlin/org/elderhitch/fleet/FleetContext.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetContext.kt
@@ -5,21 +5,24 @@
 import org.elderhitch.settings.CloudLimits
 import org.elderhitch.time.SteadyClock
 
-/** What all parts of the [ProvisioningActor] share. Only the actor's own coroutine uses it, but for [tell]. */
+/**
+ * State shared by the components of the [ProvisioningActor]. Except for [tell], it is confined to the actor's
+ * coroutine.
+ */
 internal class FleetContext(
-    /** Where calls are launched that take time. */
+    /** The scope in which asynchronous calls are launched. */
     val scope: CoroutineScope,
     val clock: SteadyClock,
     val ports: FleetPorts,
     limits: CloudLimits,
-    /** Sends a message to the actor itself: how the outcomes of launched calls come back. */
+    /** Sends a message to the actor itself, such as the outcome of an asynchronous call. */
     val tell: (FleetMessage) -> Unit,
 ) {
     val term = FleetTerm()
     val calls = CloudCallScheduler(limits.requestsPerS * CloudCallScheduler.USABLE_SHARE)
     val actions = ActionLedger()
 
-    /** Forgets all that belongs to the term before. */
+    /** Discards the state of the previous term. */
     fun newTerm() {
         calls.newTerm()
         actions.newTerm()
--- a/src/main/kotlin/org/elderhitch/fleet/FleetMessage.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetMessage.kt
@@ -12,55 +12,55 @@
 import org.elderhitch.store.Revision
 import org.elderhitch.time.MonotonicInstant
 
-/** What the [ProvisioningActor] is told. Messages that carry a term are ignored once another term has begun. */
+/** Messages to the [ProvisioningActor]. A message that carries a term is ignored once another term has begun. */
 public sealed interface FleetMessage {
-    /** All provisioning intents that the state service holds. */
+    /** All provisioning intents in the state service. */
     public data class Snapshot(val entries: List<Entry>) : FleetMessage
 
-    /** Changes of keys of the state service; those that are no provisioning intents are ignored. */
+    /** Changes in the state service. Those of keys other than provisioning intents are ignored. */
     public data class Changed(val changes: List<Change>) : FleetMessage
 
     public data class LeadershipChanged(val leadershipState: LeadershipState) : FleetMessage
 
-    /** The provisioning intents of all earlier terms are known. */
+    /** The provisioning intents of all earlier terms were received. */
     public data class IntentsLoaded(val term: Term) : FleetMessage
 
     public data class JobOpened(val spec: JobSpec) : FleetMessage
 
-    /** What the scheduling cycle could not place, and how the machines are used. */
+    /** The tasks that the scheduling cycle could not place, and how the machines are used. */
     public data class DemandChanged(
         val unplaced: List<UnplacedTasks>,
         val uses: List<MachineUse>,
-        /** The services that are not complete. */
+        /** The services that have not completed. */
         val services: List<JobSpec>,
-        /** Whether the takeover is over: it is known what runs on every machine of earlier terms. */
+        /** Whether the takeover has completed, so that all tasks on machines of earlier terms are known. */
         val settled: Boolean,
-        /** Zones that this node can't reach: no machines are provisioned there. */
+        /** Zones that this node can't reach, in which no machines are provisioned. */
         val cutZones: Set<Zone> = emptySet(),
-        /** The sets of types that some work is confined to while other work could run elsewhere. */
+        /** Sets of machine types to which some work is confined while other work could also run elsewhere. */
         val scarce: List<Set<MachineType>> = emptyList(),
     ) : FleetMessage
 
-    /** A worker sends heartbeats from a machine that is in no provisioning intent of this term. */
+    /** A worker sent a heartbeat from a machine that no provisioning intent of this term names. */
     public data class OrphanDetected(val heartbeat: Heartbeat) : FleetMessage
 
-    /** Machines to give back to the cloud, as soon as its request rate allows. */
+    /** Requests the termination of machines, as soon as the cloud's request rate allows. */
     public data class TerminateMachines(val machines: List<MachineId>, val reason: TerminationReason) : FleetMessage
 
-    /** The scheduler's answer to a request to cordon idle machines. */
+    /** The scheduler's response to a request to cordon idle machines. */
     public data class MachinesCordoned(
-        /** Still empty: nothing is placed there any more. */
+        /** Machines that are still empty and are now cordoned. */
         val empty: List<MachineId>,
-        /** Something runs there by now: they stay in use. */
+        /** Machines that are in use by now and are not cordoned. */
         val inUse: List<MachineId>,
     ) : FleetMessage
 
-    /** A machine whose termination was requested sends heartbeats. */
+    /** A machine whose termination may be queued sent a heartbeat. */
     public data class HeartbeatReceived(val machine: MachineId) : FleetMessage
 
     public data class CatalogChanged(val catalog: Catalog) : FleetMessage
 
-    /** The first heartbeat of a provisioned machine: it may be given tasks as soon as that is recorded. */
+    /** The first heartbeat of a provisioned machine, which may be given tasks once it is recorded as up. */
     public data class MachineUp(val machine: MachineId) : FleetMessage
 
     /** The outcome of recording that [machines] of the intent [name] are up. */
@@ -68,27 +68,27 @@
         val term: Term,
         val name: String,
         val machines: Set<MachineId>,
-        val recorded: Boolean,
+        val succeeded: Boolean,
     ) : FleetMessage
 
-    /** The cloud's answer to the provisioning request of the intent [name]. */
+    /** The outcome of the provisioning request of the intent [name]. */
     public data class ProvisioningCompleted(val term: Term, val name: String, val outcome: ProvisioningOutcome) :
         FleetMessage
 
-    /** The intent [name] was written with that [version]; null: the write did not succeed as far as is known. */
+    /** The intent [name] was written with revision [version]; null if the write is not known to have succeeded. */
     public data class IntentRecorded(val term: Term, val name: String, val version: Revision?) : FleetMessage
 
-    /** The cloud's answer to a termination request; [done]: the machines are surely gone. */
-    public data class MachinesTerminated(val term: Term, val machines: List<MachineId>, val done: Boolean) :
+    /** The outcome of a termination request; [succeeded] means that the machines are certainly gone. */
+    public data class MachinesTerminated(val term: Term, val machines: List<MachineId>, val succeeded: Boolean) :
         FleetMessage
 
-    /** The cloud's list of machines, requested at [requestedAt]; null: it was unavailable. */
+    /** The cloud's machine list, requested at [requestedAt]; null if it was unavailable. */
     public data class MachinesListed(
         val term: Term,
         val machines: List<ListedMachine>?,
         val requestedAt: MonotonicInstant,
     ) : FleetMessage
 
-    /** Sent periodically by the actor to itself. */
+    /** Sent periodically by the actor to itself, to perform the actions that are due. */
     public data object Tick : FleetMessage
 }
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPlan.kt
@@ -1,8 +1,8 @@
 package org.elderhitch.fleet
 
 /**
- * Decides which machines to provision, to terminate and to drain. A pure function of its input: it is computed anew for
- * each decision and keeps nothing in between.
+ * Decides which machines to provision, to terminate, and to drain. The decision is a pure function of the input: a plan
+ * is computed from scratch each time and keeps no state.
  */
 public class FleetPlan(private val input: PlanInput, private val policy: FleetPolicy) {
     public fun decide(): PlanOutput {
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPlanner.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPlanner.kt
@@ -10,7 +10,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Makes a [FleetPlan] from the latest demand at regular intervals, and has it carried out. */
+/** Computes a [FleetPlan] from the latest demand at regular intervals and executes it. */
 internal class FleetPlanner(
     private val fleet: FleetContext,
     private val policy: FleetPolicy,
@@ -23,12 +23,12 @@
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
     private val arrivals = Arrivals()
-    private val spareCapacity = SpareCapacity(arrivals, policy, instantClasses)
+    private val headroomCalculator = HeadroomCalculator(arrivals, policy, instantClasses)
     private var demand: FleetMessage.DemandChanged? = null
     private var plannedAt = MonotonicInstant.NEVER
 
-    /** Whether the takeover of this term is over. */
-    val isSettled: Boolean get() = demand?.settled == true
+    /** Whether the takeover of this term has completed. */
+    val isTakeoverSettled: Boolean get() = demand?.settled == true
 
     fun newTerm() {
         demand = null
@@ -41,7 +41,7 @@
     }
 
     fun planIfDue(leadership: LeadershipState.Leader, catalog: Catalog, now: MonotonicInstant) {
-        if (now - plannedAt <= PLAN_INTERVAL || !fleet.term.inventorySent || catalog.isEmpty) return
+        if (now - plannedAt <= PLAN_INTERVAL || !fleet.term.isInventorySent || catalog.isEmpty) return
         plannedAt = now
         fleet.ports.publishActions(fleet.actions.snapshot())
         demand?.let { plan(leadership, it, catalog, now) }
@@ -54,54 +54,55 @@
         now: MonotonicInstant,
     ) {
         val uses = demand.uses.associateBy { it.id }
-        markets.expire(now)
+        markets.reopenExpired(now)
         val open = intents.open
         val requested = open.flatMap { requestedMachines(it, now) }
         val existing = existingMachines(uses)
-        val headroom = spareCapacity.headroom(demand.services, catalog, now)
+        val headroom = headroomCalculator.headroom(demand.services, catalog, now)
         sendReservations(headroom)
         val input = PlanInput(
             catalog = catalog,
             machines = existing + requested,
             unplaced = demand.unplaced,
             headroom = headroom,
-            arriving = arrivals.machinesPerBoot(catalog, now),
+            machinesFilledDuringBoot = arrivals.machinesFilledDuringBoot(catalog, now),
             closedMarkets = markets.closed + marketsOf(demand.cutZones, catalog),
             now = now,
-            hopelessBootMultiple = machines.bootTimes.hopelessMultiple,
+            bootTimeoutMultiple = machines.bootTimes.timeoutMultiple,
             lateBootMultiple = machines.bootTimes.lateMultiple(uses.isNotEmpty()),
-            scarce = demand.scarce,
+            scarceTypeSets = demand.scarce,
         )
         val output = FleetPlan(input, policy).decide()
         logPlan(existing, input, output)
-        // Until the machines of earlier terms were seen, unused capacity can't be told from machines that are down.
-        val isSettling = !demand.settled && now - fleet.term.startedAt < MAX_SETTLING
-        if (!isSettling) carryOut(leadership, output, openIntents = open.size)
+        // Before the workers of earlier terms have reported, idle capacity can't be distinguished from failed machines.
+        val isTakeoverPending = !demand.settled && now - fleet.term.startedAt < MAX_TAKEOVER_WAIT
+        if (!isTakeoverPending) carryOut(leadership, output, openIntents = open.size)
     }
 
-    /** Machines that are requested and have no names yet, with names made up for the plan. */
+    /** The machines of an open request. They have no ids yet and get placeholder ids for the plan. */
     private fun requestedMachines(intent: ProvisioningIntent, now: MonotonicInstant): List<PlannedMachine> =
         (0 until intent.count).map { index ->
             PlannedMachine(intent.market.machine(MachineId("${intent.name}+$index")), now, null)
         }
 
     /**
-     * The machines that count. One that came up in an earlier term and was not seen in this one does not boot: it is
-     * left out, rather than given up as a slow boot.
+     * The machines that provide capacity. A machine that was up in an earlier term but has sent no heartbeat in this
+     * one is not booting. It is excluded, so that it isn't terminated as a slow boot.
      */
     private fun existingMachines(uses: Map<MachineId, MachineUse>): List<PlannedMachine> = machines.machines.values
-        .filter { !it.terminating && !it.failed && (it.machine.id in uses || !it.upInEarlierTerm) }
-        .map { PlannedMachine(it.machine, provisionedAtLatest(it), uses[it.machine.id]) }
+        .filter { !it.isTerminating && !it.isFailed && (it.machine.id in uses || !it.wasUpInEarlierTerm) }
+        .map { PlannedMachine(it.machine, latestProvisioningTime(it), uses[it.machine.id]) }
 
     /**
-     * What came up in an earlier term was provisioned long ago: counted from the start of this term, idle machines
-     * would be kept for another minute after each takeover.
+     * The provisioning time for the plan. A machine that was up in an earlier term counts as provisioned long ago: if
+     * its age were counted from the start of this term, idle machines would be kept for another minute after each
+     * takeover.
      */
-    private fun provisionedAtLatest(machine: ProvisionedMachine): MonotonicInstant =
-        if (machine.upInEarlierTerm) MonotonicInstant.NEVER else machine.provisionedAt
+    private fun latestProvisioningTime(machine: ProvisionedMachine): MonotonicInstant =
+        if (machine.wasUpInEarlierTerm) MonotonicInstant.NEVER else machine.provisionedAt
 
     private fun sendReservations(headroom: List<Headroom>) {
-        val reservations = headroom.filter { it.free }.map { CapacityReservation(it.spec, it.tasks) }
+        val reservations = headroom.filter { it.mustBeFree }.map { CapacityReservation(it.spec, it.tasks) }
         fleet.ports.scheduler(SchedulerMessage.CapacityReserved(reservations, markets.refused.toSet()))
     }
 
@@ -129,7 +130,7 @@
             .flatMap { it.chunked(CloudClient.MAX_PROVISIONED) }
             .take(free)
             .forEach { requester.add(leadership, it) }
-        val idle = output.terminate.filter { machines.machines[it]?.terminating == false }
+        val idle = output.terminate.filter { machines.machines[it]?.isTerminating == false }
         if (idle.isNotEmpty()) terminations.requestIdle(idle)
         output.drain?.let { fleet.ports.scheduler(SchedulerMessage.DrainMachine(it)) }
     }
@@ -137,7 +138,7 @@
     private companion object {
         val PLAN_INTERVAL = 500.milliseconds
 
-        /** After that time a term acts on its plans even if its takeover is not over. */
-        val MAX_SETTLING = 8.seconds
+        /** After this time in a term, plans are executed even if the takeover has not completed. */
+        val MAX_TAKEOVER_WAIT = 8.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPolicy.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPolicy.kt
@@ -3,26 +3,25 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/**
- * The part of the fleet's behaviour that operators may set by a policy script. The defaults are the values with which
- * the deployments were measured.
- */
+/** The fleet parameters that operators may set in a policy script. */
 public data class FleetPolicy(
-    /** Spare capacity for services, as the time of arrivals that it holds on top of the boot time of a machine. */
+    /**
+     * Spare capacity for services, as a time: it holds the arrivals of this time in addition to those during a boot.
+     */
     val headroom: Duration = 30.seconds,
-    /** Spare capacity for production services against the loss of machines, as a number of machines. */
+    /** Spare capacity for production services against machine failures, as a number of machines. */
     val spareMachines: Double = 1.0,
     /** How long an on-demand machine stays idle before it is terminated. */
     val terminateIdleAfter: Duration = 45.seconds,
     /** How long a spot machine stays idle before it is terminated. */
     val terminateIdleSpotAfter: Duration = 60.seconds,
-    /** The same for machines beyond those that the arrivals during a boot could fill. */
+    /** How long a machine stays idle before it is terminated if it exceeds the number kept for expected arrivals. */
     val terminateSurplusAfter: Duration = 10.seconds,
     /** Whether spot machines are provisioned at all. */
     val useSpot: Boolean = true,
     /**
-     * The part of a zone's machines, from 0 to 1, that may be terminated within 5 s only because they are suspected
-     * (`docs/design/recovery.md`).
+     * The share of a zone's machines, from 0 to 1, that may be terminated within 5 s on suspicion alone. When many
+     * machines of a zone are silent at once, this node or the network may be at fault, and replacements are expensive.
      */
     val suspectedTerminationShare: Double = 0.25,
 )
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPorts.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPorts.kt
@@ -4,15 +4,15 @@
 import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.scheduler.SchedulerMessage
 
-/** What the fleet needs of the rest of the controller. */
+/** The interface through which the fleet uses the rest of the controller. */
 public interface FleetPorts {
     public fun scheduler(message: SchedulerMessage)
 
     public fun leadership(message: LeadershipMessage)
 
-    /** Whether the term of [leadershipState] still is this node's and may send commands, at this moment. */
+    /** Whether this node still leads in the term of [leadershipState] and may send commands at this moment. */
     public fun maySendCommands(leadershipState: LeadershipState.Leader): Boolean
 
-    /** Publishes the counts of this term's cloud requests, for `/status`. */
+    /** Publishes the counts of this term's cloud requests in `/status`. */
     public fun publishActions(counts: Map<String, Any?>)
 }
--- a/src/main/kotlin/org/elderhitch/fleet/InventoryReconciler.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/InventoryReconciler.kt
@@ -4,32 +4,32 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** The differences between a list of the cloud and the machines that this term knows. */
+/** The differences between the cloud's machine list and the machines that this term knows. */
 internal class InventoryDifferences(
-    /** In no intent, for longer than a terminated machine stays listed. */
+    /** Named by no intent, for longer than a terminated machine may stay listed. */
     val orphaned: List<Machine>,
-    /** Stopped by themselves; they stay listed until they are terminated. */
+    /** Failed machines, which stay listed until they are terminated. */
     val failed: List<MachineId>,
-    /** Provisioned before the earliest moment that the list may describe, and not on it. */
+    /** Missing from the list although they were provisioned before the earliest time that it may describe. */
     val gone: List<MachineId>,
 )
 
 /**
- * Compares the cloud's lists with the machines of this term.
+ * Compares the cloud's machine lists with the machines of this term.
  *
- * A list describes a moment up to twice its stated lag ago, and may be older than the one before. So a machine that may
- * have been provisioned since that moment does not count as gone, and one that may just have been terminated does not
- * count as orphaned.
+ * A list may be outdated by up to twice the stated lag, and may be older than the previous one. So a machine that may
+ * have been provisioned since then does not count as gone, and one that may just have been terminated does not count as
+ * orphaned.
  */
 internal class InventoryReconciler(lag: Duration) {
     private val maxAge = lag * 2 + MARGIN
 
-    /** When a list first named a machine that is in no intent. */
+    /** When each machine that no intent names was first listed. */
     private val unknownSince = HashMap<MachineId, MonotonicInstant>()
 
     fun newTerm() = unknownSince.clear()
 
-    /** Compares the machines [listed], as requested at [requestedAt], with those [known]. */
+    /** Compares the [listed] machines, which were requested at [requestedAt], with the [known] ones. */
     fun reconcile(
         listed: List<ListedMachine>,
         requestedAt: MonotonicInstant,
@@ -45,12 +45,12 @@
             if (machine == null) {
                 val since = unknownSince.getOrPut(id) { requestedAt }
                 if (requestedAt - since > maxAge) orphaned.add(entry.machine)
-            } else if (entry.isFailed && !machine.failed) {
+            } else if (entry.isFailed && !machine.isFailed) {
                 failed.add(id)
             }
         }
         val gone = known.filter { (id, machine) ->
-            id !in names && machine.provisionedAt < requestedAt - maxAge && !machine.terminating
+            id !in names && machine.provisionedAt < requestedAt - maxAge && !machine.isTerminating
         }.keys.toList()
         return InventoryDifferences(orphaned, failed, gone)
     }
--- a/src/main/kotlin/org/elderhitch/fleet/Machine.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Machine.kt
@@ -6,44 +6,47 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
-/** The cloud's name of a machine. */
+/** The identifier that the cloud assigns to a machine. */
 @JvmInline
 public value class MachineId(public val text: String) : Comparable<MachineId> {
     override fun compareTo(other: MachineId): Int = text.compareTo(other.text)
     override fun toString(): String = text
 }
 
-/** A machine of the cloud, provisioned or being provisioned. */
+/** A cloud machine that is provisioned or being provisioned. */
 public data class Machine(val id: MachineId, val type: MachineType, val zone: Zone, val spot: Boolean) {
     /** The market from which the machine was provisioned. */
     internal val market: Market get() = Market(type, zone, spot)
 }
 
-/** Where machines are provisioned. The cloud has or lacks capacity for a market as a whole. */
+/**
+ * A machine type in a zone, bought on demand or as spot capacity: the unit in which machines are provisioned and for
+ * which the cloud has or lacks capacity.
+ */
 public data class Market(val type: MachineType, val zone: Zone, val spot: Boolean) {
-    /** The machine of this market with that name. */
+    /** The machine of this market that is identified by [id]. */
     internal fun machine(id: MachineId): Machine = Machine(id, type, zone, spot)
 }
 
-/** How a machine whose worker sends heartbeats is used, as the leader knows it. */
+/** The leader's view of how a machine is used whose worker sends heartbeats. */
 public data class MachineUse(
     val id: MachineId,
     val busy: Resources,
-    /** The part of [busy] that production work could preempt. */
+    /** The part of [busy] that production work may preempt. */
     val preemptible: Resources,
-    /** The part of [busy] that is expected to be free before a new machine would be up. */
+    /** The part of [busy] that is expected to be released before a new machine could boot. */
     val endingSoon: Resources,
-    /** The part of [busy] that services take. */
+    /** The part of [busy] that is used by services. */
     val services: Resources,
-    /** Whether new tasks may be placed there. */
+    /** Whether new tasks may be placed on the machine. */
     val usable: Boolean,
-    /** How long nothing has run there; null while something does. */
+    /** How long no task has run on the machine; null while a task runs. */
     val idle: Duration?,
-    /** Whether too many tasks failed there for reasons of the machine. */
+    /** Whether the machine caused too many task failures. */
     val faulty: Boolean,
 )
 
-/** A machine as the fleet plan sees it. */
+/** A machine as an input of the fleet plan. */
 public data class PlannedMachine(
     val machine: Machine,
     val provisionedAt: MonotonicInstant,
--- a/src/main/kotlin/org/elderhitch/fleet/MachineTracker.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/MachineTracker.kt
@@ -5,11 +5,14 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
-/** The machines that the provisioning intents of this term name, from the record of their names until they are gone. */
+/**
+ * Tracks the machines named by the provisioning intents of this term, from when their ids are recorded until they are
+ * gone.
+ */
 internal class MachineTracker(private val fleet: FleetContext, private val intents: ProvisioningIntentStore) {
     private val byId = HashMap<MachineId, ProvisionedMachine>()
 
-    /** How long machines took to boot; kept across terms. */
+    /** Boot time statistics, which are kept across terms. */
     val bootTimes = BootTimes()
 
     val machines: Map<MachineId, ProvisionedMachine> get() = byId
@@ -18,38 +21,43 @@
 
     operator fun contains(id: MachineId): Boolean = id in byId
 
-    /** Takes over the machines of all intents that earlier terms stored. */
+    /** Adds the machines of all intents that earlier terms stored. */
     fun loadStored(now: MonotonicInstant) {
         intents.loadStored()
         for (intent in intents.all) {
             addMachines(intent, now)
-            intent.recordedUp.forEach { byId[it]?.upInEarlierTerm = true }
+            intent.recordedUp.forEach { byId[it]?.wasUpInEarlierTerm = true }
         }
     }
 
-    /** The names of the intent's machines are recorded. */
+    /** Adds the machines of an intent, whose ids are recorded. */
     fun addMachines(intent: ProvisioningIntent, now: MonotonicInstant) {
         intent.machines?.forEach { add(intent.market.machine(it), intent.name, now) }
     }
 
-    private fun add(machine: Machine, intent: String, now: MonotonicInstant) {
+    private fun add(machine: Machine, intentName: String, now: MonotonicInstant) {
         val term = fleet.term
         byId[machine.id] =
-            ProvisionedMachine(machine, intent, now, ofThisTerm = now > term.startedAt && term.inventorySent)
-        if (term.inventorySent) fleet.ports.scheduler(SchedulerMessage.MachineProvisioned(machine))
+            ProvisionedMachine(
+                machine,
+                intentName,
+                now,
+                isProvisionedInThisTerm = now > term.startedAt && term.isInventorySent,
+            )
+        if (term.isInventorySent) fleet.ports.scheduler(SchedulerMessage.MachineProvisioned(machine))
     }
 
     /**
-     * Tells the scheduler, once a term, of all machines of earlier terms. Requests that are still open are not waited
-     * for, which would cost a takeover up to 7 s: their machines run nothing yet, as a machine's name, and that it is
-     * up, are recorded before its first task.
+     * Sends the machines of all earlier terms to the scheduler, once per term. It does not wait for open requests,
+     * which would delay a takeover by up to 7 s: their machines run no tasks yet, as a machine's id, and the fact that
+     * it is up, are recorded before its first task.
      */
     fun sendInventory(leadership: LeadershipState.Leader) {
         val term = fleet.term
-        if (term.inventorySent || !term.intentsLoaded) return
-        term.inventorySent = true
+        if (term.isInventorySent || !term.areIntentsLoaded) return
+        term.isInventorySent = true
         val (mayRunTasks, unused) =
-            byId.values.partition { it.machine.id in intents[it.intent]?.recordedUp.orEmpty() }
+            byId.values.partition { it.machine.id in intents[it.intentName]?.recordedUp.orEmpty() }
         fleet.ports.scheduler(
             SchedulerMessage.InventoryLoaded(
                 leadership.term,
@@ -59,13 +67,13 @@
         )
     }
 
-    /** The first heartbeat of a machine: it is usable as soon as it is recorded that it is up. */
+    /** Handles the first heartbeat of a machine, which becomes usable once it is recorded as up. */
     fun machineUp(id: MachineId, catalog: Catalog) {
         val leadership = fleet.term.leader ?: return
         val machine = byId[id] ?: return
-        val intent = intents[machine.intent] ?: return
-        noteBootTime(machine, catalog.types[machine.machine.type]?.bootTime)
-        machine.cameUp = true
+        val intent = intents[machine.intentName] ?: return
+        recordBootTime(machine, catalog.types[machine.machine.type]?.bootTime)
+        machine.cameUpInThisTerm = true
         if (id in intent.recordedUp) {
             fleet.ports.scheduler(SchedulerMessage.MachineUsable(id))
             return
@@ -74,39 +82,39 @@
         if (!intent.isRecordingUp) intents.recordUp(leadership, intent)
     }
 
-    private fun noteBootTime(machine: ProvisionedMachine, usual: Duration?) {
+    private fun recordBootTime(machine: ProvisionedMachine, usual: Duration?) {
         if (usual == null || !usual.isPositive()) return
-        if (machine.ofThisTerm && !machine.cameUp) {
+        if (machine.isProvisionedInThisTerm && !machine.cameUpInThisTerm) {
             bootTimes.add((fleet.clock.now() - machine.provisionedAt) / usual)
         }
     }
 
-    /** The outcome of recording machines as up; those that came up meanwhile are recorded next. */
+    /** Handles the outcome of recording machines as up. Those that came up meanwhile are recorded next. */
     fun upRecorded(message: FleetMessage.MachineUpRecorded) {
-        val leadership = fleet.term.leaderOf(message.term) ?: return
+        val leadership = fleet.term.leaderIfCurrent(message.term) ?: return
         val intent = intents[message.name] ?: return
         intent.isRecordingUp = false
-        if (message.recorded) {
+        if (message.succeeded) {
             intent.recordedUp.addAll(message.machines)
             intent.pendingUp.removeAll(message.machines)
             message.machines.forEach { fleet.ports.scheduler(SchedulerMessage.MachineUsable(it)) }
         } else {
-            intent.isOutdated = true
+            intent.needsRewrite = true
         }
         if (intent.pendingUp.isNotEmpty()) intents.recordUp(leadership, intent)
     }
 
-    /** The machine is surely gone; [evidence] says what showed it. */
-    fun gone(id: MachineId, evidence: String) {
+    /** Removes a machine that is certainly gone, as shown by [evidence]. */
+    fun removeGone(id: MachineId, evidence: String) {
         val removed = byId.remove(id)
         fleet.calls.removeGone(id)
         fleet.ports.scheduler(SchedulerMessage.MachineTerminated(id, evidence))
         val leadership = fleet.term.leader ?: return
-        val intent = intents[removed?.intent] ?: return
+        val intent = intents[removed?.intentName] ?: return
         if (intent.machines.orEmpty().none { it in byId }) {
             intents.delete(leadership, intent)
         } else {
-            intent.isOutdated = true
+            intent.needsRewrite = true
         }
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/MarketBackoff.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/MarketBackoff.kt
@@ -3,35 +3,36 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration.Companion.seconds
 
-/** Markets that lately had less capacity than was requested, and until when nothing is requested there. */
+/** Backoff for markets that recently had less capacity than requested. A closed market receives no requests. */
 internal class MarketBackoff {
     private val closedUntil = HashMap<Market, MonotonicInstant>()
 
-    /** How often in a row a market lacked capacity. */
+    /** Number of consecutive requests for which a market lacked capacity. */
     private val refusals = HashMap<Market, Int>()
 
-    /** Markets in which nothing is requested for now. */
+    /** Markets in which no machines are requested at present. */
     val closed: Set<Market> get() = closedUntil.keys
 
-    /** Markets whose latest answer was short of what was requested: they count as empty until one is served whole. */
+    /** Markets that did not grant the latest request in full. They count as empty until they grant one in full. */
     val refused: Set<Market> get() = refusals.keys
 
-    /** Opens all markets; how long the next refusal closes one still depends on the refusals before. */
+    /** Reopens all markets. The refusal counts, which determine the next backoff time, are kept. */
     fun newTerm() = closedUntil.clear()
 
-    /** Closes the market for a time that doubles with each refusal in a row, up to a limit. */
+    /** Closes the market for a time that doubles with each consecutive refusal, up to [MAX_BACKOFF]. */
     fun close(market: Market, now: MonotonicInstant) {
-        val times = refusals.merge(market, 1, Int::plus) ?: 1
-        closedUntil[market] = now + minOf(INITIAL_BACKOFF * (1 shl minOf(times - 1, MAX_DOUBLINGS)), MAX_BACKOFF)
+        val refusalsInRow = refusals.merge(market, 1, Int::plus) ?: 1
+        closedUntil[market] =
+            now + minOf(INITIAL_BACKOFF * (1 shl minOf(refusalsInRow - 1, MAX_DOUBLINGS)), MAX_BACKOFF)
     }
 
-    /** The market gave all that was requested. */
-    fun served(market: Market) {
+    /** Resets the refusal count of a market that granted a request in full. */
+    fun reset(market: Market) {
         refusals.remove(market)
     }
 
-    /** Opens the markets whose time is over. */
-    fun expire(now: MonotonicInstant) {
+    /** Reopens the markets whose backoff time has passed. */
+    fun reopenExpired(now: MonotonicInstant) {
         closedUntil.values.removeAll { it < now }
     }
 
--- a/src/main/kotlin/org/elderhitch/fleet/OrphanAdoption.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/OrphanAdoption.kt
@@ -6,50 +6,50 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Adopts orphaned machines: those that exist and that no intent names, because they came late or because the cloud's
- * answer was lost. Each is recorded in an intent of its own before it is used.
+ * Adopts orphaned machines, which exist but are named by no intent, because they were provisioned late or the cloud's
+ * response was lost. An orphan is recorded in a new intent before it is used.
  */
 internal class OrphanAdoption(private val intents: ProvisioningIntentStore) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
 
-    /** Orphans that send heartbeats, until they are adopted. */
+    /** Orphans that send heartbeats and are not adopted yet. */
     private val orphans = LinkedHashMap<MachineId, Machine>()
 
-    /** When there last were none. */
-    private var emptyAt = MonotonicInstant.NEVER
+    /** When there were last no orphans to adopt. */
+    private var lastEmptyAt = MonotonicInstant.NEVER
 
     fun newTerm() = orphans.clear()
 
-    /** An orphaned machine sent a heartbeat. */
+    /** Handles a heartbeat of an orphan. */
     fun detected(machine: Machine) {
         orphans[machine.id] = machine
     }
 
-    /** Adopts what was detected, some time after the first, so that many orphans share an intent. */
+    /** Adopts the detected orphans, [BATCHING_DELAY] after the first one, so that many share an intent. */
     fun tick(leadership: LeadershipState.Leader, now: MonotonicInstant, isKnown: (MachineId) -> Boolean) {
         if (orphans.isEmpty()) {
-            emptyAt = now
+            lastEmptyAt = now
             return
         }
-        if (now - emptyAt < COLLECTION_TIME) return
+        if (now - lastEmptyAt < BATCHING_DELAY) return
         val machines = orphans.values.filter { !isKnown(it.id) && isAdoptable(it) }
         orphans.clear()
         adopt(leadership, machines, areUp = true)
     }
 
-    /** Adopts machines that the cloud has listed as nobody's for longer than terminated machines stay listed. */
+    /** Adopts machines that no intent names and that are listed for longer than terminated machines stay listed. */
     fun adoptListed(leadership: LeadershipState.Leader, machines: List<Machine>) =
         adopt(leadership, machines.filter(::isAdoptable), areUp = false)
 
-    /** Whether no request that is open, or whose machines are being recorded, can have provisioned the machine. */
+    /** Whether no intent names the machine, and no open request can have provisioned it. */
     private fun isAdoptable(machine: Machine): Boolean = intents.all.none { intent ->
         val known = intent.machines
         if (known == null) intent.wasRequested && intent.market == machine.market else machine.id in known
     }
 
     /**
-     * Records up to [CloudClient.MAX_PROVISIONED] machines in one intent: with an intent for each machine, a fleet of
-     * 220 orphans took 440 writes and 19 s. [areUp]: they send heartbeats, and are recorded as up at once.
+     * Records up to [CloudClient.MAX_PROVISIONED] machines in one intent: with one intent per machine, a fleet of 220
+     * orphans took 440 writes and 19 s. If [areUp], the machines send heartbeats and are recorded as up at once.
      */
     private fun adopt(leadership: LeadershipState.Leader, machines: List<Machine>, areUp: Boolean) {
         for ((market, ofMarket) in machines.groupBy { it.market }) {
@@ -66,6 +66,6 @@
     }
 
     private companion object {
-        val COLLECTION_TIME = 500.milliseconds
+        val BATCHING_DELAY = 500.milliseconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/PlanInput.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/PlanInput.kt
@@ -5,44 +5,45 @@
 import org.elderhitch.placement.UnplacedTasks
 import org.elderhitch.time.MonotonicInstant
 
-/** All that a [FleetPlan] is made from. */
+/** The input of a [FleetPlan]. */
 public class PlanInput(
     public val catalog: Catalog,
     public val machines: List<PlannedMachine>,
     public val unplaced: List<UnplacedTasks>,
-    /** The spare capacity to keep, by the shapes of work that it is for. */
+    /** The spare capacity to keep, by the resource shapes of the tasks that it is for. */
     public val headroom: List<Headroom>,
-    /** How many machines the tasks would fill that arrive while a machine boots. */
-    public val arriving: Double,
-    /** Markets in which nothing is provisioned for now. */
+    /** Number of machines that the tasks arriving during the boot of a machine would fill. */
+    public val machinesFilledDuringBoot: Double,
+    /** Markets in which no machines are provisioned at present. */
     public val closedMarkets: Set<Market>,
     public val now: MonotonicInstant,
-    /** After how many times its usual boot time a machine that is not up is given up and terminated. */
-    public val hopelessBootMultiple: Double = BootTimes.DEFAULT_HOPELESS_MULTIPLE,
-    /** After how many times its usual boot time a machine that is not up is replaced. */
+    /** The boot timeout, after which a machine is terminated, as a multiple of the type's usual boot time. */
+    public val bootTimeoutMultiple: Double = BootTimes.DEFAULT_TIMEOUT_MULTIPLE,
+    /** The time after which a booting machine is replaced, as a multiple of the type's usual boot time. */
     public val lateBootMultiple: Double = BootTimes.DEFAULT_LATE_MULTIPLE,
-    /** The sets of types that some work is confined to while other work could run elsewhere. */
-    public val scarce: List<Set<MachineType>> = emptyList(),
+    /** Sets of machine types to which some work is confined while other work could also run elsewhere. */
+    public val scarceTypeSets: List<Set<MachineType>> = emptyList(),
 )
 
 /**
- * Spare capacity for [tasks] tasks like those of [spec]. [free]: it must be free at once; otherwise tasks that would be
- * preempted for this work may use it.
+ * Spare capacity for [tasks] tasks like those of [spec].
+ *
+ * @property mustBeFree whether the capacity must be unused; otherwise, tasks that this work may preempt can use it
  */
-public class Headroom(public val spec: JobSpec, public val tasks: Int, public val free: Boolean = false)
+public class Headroom(public val spec: JobSpec, public val tasks: Int, public val mustBeFree: Boolean = false)
 
 /** Machines to provision in one market. */
 public data class ProvisioningRequest(val market: Market, val count: Int) {
-    /** The same machines in requests of at most [size] each. */
+    /** Splits the request into requests for at most [size] machines each. */
     public fun chunked(size: Int): List<ProvisioningRequest> =
         (0 until count step size).map { ProvisioningRequest(market, minOf(size, count - it)) }
 }
 
-/** What a [FleetPlan] decides. */
+/** The decisions of a [FleetPlan]. */
 public class PlanOutput(
     public val provision: List<ProvisioningRequest>,
-    /** Idle, faulty or hopelessly late machines to give back to the cloud. */
+    /** Machines to terminate: idle, faulty, or past their boot timeout. */
     public val terminate: List<MachineId>,
-    /** A machine whose few services can be moved to other machines, so that it can be terminated afterwards. */
+    /** A machine with few services that can be moved to other machines, so that it can be terminated afterwards. */
     public val drain: MachineId?,
 )
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisionedMachine.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisionedMachine.kt
@@ -2,26 +2,26 @@
 
 import org.elderhitch.time.MonotonicInstant
 
-/** A machine that is named by the intent [intent] of this term. */
+/** A machine that is named by the provisioning intent [intentName]. */
 internal class ProvisionedMachine(
     val machine: Machine,
-    val intent: String,
-    /** When this term learnt of the machine, which is when it was provisioned at the latest. */
+    val intentName: String,
+    /** When this term first knew of the machine: an upper bound of its provisioning time. */
     val provisionedAt: MonotonicInstant,
-    /** Whether this term provisioned the machine itself. */
-    val ofThisTerm: Boolean,
+    /** Whether the machine was provisioned by this term. */
+    val isProvisionedInThisTerm: Boolean,
 ) {
-    /** The cloud lists it as failed. */
-    var failed = false
+    /** Whether the cloud lists the machine as failed. */
+    var isFailed = false
 
-    /** An earlier term recorded that it is up. */
-    var upInEarlierTerm = false
+    /** Whether an earlier term recorded that the machine is up. */
+    var wasUpInEarlierTerm = false
 
-    /** It came up in this term. */
-    var cameUp = false
+    /** Whether the machine was reported as up in this term. */
+    var cameUpInThisTerm = false
 
-    /** Its termination was requested and has neither completed nor been cancelled. */
-    var terminating = false
+    /** Whether a termination is requested that has neither completed nor been cancelled. */
+    var isTerminating = false
 
     val market: Market get() = machine.market
 }
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningActor.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningActor.kt
@@ -12,20 +12,20 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The leader's control of the fleet: it provisions and terminates machines of the cloud as the work demands.
+ * Scales the fleet on the leader: provisions and terminates cloud machines to match the demand.
  *
- * A provisioning intent is stored before each request, conditional on the term, and completed with the machines' names:
- * so each term knows all machines that an earlier one may have used. A request that an earlier term left open is
- * repeated under its old name, which provisions nothing twice.
+ * A provisioning intent is stored before each request, conditional on the term, and completed with the ids of the
+ * machines, so that each term knows all machines that earlier terms may have used. A request that an earlier term left
+ * open is repeated under its original name, which makes the repetition idempotent.
  *
- * This class receives the messages and owns the periodic tick; the parts that it hands them to each have one concern.
+ * This class receives the messages, owns the periodic tick, and delegates to one component for each concern.
  */
 public class ProvisioningActor(
     scope: CoroutineScope,
     cloud: CloudClient,
     store: StateClient,
     policy: FleetPolicy,
-    /** Classes whose start-time objective leaves no time to preempt other work. */
+    /** Job classes whose start-time objective leaves no time to preempt other work. */
     instantClasses: Set<String>,
     limits: CloudLimits,
     clock: SteadyClock,
@@ -56,8 +56,8 @@
 
     override fun receive(message: FleetMessage) {
         when (message) {
-            is FleetMessage.Snapshot -> intents.snapshot(message.entries)
-            is FleetMessage.Changed -> message.changes.forEach(intents::changed)
+            is FleetMessage.Snapshot -> intents.replaceStored(message.entries)
+            is FleetMessage.Changed -> message.changes.forEach(intents::applyChange)
             is FleetMessage.LeadershipChanged -> leadershipChanged(message.leadershipState)
             is FleetMessage.IntentsLoaded -> intentsLoaded(message)
             is FleetMessage.JobOpened -> planner.jobOpened(message.spec)
@@ -69,10 +69,10 @@
             is FleetMessage.CatalogChanged -> catalog = message.catalog
             is FleetMessage.MachineUp -> machines.machineUp(message.machine, catalog)
             is FleetMessage.MachineUpRecorded -> machines.upRecorded(message)
-            is FleetMessage.ProvisioningCompleted -> requester.completed(message)
+            is FleetMessage.ProvisioningCompleted -> requester.requestCompleted(message)
             is FleetMessage.IntentRecorded -> requester.intentRecorded(message)
             is FleetMessage.MachinesTerminated -> machinesTerminated(message)
-            is FleetMessage.MachinesListed -> lister.received(message, planner.isSettled)
+            is FleetMessage.MachinesListed -> lister.listReceived(message, planner.isTakeoverSettled)
             FleetMessage.Tick -> tick()
         }
     }
@@ -88,8 +88,8 @@
     }
 
     private fun intentsLoaded(message: FleetMessage.IntentsLoaded) {
-        if (term.leaderOf(message.term) == null) return
-        term.intentsLoaded = true
+        if (term.leaderIfCurrent(message.term) == null) return
+        term.areIntentsLoaded = true
         machines.loadStored(fleet.clock.now())
         tick()
     }
@@ -100,15 +100,17 @@
     }
 
     private fun machinesTerminated(message: FleetMessage.MachinesTerminated) {
-        if (term.leaderOf(message.term) == null) return
-        terminations.completed(message).forEach { machines.gone(it, "released") }
+        if (term.leaderIfCurrent(message.term) == null) return
+        terminations.requestCompleted(message).forEach { machines.removeGone(it, "released") }
     }
 
-    /** Does what is due, the most urgent first: takeover, requests, records, terminations, list, plan. */
+    /**
+     * Performs the actions that are due, in order of urgency: takeover, requests, records, terminations, list, plan.
+     */
     private fun tick() {
         val leadership = term.leader ?: return
         val now = fleet.clock.now()
-        if (!term.intentsLoaded || !leadership.maySendCommands(now)) return
+        if (!term.areIntentsLoaded || !leadership.maySendCommands(now)) return
         machines.sendInventory(leadership)
         requester.sendDue(leadership, now)
         adoption.tick(leadership, now) { it in machines }
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntent.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntent.kt
@@ -7,11 +7,11 @@
 import org.elderhitch.time.MonotonicInstant
 
 /**
- * A write-ahead record of a provisioning request: stored before the request is made and completed with the names of the
- * machines, so that every later term knows of all machines that may run tasks.
+ * A write-ahead record of a provisioning request. It is stored before the request is sent and completed with the ids of
+ * the machines, so that every later term knows all machines that may run tasks.
  */
 internal class ProvisioningIntent(val name: String, val market: Market, val count: Int) {
-    /** What is being done with an open intent; only an idle one may be sent or given up. */
+    /** The operation in progress on an intent. Only an idle intent may be sent or dropped. */
     private enum class Activity { IDLE, RECORDING, REQUESTING }
 
     private var activity = Activity.IDLE
@@ -19,34 +19,34 @@
     /** The machines that the cloud provisioned; null while the request is open. */
     var machines: List<MachineId>? = null
 
-    /** Revision of its key. Each write is conditional on it: one executed late would undo a newer one otherwise. */
+    /** Revision of the stored intent. Writes are conditional on it, so that a delayed write can't undo a newer one. */
     var version = Revision.ABSENT
 
-    /** Machines that are recorded as up, which each is before its first task: they may run something. */
+    /** Machines that are recorded as up. A machine is recorded before its first task, so only these may run tasks. */
     val recordedUp = HashSet<MachineId>()
 
-    /** Machines that came up and are not recorded as such yet. */
+    /** Machines that came up and are not recorded as up yet. */
     var pendingUp = HashSet<MachineId>()
 
-    /** A write of [pendingUp] is in flight. */
+    /** Whether a write of [pendingUp] is in flight. */
     var isRecordingUp = false
 
-    /** The cloud may have received the request, in this term or an earlier one: only its answer settles the intent. */
+    /** Whether the cloud may have received the request, in any term. Only its response settles the intent then. */
     var wasRequested = false
 
-    /** It names machines that are gone: its stored value is to be rewritten. */
-    var isOutdated = false
+    /** Whether the stored value must be rewritten, such as when it names machines that are gone. */
+    var needsRewrite = false
 
-    /** The request is not repeated before. */
+    /** The earliest time at which the request is sent again. */
     var retryAt = MonotonicInstant.NEVER
 
-    /** Neither being written nor being requested. */
+    /** Whether the intent is neither being written nor being requested. */
     val isIdle: Boolean get() = activity == Activity.IDLE
 
-    /** The cloud is being asked. */
+    /** Whether the request is in flight. */
     val isRequesting: Boolean get() = activity == Activity.REQUESTING
 
-    /** The intent, or the names of its machines, are being written. */
+    /** A write of the intent, or of the ids of its machines, begins. */
     fun startRecording() {
         activity = Activity.RECORDING
     }
@@ -56,20 +56,20 @@
         wasRequested = true
     }
 
-    /** What was under way has completed, with whatever outcome. */
+    /** The write or request in progress has completed, whatever its outcome. */
     fun complete() {
         activity = Activity.IDLE
     }
 
-    /** Removes all machines but those that still [exist]. */
-    fun retainMachines(exist: (MachineId) -> Boolean) {
-        machines = machines?.filter(exist)
-        recordedUp.retainAll(exist)
-        pendingUp.retainAll(exist)
-        isOutdated = false
+    /** Removes the machines that don't exist any more. */
+    fun retainMachines(exists: (MachineId) -> Boolean) {
+        machines = machines?.filter(exists)
+        recordedUp.retainAll(exists)
+        pendingUp.retainAll(exists)
+        needsRewrite = false
     }
 
-    /** The stored value. */
+    /** Encodes the value to be stored. */
     fun encode(): Map<String, Any?> = linkedMapOf<String, Any?>(
         "rig" to market.type.name,
         "hall" to market.zone.name,
@@ -82,7 +82,7 @@
     }
 
     companion object {
-        /** Reads a stored value; throws `MalformedJson` if it is none. */
+        /** Decodes a stored value. Throws `MalformedJson` if it is malformed. */
         fun decode(name: String, value: JsonObject, version: Revision): ProvisioningIntent {
             val market =
                 Market(MachineType(value.string("rig")), Zone(value.string("hall")), value.boolean("borrowedRigs"))
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntentStore.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningIntentStore.kt
@@ -24,77 +24,78 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The provisioning intents, as the state service holds them and as this term works with them. Each write is conditional
+ * The provisioning intents: those in the state service, and the working copies of this term. Each write is conditional
  * on the term and on the version of the intent that it replaces.
  */
 internal class ProvisioningIntentStore(
     private val scope: CoroutineScope,
     private val store: StateClient,
-    private val leadership: (LeadershipMessage) -> Unit,
+    private val tellLeadership: (LeadershipMessage) -> Unit,
     private val tell: (FleetMessage) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
 
-    /** What a write puts, taken from the intent before the write begins. */
+    /** The content of a write: a snapshot of the intent from before the write begins. */
     private class Content(intent: ProvisioningIntent) {
         val value: Map<String, Any?> = intent.encode()
         private val machines = intent.machines
         private val up = intent.recordedUp + intent.pendingUp
 
-        fun isThatOf(stored: ProvisioningIntent): Boolean = stored.machines == machines && stored.recordedUp == up
+        fun matches(stored: ProvisioningIntent): Boolean = stored.machines == machines && stored.recordedUp == up
     }
 
     private sealed interface WriteAttempt {
-        /** The write was executed with that [version]; null: it never will be. */
+        /** The write was executed with revision [version]; null if it was refused for good. */
         class Finished(val version: Revision?) : WriteAttempt
 
         data object Retry : WriteAttempt
     }
 
     /**
-     * What the state service holds, followed in every role: a leader that was paused hears of its successors' intents
-     * before it hears that it leads no more, and in its next term must know the machines that run their tasks.
+     * The entries in the state service, which are tracked in every role. A leader that was paused may receive its
+     * successors' intents before it learns that it has lost the leadership, and must know their machines in its next
+     * term.
      */
-    private val stored = LinkedHashMap<String, Entry>()
+    private val storedEntries = LinkedHashMap<String, Entry>()
 
-    /** What this term works with. */
-    private val working = LinkedHashMap<String, ProvisioningIntent>()
+    /** The working copies of this term. */
+    private val currentIntents = LinkedHashMap<String, ProvisioningIntent>()
     private var compactedAt = MonotonicInstant.NEVER
 
-    val all: Collection<ProvisioningIntent> get() = working.values
+    val all: Collection<ProvisioningIntent> get() = currentIntents.values
 
     /** The intents whose machines are not known yet. */
-    val open: List<ProvisioningIntent> get() = working.values.filter { it.machines == null }
+    val open: List<ProvisioningIntent> get() = currentIntents.values.filter { it.machines == null }
 
-    operator fun get(name: String?): ProvisioningIntent? = working[name]
+    operator fun get(name: String?): ProvisioningIntent? = currentIntents[name]
 
-    /** Replaces what is known of the state service. */
-    fun snapshot(entries: List<Entry>) {
-        stored.clear()
+    /** Replaces the tracked entries by a snapshot of the state service. */
+    fun replaceStored(entries: List<Entry>) {
+        storedEntries.clear()
         entries.forEach(::put)
     }
 
-    /** Applies a change of the state service; keys of other kinds are ignored. */
-    fun changed(change: Change) {
+    /** Applies a change in the state service. Keys of other kinds are ignored. */
+    fun applyChange(change: Change) {
         when (change) {
             is Change.Put -> put(change.entry)
 
             is Change.Drop -> (Keys.parse(change.key) as? StoredKey.ProvisioningIntent)?.let {
-                stored.remove(it.name)
+                storedEntries.remove(it.name)
             }
         }
     }
 
     private fun put(entry: Entry) {
         val key = Keys.parse(entry.key) as? StoredKey.ProvisioningIntent ?: return
-        stored[key.name] = entry
+        storedEntries[key.name] = entry
     }
 
-    /** Begins a term with all that is stored: earlier terms may have sent the requests of any of these intents. */
+    /** Loads the stored intents for a new term. Earlier terms may have sent the requests of any of them. */
     fun loadStored() {
-        working.clear()
-        for ((name, entry) in stored) decoded(name, entry)?.let { working[name] = it }
-        working.values.forEach { it.wasRequested = true }
+        currentIntents.clear()
+        for ((name, entry) in storedEntries) decoded(name, entry)?.let { currentIntents[name] = it }
+        currentIntents.values.forEach { it.wasRequested = true }
     }
 
     private fun decoded(name: String, entry: Entry): ProvisioningIntent? = try {
@@ -104,16 +105,16 @@
         null
     }
 
-    /** Stores a new intent; the outcome arrives as [FleetMessage.IntentRecorded]. */
+    /** Stores a new intent. The outcome is sent as [FleetMessage.IntentRecorded]. */
     fun add(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
         intent.startRecording()
-        working[intent.name] = intent
+        currentIntents[intent.name] = intent
         write(leadership, intent) { version -> FleetMessage.IntentRecorded(leadership.term, intent.name, version) }
     }
 
-    /** Deletes an intent, in the background and without a retry: a later term settles one that stays. */
+    /** Deletes an intent in the background, without retries. If that fails, a later term settles the intent. */
     fun delete(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
-        working.remove(intent.name)
+        currentIntents.remove(intent.name)
         scope.launch {
             store.commit(
                 listOf(Condition(Keys.TERM, leadership.termRevision)),
@@ -124,11 +125,11 @@
         }
     }
 
-    /** Stores the names of the intent's machines; the outcome arrives as [FleetMessage.IntentRecorded]. */
+    /** Stores the ids of the intent's machines. The outcome is sent as [FleetMessage.IntentRecorded]. */
     fun recordMachines(leadership: LeadershipState.Leader, intent: ProvisioningIntent) =
         write(leadership, intent) { version -> FleetMessage.IntentRecorded(leadership.term, intent.name, version) }
 
-    /** Stores which machines are up; the outcome arrives as [FleetMessage.MachineUpRecorded]. */
+    /** Stores which machines are up. The outcome is sent as [FleetMessage.MachineUpRecorded]. */
     fun recordUp(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
         intent.isRecordingUp = true
         val written = intent.pendingUp.toSet()
@@ -138,14 +139,14 @@
     }
 
     /**
-     * Rewrites an intent that names machines which do not [exist] any more: one at a time, to leave the write rate to
-     * others. Otherwise each later takeover would wait for these machines and terminate them again.
+     * Rewrites an intent that names machines that don't exist any more. Otherwise, each later takeover would wait for
+     * these machines and terminate them again. Intents are rewritten one at a time, to leave the write rate to others.
      */
-    fun compact(leadership: LeadershipState.Leader, now: MonotonicInstant, exist: (MachineId) -> Boolean) {
+    fun compact(leadership: LeadershipState.Leader, now: MonotonicInstant, exists: (MachineId) -> Boolean) {
         if (now - compactedAt < COMPACT_INTERVAL) return
-        val intent = working.values.firstOrNull { it.isOutdated && it.isIdle && !it.isRecordingUp } ?: return
+        val intent = currentIntents.values.firstOrNull { it.needsRewrite && it.isIdle && !it.isRecordingUp } ?: return
         compactedAt = now
-        intent.retainMachines(exist)
+        intent.retainMachines(exists)
         recordUp(leadership, intent)
     }
 
@@ -158,7 +159,7 @@
         scope.launch { tell(onResult(writeWithRetries(leadership, intent, content))) }
     }
 
-    /** Returns the revision of the write; null if it was not executed as far as is known. */
+    /** Returns the revision of the write; null if it is not known to have been executed. */
     private suspend fun writeWithRetries(
         leadership: LeadershipState.Leader,
         intent: ProvisioningIntent,
@@ -177,8 +178,8 @@
         content: Content,
     ): WriteAttempt {
         val key = Keys.provisioningIntent(intent.name)
-        // Conditional on the version too: a write without an answer was once executed 30 s later, over a newer one that
-        // recorded machines as up; the next term took these for booting and started their tasks elsewhere.
+        // Conditional on the version too: a write that had timed out was executed 30 s later and overwrote a newer one
+        // that recorded machines as up. The next term took these for booting and started their tasks elsewhere.
         val outcome = store.commit(
             listOf(Condition(Keys.TERM, leadership.termRevision), Condition(key, intent.version)),
             listOf(Write.Put(key, content.value)),
@@ -192,44 +193,44 @@
             }
 
             outcome is CommitOutcome.Conflict && Keys.TERM in outcome.failed -> {
-                log.info("intent refused term={} reason=\"the counter has moved on\"", leadership.term)
-                this.leadership(LeadershipMessage.TermObserved(Term(leadership.term.number + 1)))
+                log.info("intent refused term={} reason=\"a later term has begun\"", leadership.term)
+                this.tellLeadership(LeadershipMessage.TermObserved(Term(leadership.term.number + 1)))
                 WriteAttempt.Finished(null)
             }
 
             outcome is CommitOutcome.Conflict -> resolveConflict(key, intent, content)
 
             else -> {
-                delay(WRITE_PAUSE)
+                delay(WRITE_RETRY_DELAY)
                 WriteAttempt.Retry
             }
         }
     }
 
     /**
-     * The version was not the expected one: an earlier attempt of this term was executed after all. It wrote this very
-     * content, or an earlier one whose version is then the one to replace. Two contents of an intent are never written
-     * at the same time within a term, as each write begins only after the outcome of the one before.
+     * Handles a version conflict, which means that an earlier attempt of this term was executed after all. It wrote
+     * either the same content, or an earlier one whose version is then the one to replace. Writes of different contents
+     * of an intent don't overlap within a term, as each begins only after the outcome of the previous one.
      */
     private suspend fun resolveConflict(key: String, intent: ProvisioningIntent, content: Content): WriteAttempt {
         when (val read = store.read(key, RequestPriority.END)) {
             is ReadOutcome.Found -> {
                 val version = read.entry.version
                 intent.version = version
-                val isWritten = decoded(intent.name, read.entry)?.let(content::isThatOf) ?: false
+                val isWritten = decoded(intent.name, read.entry)?.let(content::matches) ?: false
                 if (isWritten) return WriteAttempt.Finished(version)
             }
 
             ReadOutcome.Absent -> intent.version = Revision.ABSENT
 
-            ReadOutcome.Unavailable -> delay(WRITE_PAUSE)
+            ReadOutcome.Unavailable -> delay(WRITE_RETRY_DELAY)
         }
         return WriteAttempt.Retry
     }
 
     companion object {
-        /** The pause before a write is tried again. */
-        val WRITE_PAUSE = 500.milliseconds
+        /** Delay before a write is retried. */
+        val WRITE_RETRY_DELAY = 500.milliseconds
         private val COMPACT_INTERVAL = 500.milliseconds
         private const val WRITE_ATTEMPTS = 4
         private val WRITE_TIMEOUT = 3.seconds
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningRequester.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningRequester.kt
@@ -10,8 +10,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Provisions machines: records an intent, sends its request to the cloud, and records the names of the machines. A
- * request whose outcome is unknown is repeated under the same name, which provisions nothing twice.
+ * Provisions machines: records an intent, sends the request to the cloud, and records the ids of the machines. A
+ * request whose outcome is unknown is repeated under the same name, which makes the repetition idempotent.
  */
 internal class ProvisioningRequester(
     private val fleet: FleetContext,
@@ -22,24 +22,24 @@
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
 
-    /** Number of the next intent of this term. */
-    private var sequence = 0
+    /** Sequence number of the next intent in this term. */
+    private var nextSequence = 0
 
     fun newTerm() {
         markets.newTerm()
-        sequence = 0
+        nextSequence = 0
     }
 
-    /** Records the intent to provision machines; the request follows once that is written. */
+    /** Records an intent to provision machines. The request is sent once the intent is stored. */
     fun add(leadership: LeadershipState.Leader, request: ProvisioningRequest) {
-        // No two leaders have the same term, so the name is unique.
-        val name = "r-${leadership.term}-${sequence++}"
+        // Unique, because no two leaders share a term.
+        val name = "r-${leadership.term}-${nextSequence++}"
         intents.add(leadership, ProvisioningIntent(name, request.market, request.count))
     }
 
-    /** The intent, or the names of its machines, were written, or could not be. */
+    /** Handles the outcome of writing an intent or the ids of its machines. */
     fun intentRecorded(message: FleetMessage.IntentRecorded) {
-        val leadership = fleet.term.leaderOf(message.term) ?: return
+        val leadership = fleet.term.leaderIfCurrent(message.term) ?: return
         val intent = intents[message.name] ?: return
         if (message.version == null) {
             writeFailed(leadership, intent)
@@ -53,12 +53,12 @@
         }
     }
 
-    /** The write may still be executed: an intent that appears later is settled by a later term. */
+    /** The write may still be executed later. An intent that appears that way is settled by a later term. */
     private fun writeFailed(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
         if (intent.machines == null) {
             intents.delete(leadership, intent)
         } else {
-            intent.retryAt = fleet.clock.now() + ProvisioningIntentStore.WRITE_PAUSE
+            intent.retryAt = fleet.clock.now() + ProvisioningIntentStore.WRITE_RETRY_DELAY
             intents.recordMachines(leadership, intent)
         }
     }
@@ -70,15 +70,15 @@
     }
 
     /**
-     * Sends as many requests at a time as the cloud takes in a second: first those whose outcome is unknown, then the
-     * others in the order of the plan, which is that of the tasks' priority. The rest waits here, where the refusal of
-     * another request for the same market can still make it needless.
+     * Sends the due requests, with at most one second's worth of the cloud's request rate in flight: first those whose
+     * outcome is unknown, then the others in the order of the plan, which follows the priority of the tasks. The rest
+     * waits here, where it can still be dropped when another request for the same market is refused.
      */
     fun sendDue(leadership: LeadershipState.Leader, now: MonotonicInstant) {
         val (inFlight, waiting) = intents.open.partition { it.isRequesting }
-        // The machines of requests that an earlier term left open run nothing yet; the list is more urgent, as the
-        // takeover needs it.
-        val isListAwaited = fleet.calls.neverListed && now - fleet.term.startedAt < MAX_LIST_WAIT
+        // Machines of requests that an earlier term left open run no tasks yet, whereas the takeover needs the list.
+        // So these requests wait for the first list.
+        val isListAwaited = fleet.calls.isFirstListPending && now - fleet.term.startedAt < MAX_LIST_WAIT
         val due = waiting
             .filter { it.isIdle && now >= it.retryAt && !(isListAwaited && it.wasRequested) }
             .sortedBy { !it.wasRequested }
@@ -98,9 +98,9 @@
         }
     }
 
-    /** The cloud answered a request, or did not. */
-    fun completed(message: FleetMessage.ProvisioningCompleted) {
-        val leadership = fleet.term.leaderOf(message.term) ?: return
+    /** Handles the outcome of a provisioning request. */
+    fun requestCompleted(message: FleetMessage.ProvisioningCompleted) {
+        val leadership = fleet.term.leaderIfCurrent(message.term) ?: return
         val intent = intents[message.name] ?: return
         intent.complete()
         when (val outcome = message.outcome) {
@@ -117,7 +117,7 @@
                 giveUp(leadership, intent)
             }
 
-            ProvisioningOutcome.Unknown -> intent.retryAt = fleet.clock.now() + REQUEST_RETRY
+            ProvisioningOutcome.Unknown -> intent.retryAt = fleet.clock.now() + REQUEST_RETRY_DELAY
         }
     }
 
@@ -129,7 +129,7 @@
             intent.count,
             granted.size,
         )
-        if (granted.size < intent.count) close(leadership, intent.market) else markets.served(intent.market)
+        if (granted.size < intent.count) closeMarket(leadership, intent.market) else markets.reset(intent.market)
         fleet.actions.recordProvisioned(intent.market, granted.size, fleet.clock.now())
         intent.machines = granted
         intent.startRecording()
@@ -137,21 +137,21 @@
     }
 
     private fun giveUp(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
-        close(leadership, intent.market)
+        closeMarket(leadership, intent.market)
         intents.delete(leadership, intent)
     }
 
-    /** Closes the market for a while, and gives up the intents for it whose requests were not sent yet. */
-    private fun close(leadership: LeadershipState.Leader, market: Market) {
+    /** Closes the market for its backoff time and drops the intents for it whose requests were not sent yet. */
+    private fun closeMarket(leadership: LeadershipState.Leader, market: Market) {
         markets.close(market, fleet.clock.now())
-        // Intents that are being written are given up when that is done.
+        // Intents that are being written are dropped when the write completes.
         intents.open.filter { it.market == market && !it.wasRequested && it.isIdle }
             .forEach { intents.delete(leadership, it) }
     }
 
     private companion object {
-        /** Longer than two pages of the list take at the slowest cloud. */
+        /** Longer than two pages of the list take at the slowest cloud's request rate. */
         val MAX_LIST_WAIT = 5.seconds
-        val REQUEST_RETRY = 2.seconds
+        val REQUEST_RETRY_DELAY = 2.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/ScaleInPlan.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ScaleInPlan.kt
@@ -8,7 +8,8 @@
 /**
  * The part of a [FleetPlan] that decides which machines to terminate or to drain.
  *
- * [reserved] machines have free capacity that is needed; on [used] ones unplaced tasks will run.
+ * @property reserved machines whose free capacity is needed
+ * @property used machines onto which unplaced tasks were packed
  */
 internal class ScaleInPlan(
     private val input: PlanInput,
@@ -18,32 +19,32 @@
 ) {
     /** A machine on which services run. */
     private class ServiceHost(val machine: Machine, val use: MachineUse, val capacity: Resources) {
-        /** Only services run there, and they take at most half of it. */
+        /** Whether only services run on the machine and use at most half of its capacity. */
         val isDrainable: Boolean
             get() = use.busy == use.services &&
                 use.services.gpus * 2 <= capacity.gpus &&
                 use.services.cpus * 2 <= capacity.cpus
     }
 
-    /** How many idle machines are kept for the tasks that arrive during a boot. */
-    private val standby: Int get() = ceil(input.arriving * STANDBY_SHARE).toInt()
+    /** Number of idle machines to keep for the tasks that arrive during a boot. */
+    private val standby: Int get() = ceil(input.machinesFilledDuringBoot * STANDBY_SHARE).toInt()
 
-    /** The machines to terminate: hopelessly late, faulty and empty, or idle for too long. */
+    /** The machines to terminate: past their boot timeout, faulty and empty, or not needed. */
     fun terminations(): List<MachineId> {
-        val unusable = input.machines.filter { if (it.use == null) isHopeless(it) else isFaultyAndEmpty(it.use) }
+        val unusable = input.machines.filter { if (it.use == null) isBootTimedOut(it) else isFaultyAndEmpty(it.use) }
         return (unusable.map { it.machine.id } + surplus()).distinct()
     }
 
-    private fun isHopeless(planned: PlannedMachine): Boolean {
+    private fun isBootTimedOut(planned: PlannedMachine): Boolean {
         val bootTime = input.catalog.types[planned.machine.type]?.bootTime ?: return false
-        return input.now - planned.provisionedAt > bootTime * input.hopelessBootMultiple + HOPELESS_MARGIN
+        return input.now - planned.provisionedAt > bootTime * input.bootTimeoutMultiple + BOOT_TIMEOUT_MARGIN
     }
 
     private fun isFaultyAndEmpty(use: MachineUse): Boolean = use.faulty && use.idle != null
 
     /**
-     * Machines that are not needed. As many idle machines as soon may be needed stand by, each for its time; those
-     * beyond are terminated sooner, though not before the minimum time is over that the cloud charges for.
+     * Machines that are not needed. Up to [standby] idle machines are kept for their full idle time. Others are
+     * terminated sooner, but not before the minimum time that the cloud charges for has passed.
      */
     private fun surplus(): List<MachineId> {
         val idle = input.machines
@@ -55,7 +56,7 @@
             )
         val surplusBooting = if (idle.size < standby) emptyList() else surplusBooting()
         val idleTooLong = idle.filterIndexed { position, planned ->
-            (planned.use?.idle ?: Duration.ZERO) > idleLimit(position, planned.machine) && isMinimumCharged(planned)
+            (planned.use?.idle ?: Duration.ZERO) > idleLimit(position, planned.machine) && isMinimumChargeOver(planned)
         }
         return surplusBooting + idleTooLong.map { it.machine.id }
     }
@@ -66,27 +67,28 @@
         else -> policy.terminateIdleAfter
     }
 
-    private fun isMinimumCharged(planned: PlannedMachine): Boolean = input.now - planned.provisionedAt > MINIMUM_CHARGED
+    private fun isMinimumChargeOver(planned: PlannedMachine): Boolean =
+        input.now - planned.provisionedAt > MINIMUM_CHARGED_TIME
 
-    /** Booting machines that no task waits for, once the minimum time is over that the cloud charges for. */
+    /** Booting machines that no task needs, once the minimum time that the cloud charges for has passed. */
     private fun surplusBooting(): List<MachineId> = input.machines
-        .filter { it.use == null && it.machine.id !in used && isMinimumCharged(it) }
+        .filter { it.use == null && it.machine.id !in used && isMinimumChargeOver(it) }
         .map { it.machine.id }
 
     /**
-     * The machine with the fewest services, if the other machines with services have capacity for them in addition to
-     * the headroom. Services outlive the tasks that shared their machines, and are left scattered otherwise.
+     * The machine whose services use the least, if the other machines with services have capacity for them in addition
+     * to the headroom. Services outlive the tasks with which they shared machines, and would stay scattered otherwise.
      */
     fun drain(): MachineId? {
         if (input.unplaced.isNotEmpty()) return null
         val hosts = input.machines.mapNotNull(::serviceHost)
-        val emptiest = hosts.filter { it.isDrainable }
+        val candidate = hosts.filter { it.isDrainable }
             .minWithOrNull(compareBy({ it.use.services.weight }, { it.machine.id.text })) ?: return null
         var free = Resources.NONE
-        for (host in hosts) if (host.machine.id != emptiest.machine.id) free += host.capacity - host.use.busy
-        var required = emptiest.use.services
+        for (host in hosts) if (host.machine.id != candidate.machine.id) free += host.capacity - host.use.busy
+        var required = candidate.use.services
         for (headroom in input.headroom) required += headroom.spec.resources * headroom.tasks
-        return emptiest.machine.id.takeIf { required.fitsIn(free) }
+        return candidate.machine.id.takeIf { required.fitsIn(free) }
     }
 
     private fun serviceHost(planned: PlannedMachine): ServiceHost? {
@@ -97,12 +99,12 @@
     }
 
     private companion object {
-        val HOPELESS_MARGIN = 10.seconds
+        val BOOT_TIMEOUT_MARGIN = 10.seconds
 
-        /** The part of the machines filled by arrivals during a boot that stands by. */
+        /** Number of standby machines per machine that the arrivals during a boot would fill. */
         const val STANDBY_SHARE = 0.15
 
-        /** The cloud charges a machine for at least that long. */
-        val MINIMUM_CHARGED = 60.seconds
+        /** The minimum time that the cloud charges for a machine. */
+        val MINIMUM_CHARGED_TIME = 60.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/TerminationQueue.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/TerminationQueue.kt
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Terminates machines. A termination is requested, waits for its turn in the [CloudCallScheduler], and is then sent;
- * until it is sent it can be cancelled.
+ * Terminates machines. A requested termination waits in the [CloudCallScheduler] until it may be sent, and can be
+ * cancelled until then.
  */
 internal class TerminationQueue(
     private val fleet: FleetContext,
@@ -20,46 +20,46 @@
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
     private val calls = fleet.calls
 
-    /** Requests the termination of those machines for which it is not requested already. */
+    /** Requests the termination of machines, except those for which it is already requested. */
     fun request(requested: List<MachineId>, reason: TerminationReason) {
-        val added = requested.filter { machines[it]?.terminating != true }
-        added.forEach { machines[it]?.terminating = true }
+        val added = requested.filter { machines[it]?.isTerminating != true }
+        added.forEach { machines[it]?.isTerminating = true }
         calls.enqueueTerminations(added, reason)
         fleet.term.leader?.let { sendDue(it, fleet.clock.now()) }
     }
 
     /**
-     * Requests the termination of idle machines. The scheduler is told first to place nothing there any more, or tasks
-     * that are placed while the termination waits for its turn would be lost.
+     * Requests the termination of idle machines. They are cordoned by the scheduler first: tasks placed on them while
+     * the termination is queued would be lost.
      */
     fun requestIdle(idle: List<MachineId>) {
-        idle.forEach { machines[it]?.terminating = true }
+        idle.forEach { machines[it]?.isTerminating = true }
         fleet.ports.scheduler(SchedulerMessage.CordonMachines(idle))
     }
 
-    /** The scheduler's answer: machines that are in use by now are kept. */
+    /** Handles the scheduler's response: queues the empty machines, and keeps those that are in use by now. */
     fun cordoned(message: FleetMessage.MachinesCordoned) {
-        message.inUse.forEach { machines[it]?.terminating = false }
+        message.inUse.forEach { machines[it]?.isTerminating = false }
         calls.enqueueTerminations(message.empty, TerminationReason.IDLE)
         fleet.term.leader?.let { sendDue(it, fleet.clock.now()) }
     }
 
-    /** A heartbeat of the machine arrived: cancels a termination that was requested only for want of one. */
+    /** Handles a heartbeat of a machine: cancels a termination that was requested for missing heartbeats. */
     fun heartbeatReceived(machine: MachineId) {
         if (!calls.cancelTermination(machine)) return
         log.info("termination cancelled machine={}", machine)
         fleet.actions.recordNeedless(NeedlessActionKind.TERMINATION_CANCELLED)
-        machines[machine]?.terminating = false
+        machines[machine]?.isTerminating = false
         fleet.ports.scheduler(SchedulerMessage.TerminationCancelled(machine))
     }
 
-    /** Sends the terminations whose turn it is. */
+    /** Sends the terminations that are due. */
     fun sendDue(leadership: LeadershipState.Leader, now: MonotonicInstant) {
         if (!leadership.maySendCommands(now)) return
         while (true) {
             val batch = calls.nextTerminations(now).ifEmpty { return }
             logBatch(batch)
-            for ((machine, reason) in batch) count(machine, reason, now)
+            for ((machine, reason) in batch) recordTermination(machine, reason, now)
             send(leadership, batch.keys.toList())
         }
     }
@@ -70,7 +70,7 @@
         }
     }
 
-    private fun count(machine: MachineId, reason: TerminationReason, now: MonotonicInstant) {
+    private fun recordTermination(machine: MachineId, reason: TerminationReason, now: MonotonicInstant) {
         val market = machines[machine]?.market
         if (reason == TerminationReason.IDLE && market != null) {
             fleet.actions.recordIdleTermination(market, now)
@@ -81,16 +81,16 @@
 
     private fun send(leadership: LeadershipState.Leader, ids: List<MachineId>) {
         fleet.scope.launch {
-            val done = cloud.terminate(ids) { fleet.ports.maySendCommands(leadership) }
-            fleet.tell(FleetMessage.MachinesTerminated(leadership.term, ids, done))
+            val succeeded = cloud.terminate(ids) { fleet.ports.maySendCommands(leadership) }
+            fleet.tell(FleetMessage.MachinesTerminated(leadership.term, ids, succeeded))
         }
     }
 
-    /** Takes the cloud's answer; returns the machines that are surely gone. */
-    fun completed(message: FleetMessage.MachinesTerminated): List<MachineId> {
+    /** Handles the outcome of a termination request. Returns the machines that are certainly gone. */
+    fun requestCompleted(message: FleetMessage.MachinesTerminated): List<MachineId> {
         calls.terminationCompleted()
-        if (message.done) return message.machines
-        message.machines.forEach { machines[it]?.terminating = false }
+        if (message.succeeded) return message.machines
+        message.machines.forEach { machines[it]?.isTerminating = false }
         return emptyList()
     }
 }
--- a/src/test/kotlin/org/elderhitch/fleet/CloudClientTest.kt
+++ b/src/test/kotlin/org/elderhitch/fleet/CloudClientTest.kt
@@ -21,7 +21,7 @@
 
 @OptIn(ExperimentalCoroutinesApi::class)
 class CloudClientTest {
-    /** Answers every request with one machine. */
+    /** Responds to every request with one machine. */
     private class OneMachineCloud : Transport {
         val sent = ArrayList<String>()
 
@@ -46,9 +46,12 @@
         ) = Delivery.NotSent
     }
 
-    /** A leader whose lease window closes while a request waits must not terminate what the next leader uses. */
+    /**
+     * Guards against a leader that loses its leadership while a request waits for the rate limiter: it must not
+     * terminate machines that the next leader uses.
+     */
     @Test
-    fun `client sends no request when its term is over by the time of its turn`() = runTest {
+    fun `client sends no request when its term has ended before the rate limiter admits it`() = runTest {
         val clock = SteadyClock { MonotonicInstant(0) + currentTime.milliseconds }
         val transport = OneMachineCloud()
         val cloud = CloudClient(transport, Address("cloud:1"), RequestRateLimiter(clock, 1.0))
@@ -56,7 +59,7 @@
         val maySend = { currentTime < 500 }
         val market = Market(MachineType("g8"), Zone("a"), false)
         assertTrue(cloud.terminate(machines, maySend))
-        assertFalse(cloud.terminate(machines, maySend), "its turn comes after a second")
+        assertFalse(cloud.terminate(machines, maySend), "the term ends before the rate limiter admits it")
         assertEquals(ProvisioningOutcome.Unknown, cloud.provision("r-1-0", market, 1, maySend))
         assertEquals(listOf("/machines/release"), transport.sent)
         assertEquals(ProvisioningOutcome.Provisioned(machines), cloud.provision("r-1-0", market, 1) { true })
--- a/src/test/kotlin/org/elderhitch/fleet/FleetPlanTest.kt
+++ b/src/test/kotlin/org/elderhitch/fleet/FleetPlanTest.kt
@@ -18,7 +18,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What a fleet plan provisions, terminates and drains. */
+/** Tests which machines a fleet plan provisions, terminates and drains. */
 class FleetPlanTest {
     private val type = TypeInfo(
         name = MachineType("g8"),
@@ -75,9 +75,12 @@
         machines: List<PlannedMachine> = emptyList(),
         unplaced: List<UnplacedTasks> = emptyList(),
         headroom: List<Headroom> = emptyList(),
-        arriving: Double = 0.0,
+        machinesFilledDuringBoot: Double = 0.0,
         closed: Set<Market> = emptySet(),
-    ) = FleetPlan(PlanInput(catalog, machines, unplaced, headroom, arriving, closed, now), FleetPolicy()).decide()
+    ) = FleetPlan(
+        PlanInput(catalog, machines, unplaced, headroom, machinesFilledDuringBoot, closed, now),
+        FleetPolicy(),
+    ).decide()
 
     private fun PlanOutput.provisioned(): Int = provision.sumOf { it.count }
 
@@ -98,8 +101,8 @@
             val onDemand = Market(type.name, Zone("a"), false)
             if (onDemand !in closed && onDemand.copy(zone = Zone("b")) !in closed) {
                 val tasks = specs.sumOf { it.tasks }
-                assertTrue(output.provisioned() * 8 >= tasks, "round $round: too little")
-                assertTrue(output.provisioned() <= (tasks + 7) / 8 + 4 * specs.size, "round $round: too much")
+                assertTrue(output.provisioned() * 8 >= tasks, "round $round: too few machines")
+                assertTrue(output.provisioned() <= (tasks + 7) / 8 + 4 * specs.size, "round $round: too many machines")
             }
         }
     }
@@ -113,16 +116,19 @@
     }
 
     @Test
-    fun `plan keeps idle machines for arrivals and terminates the others when their minimum charge is used`() {
+    fun `plan keeps idle machines for arrivals and terminates the others when their minimum charged time is over`() {
         val idle = List(5) { machine(it, idle = 20.seconds) }
         assertEquals(5, plan(idle).terminate.size)
-        assertEquals(3, plan(idle, arriving = 12.0).terminate.size)
+        assertEquals(3, plan(idle, machinesFilledDuringBoot = 12.0).terminate.size)
         assertEquals(0, plan(listOf(machine(1, idle = 20.seconds, age = 40.seconds))).terminate.size)
-        assertEquals(5, plan(List(5) { machine(it, idle = 50.seconds) }, arriving = 12.0).terminate.size)
+        assertEquals(
+            5,
+            plan(List(5) { machine(it, idle = 50.seconds) }, machinesFilledDuringBoot = 12.0).terminate.size,
+        )
     }
 
     @Test
-    fun `plan provisions for production work alone when running tasks end before a machine would be up`() {
+    fun `plan provisions only for production work when running tasks end before a new machine would boot`() {
         val full = listOf(machine(1, busy = type.resources, endingSoon = Resources(32.0, 8.0, 240.0)))
         assertEquals(0, plan(full, listOf(unplaced(spec(tasks = 8)))).provision.size)
         assertEquals(1, plan(full, listOf(unplaced(spec(tasks = 9)))).provisioned())
@@ -135,49 +141,55 @@
         val idle = listOf(machine(1, idle = 90.seconds), machine(2, idle = 90.seconds))
         assertEquals(1, plan(idle, headroom = headroom).terminate.size)
         assertEquals(1, plan(headroom = headroom).provisioned())
-        // Capacity of preemptible tasks serves users who can wait for a preemption, and no others.
+        // Preemptible capacity is headroom only for work that can wait for a preemption.
         val preemptible = listOf(machine(1, busy = type.resources, preemptible = type.resources))
         assertEquals(0, plan(preemptible, headroom = headroom).provision.size)
-        assertEquals(1, plan(preemptible, headroom = listOf(Headroom(productionService, 8, free = true))).provisioned())
+        assertEquals(
+            1,
+            plan(preemptible, headroom = listOf(Headroom(productionService, 8, mustBeFree = true))).provisioned(),
+        )
     }
 
     @Test
-    fun `plan drains the machine with the fewest services when the others have capacity besides the headroom`() {
+    fun `plan drains the machine with the fewest services when the others have capacity in addition to the headroom`() {
         val perTask = Resources(4.0, 1.0, 30.0)
-        fun serving(n: Int, tasks: Int) = machine(n, busy = perTask * tasks, services = perTask * tasks)
-        val machines = listOf(serving(1, 4), serving(2, 2), serving(3, 3))
+        fun servingMachine(n: Int, tasks: Int) = machine(n, busy = perTask * tasks, services = perTask * tasks)
+        val machines = listOf(servingMachine(1, 4), servingMachine(2, 2), servingMachine(3, 3))
         assertEquals(MachineId("m2"), plan(machines).drain)
         assertEquals(null, plan(machines, headroom = listOf(Headroom(productionService, 8))).drain)
-        assertEquals(null, plan(listOf(serving(1, 7), serving(2, 6))).drain)
+        assertEquals(null, plan(listOf(servingMachine(1, 7), servingMachine(2, 6))).drain)
         val mixed = machine(2, busy = perTask * 3, services = perTask * 2)
-        assertEquals(null, plan(listOf(serving(1, 4), mixed)).drain?.takeIf { it.text == "m2" })
+        assertEquals(null, plan(listOf(servingMachine(1, 4), mixed)).drain?.takeIf { it.text == "m2" })
     }
 
     @Test
-    fun `plan terminates a booting machine when nothing waits for it or it is slower than all that came up`() {
+    fun `plan terminates a booting machine when no task needs it or its boot timeout has passed`() {
         assertEquals(1, plan(listOf(booting(1, age = 70.seconds))).terminate.size)
         assertEquals(0, plan(listOf(booting(1, age = 50.seconds))).terminate.size)
         val missing = listOf(unplaced(spec(tasks = 8)))
         assertEquals(0, plan(listOf(booting(1, age = 70.seconds)), missing).terminate.size)
         val boots = BootTimes()
-        assertEquals(BootTimes.DEFAULT_HOPELESS_MULTIPLE, boots.hopelessMultiple)
+        assertEquals(BootTimes.DEFAULT_TIMEOUT_MULTIPLE, boots.timeoutMultiple)
         repeat(10) { boots.add(1.2) }
-        assertEquals(2.0, boots.hopelessMultiple)
+        assertEquals(2.0, boots.timeoutMultiple)
         boots.add(2.4)
-        assertEquals(3.0, boots.hopelessMultiple)
+        assertEquals(3.0, boots.timeoutMultiple)
     }
 
-    /** At two and a half times the usual boot time, a whole fleet was provisioned a second time after 90 s. */
+    /**
+     * Guards against replacing a fleet that boots slowly: at two and a half times the usual boot time, a whole fleet
+     * was provisioned a second time after 90 s.
+     */
     @Test
-    fun `boot times call no machine late when all come late or none has come up`() {
+    fun `boot times report no machine as late when all boots are slow or none has completed`() {
         val boots = BootTimes()
-        assertEquals(3.5, boots.lateMultiple(anyUp = false))
-        assertEquals(2.0, boots.lateMultiple(anyUp = true))
+        assertEquals(3.5, boots.lateMultiple(hasRunningMachines = false))
+        assertEquals(2.0, boots.lateMultiple(hasRunningMachines = true))
         repeat(9) { boots.add(1.0) }
-        assertEquals(2.0, boots.lateMultiple(anyUp = true))
+        assertEquals(2.0, boots.lateMultiple(hasRunningMachines = true))
         repeat(20) { boots.add(1.6) }
-        assertEquals(3.2, boots.lateMultiple(anyUp = true))
+        assertEquals(3.2, boots.lateMultiple(hasRunningMachines = true))
         repeat(40) { boots.add(0.05) }
-        assertEquals(2.0, boots.lateMultiple(anyUp = true), "fast boots don't make a usual one late")
+        assertEquals(2.0, boots.lateMultiple(hasRunningMachines = true), "fast boots don't lower the default limit")
     }
 }
