--- a/src/main/kotlin/org/elderhitch/failuredetection/DetectionTimeouts.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/DetectionTimeouts.kt
@@ -6,15 +6,17 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The times that suspicions rest on.
+ * How long a machine may be silent before it is suspected or terminated, by what is known about it.
  *
- * @property heartbeatOverdue by when a heartbeat has come.
- * @property unresponsive the time of a heartbeat, of its answer, and of two tries at other nodes.
- * @property oneWayPartition the time of a lease, counted on this node's clock.
- * @property unlisted for a machine that the cloud doesn't list.
- * @property unprobedMargin a worker that wasn't probed may wait for two other nodes before it comes here.
- * @property neverSeenMargin for a machine that has sent no message in this term.
- * @property zonePartition after that a zone is given up: new machines would long be up elsewhere.
+ * @property heartbeatOverdue the longest interval between two heartbeats of a worker.
+ * @property unresponsive allows for a heartbeat interval, the wait for its answer, and retries at two other nodes.
+ * @property oneWayPartition the time after which a lease has expired, on this node's clock.
+ * @property unlisted the timeout for a machine that the cloud doesn't list.
+ * @property unprobedMargin added for a worker that wasn't probed, which may wait for two other nodes before it tries
+ *   this one.
+ * @property neverSeenMargin added for a machine that has sent no message in this term.
+ * @property zonePartition the timeout for machines of a partitioned zone. By then replacements in another zone would
+ *   have been up for long.
  */
 public data class DetectionTimeouts(
     val heartbeatOverdue: Duration,
@@ -27,10 +29,11 @@
 ) {
     internal companion object {
         /**
-         * A heartbeat may be a quarter late; its answer may be lost, which the worker notices after
-         * [WorkerTimeouts.HEARTBEAT_RESPONSE_TIMEOUT]; then it asks the next node, which may send it back here.
+         * Time for one retry of a heartbeat at another node. A heartbeat may be a quarter of its interval late. If its
+         * answer is lost, the worker notices after [WorkerTimeouts.HEARTBEAT_RESPONSE_TIMEOUT], and tries the next
+         * node, which may redirect it back here.
          */
-        private val NEXT_NODE = 1.seconds
+        private val NODE_RETRY = 1.seconds
         private val UNLISTED = 2.seconds
         private val UNPROBED_MARGIN = 6.seconds
         private val NEVER_SEEN_MARGIN = 3.seconds
@@ -38,7 +41,7 @@
 
         fun of(workers: WorkerTimeouts, leases: LeaseTimeouts): DetectionTimeouts = DetectionTimeouts(
             heartbeatOverdue = workers.heartbeatDeadline,
-            unresponsive = workers.heartbeatDeadline + WorkerTimeouts.HEARTBEAT_RESPONSE_TIMEOUT + NEXT_NODE * 2.0,
+            unresponsive = workers.heartbeatDeadline + WorkerTimeouts.HEARTBEAT_RESPONSE_TIMEOUT + NODE_RETRY * 2.0,
             oneWayPartition = leases.maxDuration,
             unlisted = UNLISTED,
             unprobedMargin = UNPROBED_MARGIN,
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureAttribution.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureAttribution.kt
@@ -10,21 +10,24 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Tells faulty machines from faulty jobs. A machine is at fault when tasks of several jobs fail on it, or several of a
- * job that runs well elsewhere; a job is when it fails on several machines and runs on none. Until that is clear,
- * nothing new goes to a machine where something failed: it always has capacity, and would take task after task.
+ * Attributes task failures to faulty machines or faulty jobs. A machine is at fault if tasks of several jobs fail on
+ * it, or several tasks of a job that runs well elsewhere. A job is at fault if it fails on several machines and runs on
+ * none. Until the cause is known, the machine of a failure is quarantined: it always has free capacity, and would be
+ * assigned one task after another.
  *
- * A job submitted with a mistake fails wherever it runs. Once it is known to be at fault, its failures count against no
- * machine: of seventy tasks that failed on fifty machines within a second, each closed its machine to all jobs.
+ * A misconfigured job fails wherever it runs. Once it is known to be at fault, its failures count against no machine.
+ * Otherwise seventy tasks that fail on fifty machines within a second would close each of these machines to all jobs.
  */
 internal class FailureAttribution(private val table: TaskTable) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
 
-    /** Records that the [task] exited with an error on the [worker], and blames the job or the machine if it can. */
+    /**
+     * Records that [task] exited with an error on [worker], and blames the job or the machine if the cause is clear.
+     */
     fun recordTaskFailure(worker: WorkerState, job: JobState, task: TaskStatus, now: MonotonicInstant) {
         log.info("task failed task={} machine={}", task.task, worker.id)
         job.failedOn.add(worker.id)
-        worker.avoid(job.id, now + AVOIDANCE)
+        worker.avoid(job.id, now + JOB_AVOIDANCE)
         worker.failuresByJob.merge(job.id, 1, Int::plus)
         if (isFaulty(job) && !runsElsewhere(job, worker)) {
             blameJob(job, now)
@@ -34,9 +37,9 @@
         }
     }
 
-    /** Delays the job's next tries, and lifts the quarantine of machines that it alone was the cause of. */
+    /** Delays further starts of the job, and ends the quarantine of machines that only this job's failures caused. */
     private fun blameJob(job: JobState, now: MonotonicInstant) {
-        val doublings = minOf(job.failedOn.size - FAULTY_JOB_MACHINES, MAX_DOUBLINGS)
+        val doublings = minOf(job.failedOn.size - FAULTY_JOB_MACHINES, MAX_BACKOFF_DOUBLINGS)
         val backoff = INITIAL_BACKOFF * (1 shl doublings)
         if (job.notBefore < now) {
             log.info(
@@ -55,33 +58,33 @@
     }
 
     /**
-     * How many tasks of a job may be started now while it isn't known whether it can run at all: those that are placed
-     * already will show it, and more would only fail as well. Null if there is no limit.
+     * Returns how many more tasks of a job may be started while it isn't known whether the job can run at all, or null
+     * if there is no limit. The tasks already placed will show it, and more of them would only fail as well.
      */
     fun trialLimit(job: JobState): Int? {
-        if (job.failedOn.size < SUSPECT_JOB_MACHINES || runsElsewhere(job, except = null)) return null
+        if (job.failedOn.size < SUSPECT_JOB_MACHINES || runsElsewhere(job, excluded = null)) return null
         val trials = if (isFaulty(job)) 1 else SUSPECT_JOB_TRIALS
         return trials - job.placements.size
     }
 
     fun isFaulty(job: JobState): Boolean = job.failedOn.size >= FAULTY_JOB_MACHINES
 
-    /** Judges again with what has happened since: a job that failed on a machine may run well elsewhere by now. */
+    /** Reassesses earlier failures: a job that failed on one machine may have proved since to run well elsewhere. */
     fun reassess(now: MonotonicInstant) {
         for (worker in table.workers.values) {
             if (worker.failuresByJob.isNotEmpty()) blameMachineIfFaulty(worker, now)
         }
         for (job in table.jobs.values) {
-            if (job.notBefore > now && runsWellElsewhere(job, null, now)) job.notBefore = MonotonicInstant.NEVER
+            if (job.notBefore > now && isProvenElsewhere(job, null, now)) job.notBefore = MonotonicInstant.NEVER
         }
     }
 
     private fun blameMachineIfFaulty(worker: WorkerState, now: MonotonicInstant) {
         if (worker.faulty || worker.failuresByJob.values.sum() < FAULTY_MACHINE_FAILURES) return
-        val jobsRunWell = worker.failuresByJob.keys.any { id ->
-            table.jobs[id]?.let { job -> runsWellElsewhere(job, worker, now) } ?: false
+        val anyJobProvenElsewhere = worker.failuresByJob.keys.any { id ->
+            table.jobs[id]?.let { job -> isProvenElsewhere(job, worker, now) } ?: false
         }
-        if (worker.failuresByJob.size < FAULTY_MACHINE_JOBS && !jobsRunWell) return
+        if (worker.failuresByJob.size < FAULTY_MACHINE_JOBS && !anyJobProvenElsewhere) return
         worker.faulty = true
         worker.failuresByJob.keys.forEach { table.jobs[it]?.failedOn?.remove(worker.id) }
         log.info(
@@ -92,39 +95,44 @@
         )
     }
 
-    /** Enough to blame the machine of a failure: a task of the job has completed, or has run elsewhere for a while. */
-    private fun runsWellElsewhere(job: JobState, except: WorkerState?, now: MonotonicInstant): Boolean =
+    /**
+     * Whether the machine of a failure may be blamed, because a task of the job has completed, or has run elsewhere for
+     * [PROVEN_AFTER].
+     */
+    private fun isProvenElsewhere(job: JobState, excluded: WorkerState?, now: MonotonicInstant): Boolean =
         job.completed.count > 0 ||
             job.placements.values.any { placement ->
                 val runningSince = placement.runningSince
-                isOnOtherSoundMachine(placement, except) && runningSince != null && now - runningSince > PROVEN_AFTER
+                isOnOtherHealthyMachine(placement, excluded) &&
+                    runningSince != null &&
+                    now - runningSince > PROVEN_AFTER
             }
 
-    /** Enough not to blame the job of a failure: a task of it has completed, or was seen running elsewhere. */
-    private fun runsElsewhere(job: JobState, except: WorkerState?): Boolean = job.completed.count > 0 ||
-        job.placements.values.any { isOnOtherSoundMachine(it, except) && it.runningSince != null }
+    /** Whether the job must not be blamed for a failure, because one of its tasks has completed or ran elsewhere. */
+    private fun runsElsewhere(job: JobState, excluded: WorkerState?): Boolean = job.completed.count > 0 ||
+        job.placements.values.any { isOnOtherHealthyMachine(it, excluded) && it.runningSince != null }
 
-    private fun isOnOtherSoundMachine(placement: Placement, except: WorkerState?): Boolean =
-        placement.worker !== except && placement.worker.failuresByJob.isEmpty()
+    private fun isOnOtherHealthyMachine(placement: Placement, excluded: WorkerState?): Boolean =
+        placement.worker !== excluded && placement.worker.failuresByJob.isEmpty()
 
     private companion object {
-        /** For how long a job's tasks go elsewhere after one failed on a machine. */
-        val AVOIDANCE = 300.seconds
+        /** How long a job avoids a machine on which one of its tasks failed. */
+        val JOB_AVOIDANCE = 300.seconds
 
-        /** For how long nothing new goes to a machine after a failure. */
+        /** How long a machine is assigned no new tasks after a failure. */
         val QUARANTINE = 10.seconds
         val INITIAL_BACKOFF = 2.seconds
         val MAX_BACKOFF = 60.seconds
-        const val MAX_DOUBLINGS = 5
+        const val MAX_BACKOFF_DOUBLINGS = 5
 
-        /** A task that has run for so long shows that its job can run. */
+        /** A task that has run for this long proves that its job can run. */
         val PROVEN_AFTER = 10.seconds
         const val SUSPECT_JOB_MACHINES = 2
         const val FAULTY_JOB_MACHINES = 3
         const val FAULTY_MACHINE_JOBS = 2
         const val FAULTY_MACHINE_FAILURES = 2
 
-        /** On two machines at once: if one of them is the faulty one, the other shows it. */
+        /** Two tasks on two machines: if one machine is faulty, the other shows that the job can run. */
         const val SUSPECT_JOB_TRIALS = 2
     }
 }
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
@@ -20,10 +20,10 @@
 /**
  * The settings of a [FailureDetector].
  *
- * @property tick the time between two assessments.
- * @property controllerZones zones with a controller in them.
- * @property suspectedTerminationShare the share of a zone's machines that may be terminated within
- *   [TerminationRateLimiter.SPAN] for their silence alone.
+ * @property tick the interval between two assessments.
+ * @property controllerZones the zones that contain a controller.
+ * @property suspectedTerminationShare the fraction of a zone's machines that may be terminated within
+ *   [TerminationRateLimiter.REFILL_PERIOD] on the evidence of their silence alone.
  */
 internal class FailureDetectionSettings(
     val timeouts: WorkerTimeouts,
@@ -34,12 +34,12 @@
 )
 
 /**
- * Watches for workers whose messages don't arrive. A machine that falls silent by itself is terminated, which settles
- * what ran there. Where most of a zone falls silent, its machines are partitioned rather than dead: their tasks go on
- * and will be reached again, while a termination would end them. And a leader that receives nobody's messages is
- * partitioned itself, and resigns.
+ * Detects workers whose messages don't arrive. A single machine that becomes silent is terminated, after which it is
+ * certain that its tasks no longer run. If most of a zone becomes silent, its machines are considered partitioned
+ * rather than dead: their tasks keep running and will be reachable again, whereas a termination would end them. A
+ * leader that receives no messages from any worker is partitioned itself, and resigns.
  *
- * The judgement of zones and resignations outlives a term; what is made anew with a term is the [SuspectTerminator].
+ * The state of zones and resignations is kept across terms. The [SuspectTerminator] is replaced with each term.
  */
 internal class FailureDetector(
     private val settings: FailureDetectionSettings,
@@ -51,7 +51,7 @@
     private val events: EventLog,
     private val ports: SchedulerPorts,
 ) {
-    /** A worker whose messages or renewals are missing for so long is suspected, and gets no new tasks. */
+    /** A worker without messages or lease renewals for longer than this is suspected, and is assigned no new tasks. */
     val suspectAfter: Duration = settings.timeouts.heartbeatInterval * SUSPECT_HEARTBEATS + SUSPECT_MARGIN
     private val overdueAfter = settings.timeouts.heartbeatDeadline + OVERDUE_MARGIN
     private val rules = SuspicionRules(DetectionTimeouts.of(settings.timeouts, settings.leases))
@@ -74,29 +74,29 @@
     }
 
     /**
-     * Whether the worker may be about to lose its tasks, and so would lose a new one: it sends no messages, or answers
-     * probes only.
+     * Whether the worker may soon lose its tasks, and would then lose a new one too: it sends no messages, or only
+     * answers probes.
      */
     fun isSuspected(worker: WorkerState, now: MonotonicInstant): Boolean =
         now - minOf(worker.lastSeenAt, reception.lastRenewal(worker)) > suspectAfter
 
     fun isPartitioned(zone: Zone): Boolean = zoneMonitor.isPartitioned(zone)
 
-    /** Called for each message of a worker that is its newest. */
+    /** Must be called for each message that is the newest of its worker. */
     fun recordMessage(worker: WorkerState) = zoneMonitor.recordMessage(worker)
 
     /**
-     * Called once a tick while this node leads: expires leases, assesses the zones, and resigns or requests
-     * terminations where it must.
+     * Expires leases, assesses the zones, and resigns or requests terminations where necessary. Must be called once per
+     * tick while this node leads.
      *
-     * @param known all machines that are known to be rented.
+     * @param known all machines known to be rented.
      */
     fun assess(leadership: LeadershipState.Leader, now: MonotonicInstant, known: Map<MachineId, Machine>) {
         reception.recordWindow(leadership, now)
         delegates.recordPossibleRenewals(now)
         val zones = assessWorkers(leadership, now)
-        val quietZones = zoneMonitor.quietZones(zones)
-        val reason = resignationRules.reasonToResign(leadership, zones.values, quietZones.size, now)
+        val silentZones = zoneMonitor.silentZones(zones)
+        val reason = resignationRules.reasonToResign(leadership, zones.values, silentZones.size, now)
         if (reason != null) {
             ports.leadership(LeadershipMessage.Resign(reason))
             return
@@ -105,7 +105,7 @@
         val suspected = zones.values.sumOf { it.suspected } + neverSeen.size
         for (id in neverSeen) known[id]?.let { zones.getOrPut(it.zone) { ZoneHealth() }.neverSeen++ }
         val mayBePartitioned = now - leadership.claimedAt > suspectAfter
-        zoneMonitor.update(zones, quietZones, mayBePartitioned, suspected, now)
+        zoneMonitor.update(zones, silentZones, mayBePartitioned, suspected, now)
         if (leadership.maySendCommands(now)) terminator.terminateSuspects(leadership, neverSeen, known, now)
     }
 
@@ -130,14 +130,14 @@
         table.removeAllOf(worker)
     }
 
-    /** Lifts the suspicion of a worker that sends messages again although its termination was requested long ago. */
+    /** Clears an old termination request of a worker that sends messages again. */
     fun resetUnansweredTermination(worker: WorkerState, now: MonotonicInstant) {
         if (now - worker.releaseRequestedAt > SuspectTerminator.REQUEST_RETRY * 2) {
             worker.releaseRequestedAt = MonotonicInstant.NEVER
         }
     }
 
-    /** The worker's termination had not gone out when its next message came. */
+    /** Records that the worker's termination was cancelled: it sent a message before the request went out. */
     fun onTerminationCancelled(worker: WorkerState) {
         if (worker.lastSeenAt > worker.releaseRequestedAt) worker.releaseRequestedAt = MonotonicInstant.NEVER
         table.dirty = true
--- a/src/main/kotlin/org/elderhitch/failuredetection/PauseDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/PauseDetector.kt
@@ -5,11 +5,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Notices that this process was paused while its clock ran on, by a tick that comes much later than it was due. The
- * messages that arrived meanwhile still lie in buffers, so silence before [lastPauseEndedAt] tells nothing: after a
- * pause of three seconds a leader, whose window was still open, took all its workers for lost and resigned.
+ * Detects that this process was paused, by a tick that comes much later than it was due. Messages that arrived during
+ * the pause are still in buffers, so silence before [lastPauseEndedAt] is no evidence of a failure. Without this check,
+ * a leader whose command window was still open after a pause of three seconds considered all its workers lost and
+ * resigned.
  *
- * @param tick the time between two calls of [check].
+ * @param tick the interval between two calls of [check].
  */
 internal class PauseDetector(private val tick: Duration) {
     private var lastTick = MonotonicInstant.FOREVER
@@ -17,7 +18,7 @@
     var lastPauseEndedAt: MonotonicInstant = MonotonicInstant.NEVER
         private set
 
-    /** Called once a tick; returns how long the process was paused until now, or null if it wasn't. */
+    /** Returns how long the process was paused, or null if it wasn't. Must be called once per tick. */
     fun check(now: MonotonicInstant): Duration? {
         val sinceLastTick = now - lastTick
         lastTick = now
--- a/src/main/kotlin/org/elderhitch/failuredetection/ProbeRateLimiter.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/ProbeRateLimiter.kt
@@ -5,41 +5,49 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Limits how many of the machines that a takeover waits for are probed in a tick. Made anew for each term. Most come by
- * themselves: a worker whose controller died tries the next one a second later, while one whose controller is
- * partitioned waits for an answer. Probes of workers that come anyway cost a new leader the processor time in which it
- * should answer them: one with 22% of a core that had just started sent 882 probes while 650 workers reported to it.
+ * Limits how many of the machines that a takeover waits for are probed per tick. Replaced with each term.
+ *
+ * Most workers reconnect without a probe: a worker whose controller died tries the next one a second later, while a
+ * worker whose controller is partitioned waits for an answer. Probing workers that reconnect anyway uses processor time
+ * that a new leader needs to answer them: a leader that had just started with 22% of a core sent 882 probes while 650
+ * workers reported to it.
  */
 internal class ProbeRateLimiter {
     private var previouslyUnaccounted = 0
 
     /**
-     * How many probes may be sent now. Called once a tick.
+     * Returns how many probes may be sent now. Must be called once per tick.
      *
-     * @param unaccounted how many machines the takeover waits for.
+     * @param unaccounted the number of machines that the takeover waits for.
      * @param receiving how long this term has been able to receive messages.
      * @param previousLeaderEnded whether the process that answered the machines before is known to have ended, so that
-     *   none of them waits for its answer.
+     *   none of them is still waiting for its answer.
      */
     fun allow(unaccounted: Int, receiving: Duration, previousLeaderEnded: Boolean): Int {
         val arrived = previouslyUnaccounted - unaccounted
         previouslyUnaccounted = unaccounted
-        val comeByThemselves = if (previousLeaderEnded) {
-            arrived > 0 && receiving < LONG_PATIENCE
+        val reconnecting = if (previousLeaderEnded) {
+            arrived > 0 && receiving < PROBE_DELAY_AFTER_LEADER_END
         } else {
-            (arrived < 0 || arrived * FEW_OF > unaccounted) && receiving < PATIENCE
+            (arrived < 0 || arrived * ARRIVAL_DIVISOR > unaccounted) && receiving < PROBE_DELAY
         }
-        return if (comeByThemselves) 0 else PER_TICK
+        return if (reconnecting) 0 else MAX_PROBES_PER_TICK
     }
 
     companion object {
-        val PATIENCE: Duration = 500.milliseconds
-        val LONG_PATIENCE: Duration = 4.seconds
+        /** How long probes may be withheld while workers reconnect and the previous leader may still be running. */
+        val PROBE_DELAY: Duration = 500.milliseconds
 
-        /** If fewer than one in so many came in the last tick, the others may not come by themselves. */
-        const val FEW_OF = 12
+        /** How long probes may be withheld while workers reconnect and the previous leader has ended. */
+        val PROBE_DELAY_AFTER_LEADER_END: Duration = 4.seconds
 
-        /** Three times the probes that are sent concurrently: the rest of the processor time is for heartbeats. */
-        const val PER_TICK = 96
+        /**
+         * If no more than one machine per this many unaccounted ones reported in the last tick, the others may not
+         * reconnect without a probe.
+         */
+        const val ARRIVAL_DIVISOR = 12
+
+        /** Three times the number of concurrent probes. Leaves the rest of the processor time to heartbeats. */
+        const val MAX_PROBES_PER_TICK = 96
     }
 }
--- a/src/main/kotlin/org/elderhitch/failuredetection/ResignationRules.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/ResignationRules.kt
@@ -8,51 +8,54 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * When a leader resigns since it is itself partitioned from the workers. Its state outlives a term.
+ * Decides when a leader resigns because it is itself partitioned from the workers. Its state is kept across terms.
  *
- * @param patience after what time without a message a machine is terminated.
+ * @param silenceTimeout the silence after which an unresponsive machine is terminated. A new leader that has received
+ *   no message of any worker for longer than this resigns.
  */
 internal class ResignationRules(
     private val table: TaskTable,
     private val currentTakeover: () -> Takeover,
     private val currentProber: () -> WorkerProber,
     private val reception: ReceptionTracker,
-    private val patience: Duration,
+    private val silenceTimeout: Duration,
 ) {
     private val takeover: Takeover get() = currentTakeover()
     private val workerProber: WorkerProber get() = currentProber()
-    private var lastResignedUnseen = MonotonicInstant.NEVER
+    private var lastResignedWithoutReports = MonotonicInstant.NEVER
 
-    /** Why the leader must resign, for the log; absent if it needn't. */
+    /** Returns why the leader must resign, for the log, or null if it need not. */
     fun reasonToResign(
         leadership: LeadershipState.Leader,
         zones: Collection<ZoneHealth>,
-        quietZones: Int,
+        silentZones: Int,
         now: MonotonicInstant,
     ): String? {
         val responsive = zones.sumOf { it.responsive }
         val suspected = zones.sumOf { it.suspected }
         val workers = responsive + suspected
         val established = now - leadership.claimedAt > MIN_LEADERSHIP && workers >= MIN_MACHINES
-        if (established && (suspected > responsive * 2 || quietZones == zones.size)) {
-            return "$suspected of $workers workers suspected, quiet zones $quietZones"
+        if (established && (suspected > responsive * 2 || silentZones == zones.size)) {
+            return "$suspected of $workers workers suspected, silent zones $silentZones"
         }
-        if (!isUnreachedByAll(leadership, now)) return null
-        lastResignedUnseen = now
+        if (!hasNoReports(leadership, now)) return null
+        lastResignedWithoutReports = now
         return "none of ${takeover.unaccounted.size} machines seen"
     }
 
     /**
+     * Whether this leader has received no message of any worker for too long.
+     *
      * A new leader that reaches the state service but no worker would lead until every lease has expired, and terminate
-     * the whole fleet meanwhile. It lets another node try, once: if no worker reaches that one either, the machines are
-     * at fault.
+     * the whole fleet meanwhile. It resigns once, so that another node can try. If no worker reaches that node either,
+     * the machines are at fault.
      */
-    private fun isUnreachedByAll(leadership: LeadershipState.Leader, now: MonotonicInstant): Boolean {
+    private fun hasNoReports(leadership: LeadershipState.Leader, now: MonotonicInstant): Boolean {
         val expected = takeover.unaccounted
         if (table.workers.isNotEmpty() || expected.size < MIN_MACHINES) return false
-        if (now - lastResignedUnseen < RETRY_AFTER) return false
+        if (now - lastResignedWithoutReports < RETRY_AFTER) return false
         val waited = now - reception.receivingSince(leadership)
-        return waited > patience || waited > UNREACHABLE_PATIENCE && mostAreUnreachable(expected.size)
+        return waited > silenceTimeout || waited > UNREACHABLE_TIMEOUT && mostAreUnreachable(expected.size)
     }
 
     private fun mostAreUnreachable(expected: Int): Boolean =
@@ -63,9 +66,9 @@
         val MIN_LEADERSHIP = 15.seconds
         const val MIN_MACHINES = 4
         val RETRY_AFTER = 60.seconds
-        val UNREACHABLE_PATIENCE = 2.seconds
+        val UNREACHABLE_TIMEOUT = 2.seconds
 
-        /** More than two of three machines. */
+        /** More than two thirds of the machines. */
         const val UNREACHABLE_NUMERATOR = 2
         const val UNREACHABLE_DENOMINATOR = 3
     }
--- a/src/main/kotlin/org/elderhitch/failuredetection/SuspectTerminator.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/SuspectTerminator.kt
@@ -16,8 +16,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Requests the termination of machines whose silence has lasted for as long as the [SuspicionRules] demand, paced by
- * zone where nothing but the silence speaks against them. Made anew for each term.
+ * Requests the termination of machines that have been silent for longer than the [SuspicionRules] allow. Where silence
+ * is the only evidence, requests are rate-limited by zone. Replaced with each term.
  */
 internal class SuspectTerminator(
     private val view: SuspicionView,
@@ -29,10 +29,10 @@
 ) {
     private val takeover: Takeover get() = currentTakeover()
 
-    /** When the termination of machines was last requested that have sent no message in this term. */
+    /** When termination was last requested, for machines that have sent no message in this term. */
     private val neverSeenRequestedAt = HashMap<MachineId, MonotonicInstant>()
 
-    /** A machine to be terminated, of a [zone] that may be unknown. */
+    /** A machine to be terminated; [zone] is null if it is unknown. */
     private class Suspect(
         val id: MachineId,
         val zone: Zone?,
@@ -42,10 +42,10 @@
     )
 
     /**
-     * Called once a tick while this leader may send commands.
+     * Requests the terminations that are due. Must be called once per tick while this leader may send commands.
      *
      * @param neverSeen machines that may run tasks of an earlier term and have sent no message in this one.
-     * @param known all machines that are known to be rented.
+     * @param known all machines known to be rented.
      */
     fun terminateSuspects(
         leadership: LeadershipState.Leader,
@@ -54,9 +54,9 @@
         now: MonotonicInstant,
     ) {
         val suspects = ArrayList<Suspect>()
-        table.workers.values.mapNotNullTo(suspects) { judgeWorker(it, leadership, now) }
+        table.workers.values.mapNotNullTo(suspects) { assessWorker(it, leadership, now) }
         val waited = now - view.reception.receivingSince(leadership)
-        neverSeen.mapNotNullTo(suspects) { judgeNeverSeen(it, known[it]?.zone, waited, now) }
+        neverSeen.mapNotNullTo(suspects) { assessNeverSeen(it, known[it]?.zone, waited, now) }
         val allowed = suspects.groupBy { it.zone }.values.flatMap { ofZone -> limitRate(ofZone, known, now) }
         val (neverSeenSuspects, seenSuspects) = allowed.partition { it.neverSeen }
         for (suspect in seenSuspects) recordRequest(suspect, now)
@@ -65,29 +65,29 @@
         requestTermination(neverSeenSuspects, TerminationReason.NEVER_SEEN)
     }
 
-    private fun judgeWorker(worker: WorkerState, leadership: LeadershipState.Leader, now: MonotonicInstant): Suspect? {
+    private fun assessWorker(worker: WorkerState, leadership: LeadershipState.Leader, now: MonotonicInstant): Suspect? {
         if (now - worker.releaseRequestedAt <= REQUEST_RETRY) return null
         val reception = view.reception
         val reconnectedAt = view.zones.reconnectedAt(worker.zone)
         val silence = now - maxOf(reception.silentSince(worker, leadership), reconnectedAt)
-        // An answer to a probe is a message of the worker, but it renews no lease.
+        // An answer to a probe counts as a message of the worker, but doesn't renew its lease.
         val lastRenewal = reception.lastRenewal(worker)
         val oneWay = worker.lastSeenAt - lastRenewal > view.overdueAfter && silence <= view.rules.timeouts.unresponsive
-        val judgedSilence =
+        val assessedSilence =
             if (oneWay) now - maxOf(lastRenewal, reception.receivingSince(leadership), reconnectedAt) else silence
-        if (judgedSilence <= view.rules.minimumPatience) return null
+        if (assessedSilence <= view.rules.minimumTerminationDelay) return null
         val machine = view.machine(worker.id, worker.zone)
             .copy(reconciled = worker.reconciled, oneWayPartitioned = oneWay)
-        return judge(worker.id, worker.zone, machine, judgedSilence, now)
+        return assess(worker.id, worker.zone, machine, assessedSilence, now)
     }
 
-    private fun judgeNeverSeen(id: MachineId, zone: Zone?, waited: Duration, now: MonotonicInstant): Suspect? {
+    private fun assessNeverSeen(id: MachineId, zone: Zone?, waited: Duration, now: MonotonicInstant): Suspect? {
         val requestedAt = neverSeenRequestedAt[id] ?: MonotonicInstant.NEVER
-        if (now - requestedAt <= REQUEST_RETRY || waited <= view.rules.minimumPatience) return null
-        return judge(id, zone, view.machine(id, zone).copy(neverSeen = true), waited, now)
+        if (now - requestedAt <= REQUEST_RETRY || waited <= view.rules.minimumTerminationDelay) return null
+        return assess(id, zone, view.machine(id, zone).copy(neverSeen = true), waited, now)
     }
 
-    private fun judge(
+    private fun assess(
         id: MachineId,
         zone: Zone?,
         machine: SuspectedMachine,
@@ -95,18 +95,26 @@
         now: MonotonicInstant,
     ): Suspect? {
         val takeoverOpen = !takeover.settled
-        val endsSoon = takeover.endsSoon(now)
-        if (silence <= view.rules.patience(machine, takeoverOpen, endsSoon)) return null
-        return Suspect(id, zone, view.rules.ruleFor(machine, takeoverOpen, endsSoon), silence, machine.neverSeen)
+        val settlesWithinLease = takeover.settlesWithinLease(now)
+        if (silence <= view.rules.terminationDelay(machine, takeoverOpen, settlesWithinLease)) return null
+        return Suspect(
+            id,
+            zone,
+            view.rules.ruleFor(machine, takeoverOpen, settlesWithinLease),
+            silence,
+            machine.neverSeen,
+        )
     }
 
-    /** Those of a zone's suspects that may be terminated now: the longest silent first, where there is no proof. */
+    /**
+     * Returns the suspects of a zone that may be terminated now: all proven ones, and the longest silent of the rest.
+     */
     private fun limitRate(
         suspects: List<Suspect>,
         known: Map<MachineId, Machine>,
         now: MonotonicInstant,
     ): List<Suspect> {
-        // The size of an unknown zone isn't known either, so its terminations can't be paced.
+        // The size of an unknown zone isn't known, so its terminations can't be rate-limited.
         val zone = suspects.first().zone ?: return suspects
         val (proven, unproven) = suspects.partition { it.rule.proven }
         val zoneSize = known.values.count { it.zone == zone }
@@ -118,7 +126,7 @@
         table.workers[suspect.id]?.releaseRequestedAt = now
         events.info("worker suspected", suspect.id) {
             "worker suspected machine=${suspect.id} for_ms=${suspect.silence.inWholeMilliseconds} " +
-                "because=${suspect.rule.logWord}"
+                "because=${suspect.rule.logValue}"
         }
     }
 
--- a/src/main/kotlin/org/elderhitch/failuredetection/SuspicionView.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/SuspicionView.kt
@@ -5,9 +5,9 @@
 import kotlin.time.Duration
 
 /**
- * What suspicions rest on: the rules, and what zones, probes and the reception of messages tell of a machine.
+ * The evidence for suspicions: the rules, and the state of zones, probes and message reception.
  *
- * @property overdueAfter how long after the last one a worker's heartbeat is overdue.
+ * @property overdueAfter how long after a worker's last heartbeat the next one is overdue.
  */
 internal class SuspicionView(
     val rules: SuspicionRules,
@@ -18,15 +18,15 @@
 ) {
     private val workerProber: WorkerProber get() = currentProber()
 
-    /** What is known of the machine apart from its own messages. */
+    /** Returns what is known about the machine apart from its own messages. */
     fun machine(id: MachineId, zone: Zone?): SuspectedMachine = SuspectedMachine(
         neverSeen = false,
         reconciled = false,
         unlisted = workerProber.isUnlisted(id),
         unreachableSince = workerProber.unreachableSince(id),
-        probed = workerProber.wasProbedInVain(id),
+        probeUnanswered = workerProber.hasUnansweredProbe(id),
         zoneLastSeenAt = zones.lastSeenAt(zone),
-        zoneDoubtful = zones.isDoubtful(zone),
+        zonePossiblyPartitioned = zones.isPossiblyPartitioned(zone),
         zonePartitioned = zones.isPartitioned(zone),
         zoneNeverSeen = zones.isNeverSeen(zone),
     )
--- a/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
@@ -17,9 +17,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Probes workers at their own addresses instead of waiting for their messages: those that a takeover has not seen yet,
- * which a probe also tells the new term, and those whose heartbeat is overdue. One that takes no connection is most
- * likely dead. All its state belongs to one term, so an object made anew with each term needs no [newTerm].
+ * Probes workers at their own addresses instead of waiting for their messages: workers that have not reported to a
+ * takeover yet, which also learn the new term from the probe, and workers whose heartbeat is overdue. A worker that
+ * accepts no connection is most likely dead. All state belongs to one term, so an instance that is replaced with each
+ * term needs no [newTerm].
  */
 internal class WorkerProber(
     private val table: TaskTable,
@@ -34,7 +35,7 @@
     private val listedAddresses = HashMap<MachineId, Address>()
     private var listedMachines: Set<MachineId>? = null
     private val unreachableSince = HashMap<MachineId, MonotonicInstant>()
-    private val probedInVain = HashSet<MachineId>()
+    private val unansweredProbes = HashSet<MachineId>()
     private var rateLimiter = ProbeRateLimiter()
 
     fun newTerm() {
@@ -42,44 +43,47 @@
         listedAddresses.clear()
         listedMachines = null
         unreachableSince.clear()
-        probedInVain.clear()
+        unansweredProbes.clear()
         rateLimiter = ProbeRateLimiter()
     }
 
-    /** Takes over the cloud's list of machines in this term, with their addresses as far as the cloud tells them. */
+    /** Updates the cloud's list of machines, with their addresses where the cloud provides them. */
     fun updateListing(addresses: Map<MachineId, Address?>) {
         listedMachines = HashSet(addresses.keys)
         addresses.forEach { (machine, address) -> if (address != null) listedAddresses[machine] = address }
     }
 
-    /** Whether the cloud's list doesn't name the machine: any more, or yet, since the list lags. */
+    /** Whether the cloud's list doesn't include the machine. The list lags, so the machine may be gone or new. */
     fun isUnlisted(machine: MachineId): Boolean = listedMachines.let { it != null && machine !in it }
 
     fun isUnreachable(machine: MachineId): Boolean = machine in unreachableSince
 
-    /** When the machine first took no connection since its last message; null if it took one or was not tried. */
+    /**
+     * When the machine first failed to accept a connection since its last message; null if it accepted one or none was
+     * tried.
+     */
     fun unreachableSince(machine: MachineId): MonotonicInstant? = unreachableSince[machine]
 
-    /** Whether the machine was probed since its last message, and has sent none in reply. */
-    fun wasProbedInVain(machine: MachineId): Boolean = machine in probedInVain
+    /** Whether the machine was probed since its last message and has not replied. */
+    fun hasUnansweredProbe(machine: MachineId): Boolean = machine in unansweredProbes
 
-    /** Called for each message of a worker that is its newest. */
+    /** Must be called for each message that is the newest of its worker. */
     fun recordMessage(machine: MachineId) {
         unreachableSince.remove(machine)
-        probedInVain.remove(machine)
+        unansweredProbes.remove(machine)
     }
 
-    /** Called with the outcome of each probe, before [recordMessage] if the worker answered. */
+    /** Must be called with the outcome of each probe, before [recordMessage] if the worker answered. */
     fun recordOutcome(machine: MachineId, connected: Boolean, now: MonotonicInstant) {
-        probedInVain.add(machine)
+        unansweredProbes.add(machine)
         if (connected) unreachableSince.remove(machine) else unreachableSince.putIfAbsent(machine, now)
     }
 
     /**
-     * Sends the probes that are due. Called once a tick while this leader may send commands.
+     * Sends the probes that are due. Must be called once per tick while this leader may send commands.
      *
-     * @param isPartitioned whether a zone counts as partitioned: only a few of its workers are probed then, since one
-     *   answer tells that it isn't.
+     * @param isPartitioned whether a zone is considered partitioned. Only a few of its workers are probed then, since a
+     *   single answer shows that the zone is reachable.
      */
     fun probeWorkers(leadership: LeadershipState.Leader, now: MonotonicInstant, isPartitioned: (Zone) -> Boolean) {
         probeUnaccounted(leadership, now)
@@ -107,7 +111,7 @@
             if (worker.releaseRequestedAt != MonotonicInstant.NEVER) continue
             if (isPartitioned(worker.zone)) {
                 val probed = probedInPartition.merge(worker.zone, 1, Int::plus) ?: 1
-                if (probed > MAX_IN_PARTITION) continue
+                if (probed > MAX_PROBES_PER_PARTITIONED_ZONE) continue
             }
             probe(leadership, worker.id, worker.address, now)
         }
@@ -132,8 +136,8 @@
     private companion object {
         val OVERDUE_MARGIN = 500.milliseconds
 
-        /** The least time between two probes of a machine. */
+        /** The minimum time between two probes of a machine. */
         val PROBE_INTERVAL = 3.seconds
-        const val MAX_IN_PARTITION = 4
+        const val MAX_PROBES_PER_PARTITIONED_ZONE = 4
     }
 }
--- a/src/main/kotlin/org/elderhitch/failuredetection/ZoneHealth.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/ZoneHealth.kt
@@ -1,17 +1,17 @@
 package org.elderhitch.failuredetection
 
-/** Counts of a zone's machines at one moment, by whether their messages arrive. */
+/** A snapshot of a zone: its machines counted by whether their messages arrive. */
 internal class ZoneHealth {
     /** Workers that are not suspected. */
     var responsive = 0
 
-    /** Workers that sent a message in this term, but none for too long. */
+    /** Workers that sent a message in this term, but none recently enough. */
     var suspected = 0
 
     /** Machines that may run tasks of an earlier term and have sent no message in this one. */
     var neverSeen = 0
 
-    /** Workers, suspected or not, whose next heartbeat should have come. */
+    /** Workers, suspected or not, whose next heartbeat is overdue. */
     var overdue = 0
 
     val workers: Int get() = responsive + suspected
@@ -26,7 +26,7 @@
     val noneSeen: Boolean get() = neverSeen >= MIN_MACHINES && workers == 0
 
     companion object {
-        /** Fewer machines than that may fail together by chance, which tells nothing about their zone. */
+        /** Fewer machines than this may fail together by chance, which is no evidence about their zone. */
         const val MIN_MACHINES = 4
     }
 }
--- a/src/main/kotlin/org/elderhitch/failuredetection/ZoneHealthMonitor.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/ZoneHealthMonitor.kt
@@ -9,11 +9,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Judges whole zones: where most machines are suspected at once, the zone is partitioned from this node rather than
- * full of dead machines. Its state outlives a term.
+ * Assesses the health of whole zones. If most machines of a zone are suspected at once, the zone is considered
+ * partitioned from this node, rather than its machines dead. The state is kept across terms.
  *
- * @param tick the time between two assessments.
- * @param controllerZones zones with a controller in them.
+ * @param tick the interval between two assessments.
+ * @param controllerZones the zones that contain a controller.
  */
 internal class ZoneHealthMonitor(
     private val timeouts: WorkerTimeouts,
@@ -24,27 +24,28 @@
     private val ticksWithoutMessage = HashMap<Zone, Int>()
     private val lastSeenAt = HashMap<Zone, MonotonicInstant>()
     private val reconnectedAt = HashMap<Zone, MonotonicInstant>()
-    private var doubtfulZones: Set<Zone> = emptySet()
+    private var possiblyPartitionedZones: Set<Zone> = emptySet()
     private var neverSeenZones: Set<Zone> = emptySet()
 
-    /** Zones of which most machines are suspected, or from which no message has come for longer than chance allows. */
+    /** Zones in which most machines are suspected, or which are silent for longer than chance allows. */
     var partitionedZones: Set<Zone> = emptySet()
         private set
 
     fun isPartitioned(zone: Zone?): Boolean = zone in partitionedZones
 
-    /** Whether a machine's silence can't be told from a partition: most of its zone is overdue or suspected. */
-    fun isDoubtful(zone: Zone?): Boolean = zone in doubtfulZones
+    /** Whether a machine's silence may be due to a partition: most of its zone is overdue, or the zone is silent. */
+    fun isPossiblyPartitioned(zone: Zone?): Boolean = zone in possiblyPartitionedZones
 
     /** Whether the zone has a controller and many machines, none of which has sent a message in this term. */
     fun isNeverSeen(zone: Zone?): Boolean = zone in neverSeenZones
 
-    /** When a message of any of the zone's workers was last received; absent: none has been. */
+    /** When a message of any worker in the zone was last received; null if none was. */
     fun lastSeenAt(zone: Zone?): MonotonicInstant? = lastSeenAt[zone]
 
     /**
-     * When the zone's last partition ended. Its workers come back one after the other: those that were still missing
-     * when the first half was back had been silent for longest, and were all terminated.
+     * When the zone's last partition ended. The silence of its workers is counted from then on, since they reconnect
+     * one after another. Otherwise all workers that had not reconnected by the time the first half had would be
+     * terminated.
      */
     fun reconnectedAt(zone: Zone): MonotonicInstant = reconnectedAt[zone] ?: MonotonicInstant.NEVER
 
@@ -54,38 +55,38 @@
     }
 
     /**
-     * Zones from which no message has come for longer than chance allows. Heartbeats of many workers are evenly spread:
-     * the more workers, the shorter the pauses. Counted in ticks, so that a pause of this process doesn't pass for
-     * silence. Called once a tick.
+     * Returns the zones from which no message has arrived for longer than chance allows. Heartbeats of many workers are
+     * spread evenly, so more workers mean shorter gaps. Gaps are counted in ticks, so that a pause of this process
+     * isn't mistaken for silence. Must be called once per tick.
      */
-    fun quietZones(zones: Map<Zone, ZoneHealth>): Set<Zone> {
-        val quiet = HashSet<Zone>()
+    fun silentZones(zones: Map<Zone, ZoneHealth>): Set<Zone> {
+        val silent = HashSet<Zone>()
         for ((zone, health) in zones) {
             val ticks = ticksWithoutMessage.merge(zone, 1, Int::plus) ?: 1
             val chance = timeouts.heartbeatInterval * (MAX_MISSED_HEARTBEATS / health.workers)
-            val longestPause = QUIET_MARGIN + minOf(timeouts.heartbeatDeadline, chance)
-            if (health.workers >= ZoneHealth.MIN_MACHINES && tick * ticks > longestPause) quiet.add(zone)
+            val longestPause = SILENCE_MARGIN + minOf(timeouts.heartbeatDeadline, chance)
+            if (health.workers >= ZoneHealth.MIN_MACHINES && tick * ticks > longestPause) silent.add(zone)
         }
-        return quiet
+        return silent
     }
 
     /**
-     * Takes over the judgement of all zones at one moment.
+     * Updates the state of all zones.
      *
      * @param mayBePartitioned whether this term has lasted long enough for workers to be suspected at all.
-     * @param suspectedMachines of all zones, and of none that is known, for the log.
+     * @param suspectedMachines the number of suspected machines in all zones and in unknown ones, for the log.
      */
     fun update(
         zones: Map<Zone, ZoneHealth>,
-        quiet: Set<Zone>,
+        silent: Set<Zone>,
         mayBePartitioned: Boolean,
         suspectedMachines: Int,
         now: MonotonicInstant,
     ) {
         neverSeenZones = zones.filter { (zone, health) -> health.noneSeen && zone in controllerZones }.keys
-        doubtfulZones = zones.filterValues { it.majorityOverdue }.keys + quiet
+        possiblyPartitionedZones = zones.filterValues { it.majorityOverdue }.keys + silent
         val partitioned =
-            if (mayBePartitioned) zones.filterValues { it.majoritySuspected }.keys + quiet else emptySet()
+            if (mayBePartitioned) zones.filterValues { it.majoritySuspected }.keys + silent else emptySet()
         if (partitioned != partitionedZones) {
             log.info("zones partitioned zones={} suspected={}", partitioned, suspectedMachines)
         }
@@ -94,9 +95,9 @@
     }
 
     private companion object {
-        val QUIET_MARGIN = 1500.milliseconds
+        val SILENCE_MARGIN = 1500.milliseconds
 
-        /** So many heartbeats of a zone in a row don't fail to come by chance. */
+        /** This many consecutive heartbeats of a zone don't go missing by chance. */
         const val MAX_MISSED_HEARTBEATS = 12.0
     }
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/Command.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/Command.kt
@@ -4,7 +4,7 @@
 import org.elderhitch.jobs.TaskId
 import kotlin.time.Duration
 
-/** A leader's instruction to a worker about one attempt of one task. Workers execute repeated commands once. */
+/** A leader's command to a worker for one attempt of a task. Commands are idempotent: workers execute repeats once. */
 public sealed interface Command {
     public val task: TaskId
     public val attempt: Attempt
@@ -12,7 +12,7 @@
     /** Starts the task. */
     public data class Start(override val task: TaskId, override val attempt: Attempt) : Command
 
-    /** Stops the task after at most [grace], in which a task that can save its state does. */
+    /** Stops the task within at most [grace], during which a task that supports it saves its state. */
     public data class Stop(override val task: TaskId, override val attempt: Attempt, val grace: Duration) : Command
 
     /** Drops the record of an exited task. */
--- a/src/main/kotlin/org/elderhitch/heartbeat/CommandDispatcher.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/CommandDispatcher.kt
@@ -13,10 +13,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Sends commands to workers' own addresses and takes in their outcomes. The answer to a heartbeat would carry commands
- * as safely and at no cost, but a task would wait for half a heartbeat interval on average.
+ * Sends commands to workers' own addresses and handles the outcomes. Responses to heartbeats would carry commands as
+ * safely and at no extra cost, but a task would wait half a heartbeat interval on average.
  *
- * @param heartbeatInterval the usual time between two heartbeats of a worker.
+ * @param heartbeatInterval the mean interval between two heartbeats of a worker.
  */
 internal class CommandDispatcher(
     private val table: TaskTable,
@@ -28,15 +28,16 @@
     private val ports: SchedulerPorts,
 ) {
     /**
-     * Sends what was decided to workers whose next heartbeat is not due soon.
+     * Sends undelivered commands to workers whose next heartbeat is not due soon.
      *
-     * @param answering the worker whose heartbeat is being answered, which carries its commands; absent if none is.
+     * @param answering the worker whose heartbeat is being answered, so that the response carries its commands; null if
+     *   there is none.
      */
     fun sendUndelivered(leadership: LeadershipState.Leader, now: MonotonicInstant, answering: WorkerState?) {
         val workers = table.undelivered.iterator()
         while (workers.hasNext()) {
             val worker = workers.next()
-            if (worker === answering || worker.commandInFlight || !isWorthConnecting(worker, now)) continue
+            if (worker === answering || worker.commandInFlight || !shouldSendDirectly(worker, now)) continue
             val commands = commandPlanner.planDirectCommands(worker, now)
             if (worker.placements.values.none { it.state == PlacementState.ASSIGNED }) workers.remove()
             if (commands.isNotEmpty()) send(leadership, worker, commands)
@@ -50,13 +51,13 @@
         ports.sendCommands(leadership, address, worker.id, sequence.agentEpoch, commands)
     }
 
-    private fun isWorthConnecting(worker: WorkerState, now: MonotonicInstant): Boolean {
-        val known = worker.address != null && worker.heartbeatSequence != null
+    private fun shouldSendDirectly(worker: WorkerState, now: MonotonicInstant): Boolean {
+        val canConnect = worker.address != null && worker.heartbeatSequence != null
         val timeToHeartbeat = worker.lastSeenAt + heartbeatInterval - now
-        return known && !worker.unreachable && timeToHeartbeat >= MIN_TIME_TO_HEARTBEAT
+        return canConnect && !worker.unreachable && timeToHeartbeat >= MIN_TIME_TO_HEARTBEAT
     }
 
-    /** Takes in the outcome of commands that [sendUndelivered] sent. */
+    /** Handles the outcome of commands that [sendUndelivered] sent. */
     fun handleOutcome(
         leadership: LeadershipState.Leader,
         message: SchedulerMessage.CommandsDelivered,
@@ -70,29 +71,29 @@
             CommandOutcome.Unknown -> keepStartsPending(worker, message)
 
             is CommandOutcome.Executed -> {
-                acknowledgeStarts(worker, message)
+                clearPendingStarts(worker, message)
                 recordReply(leadership, worker, outcome.heartbeat, now)
             }
 
-            CommandOutcome.NotExecuted -> removeUnsent(acknowledgeStarts(worker, message))
+            CommandOutcome.NotExecuted -> removeUnexecuted(clearPendingStarts(worker, message))
 
             CommandOutcome.Unreachable -> {
-                val placements = acknowledgeStarts(worker, message)
+                val placements = clearPendingStarts(worker, message)
                 worker.unreachable = true
-                removeUnsent(placements)
+                removeUnexecuted(placements)
             }
         }
     }
 
-    /** The starts stay bound to the worker until it reports them or its epoch ends; each answer to it repeats them. */
+    /** Keeps the starts placed on the worker until it reports them or its epoch ends. Each response repeats them. */
     private fun keepStartsPending(worker: WorkerState, message: SchedulerMessage.CommandsDelivered) {
         events.info("start unanswered", worker.id) {
             "start unanswered machine=${worker.id} starts=${message.starts.size}"
         }
     }
 
-    /** Ends the wait for the starts of the message; their placements that still stand are returned. */
-    private fun acknowledgeStarts(worker: WorkerState, message: SchedulerMessage.CommandsDelivered): List<Placement> {
+    /** Marks the starts of the message as no longer pending. Returns those of their placements that still exist. */
+    private fun clearPendingStarts(worker: WorkerState, message: SchedulerMessage.CommandsDelivered): List<Placement> {
         worker.unacknowledgedStarts.removeAll(message.starts)
         val placements = message.starts.mapNotNull { (task, attempt) ->
             worker.placements[task]?.takeIf { it.attempt == attempt }
@@ -113,8 +114,11 @@
         workerReconciler.reconcile(worker, reply, inReply = true)
     }
 
-    /** Removes starts that were surely not executed; of one that a response carried too, the next heartbeat tells. */
-    private fun removeUnsent(placements: List<Placement>) {
+    /**
+     * Removes placements whose start was certainly not executed. If a heartbeat response carried the start too, the
+     * next heartbeat shows whether it was.
+     */
+    private fun removeUnexecuted(placements: List<Placement>) {
         for (placement in placements) {
             if (placement.state != PlacementState.SENT || placement.sentInResponse) continue
             table.jobs[placement.task.job]?.let { job -> table.remove(job, placement) }
@@ -122,7 +126,7 @@
     }
 
     private companion object {
-        /** A direct command costs a connection; a heartbeat that is due sooner carries the commands for nothing. */
+        /** A direct command needs a connection of its own; the response to a heartbeat that is due sooner doesn't. */
         val MIN_TIME_TO_HEARTBEAT = 1.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/CommandPlanner.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/CommandPlanner.kt
@@ -9,13 +9,14 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
-/** Plans the commands for a worker, from what it reports and what was decided since, and records them as issued. */
+/** Plans the commands for a worker from its reports and the placements decided since, and records them as issued. */
 internal class CommandPlanner(private val table: TaskTable, private val ledger: ActionLedger) {
     /**
-     * The commands for the answer to a heartbeat: stops, then starts, then reaps. What an answer can't hold waits for
-     * the next one: a start that counted as sent but was cut off would be waited for in vain.
+     * Plans the commands for the response to a heartbeat: stops, then starts, then reaps. Commands that exceed the size
+     * limit of a response wait for the next one. Otherwise a start might be considered sent although it was cut off,
+     * and the leader would wait for the task in vain.
      *
-     * @param terminalStops come before all others, as [stopsOfTerminalJobs] lists them.
+     * @param terminalStops the stops from [stopsOfTerminalJobs], which precede all other commands.
      */
     fun planResponse(worker: WorkerState, now: MonotonicInstant, terminalStops: List<Command>): List<Command> {
         table.undelivered.remove(worker)
@@ -30,13 +31,13 @@
     }
 
     /**
-     * The stops of all tasks on the worker whose job is known to be terminal: of those that it [reported], and of those
-     * that the table places there. They go with every answer: a terminal state is permanent, and a worker that is
-     * answered without them keeps such tasks.
+     * Returns the stops for all tasks on the worker whose job is known to be terminal, both [reported] ones and those
+     * that the table places there. Every response must contain them: a terminal state is permanent, and a worker that
+     * gets a response without them keeps running such tasks.
      *
-     * @param tableComplete whether all open jobs are known here.
-     * @param mayStart whether this leader may start tasks. If so, more stops than an answer holds are sent in several
-     *   answers; otherwise there may be no next answer, so they are sent all or not at all.
+     * @param tableComplete whether the table contains all open jobs.
+     * @param mayStart whether this leader may start tasks. If so, stops that exceed the size limit of a response are
+     *   spread over several responses. Otherwise there may be no further response, so all stops must fit into this one.
      */
     fun stopsOfTerminalJobs(
         worker: WorkerState,
@@ -50,7 +51,7 @@
         return if (deliverable) TerminalStops.Deliverable(stops.toList()) else TerminalStops.Undeliverable
     }
 
-    /** Returns whether it is known of the job of each live task whether it is terminal. */
+    /** Returns whether it is known for every live task whether its job is terminal. */
     private fun addReportedStops(
         reported: List<TaskStatus>,
         tableComplete: Boolean,
@@ -58,28 +59,29 @@
     ): Boolean {
         for (task in reported) {
             if (task.phase == TaskPhase.EXITED) continue
-            // The job may have become terminal later than what is known here.
+            // An incomplete table doesn't show whether an absent job is terminal.
             val terminal = table.isTerminal(task.task.job, tableComplete) ?: return false
             if (terminal) stops.add(Command.Stop(task.task, task.attempt, Duration.ZERO))
         }
         return true
     }
 
-    /** Returns whether all tasks of terminal jobs that are placed on the worker can be stopped. */
+    /** Returns whether all tasks of terminal jobs that the table places on the worker can be stopped. */
     private fun addPlacedStops(worker: WorkerState, mayStart: Boolean, stops: MutableSet<Command>): Boolean {
         for (placement in worker.placements.values) {
             if (!isOfTerminalJob(placement)) continue
             if (placement.state == PlacementState.CONFIRMED) {
                 stops.add(Command.Stop(placement.task, placement.attempt, Duration.ZERO))
             } else if (placement.state == PlacementState.SENT && placement.directStartPending && !mayStart) {
-                // The start may still be executed, and only a leader that may start tasks can cut it short.
+                // The start may still be executed, and only a leader that may start tasks can stop it early: it repeats
+                // the start before the stop.
                 return false
             }
         }
         return true
     }
 
-    /** The commands for the worker's own address: what was decided since its last heartbeat and was never sent. */
+    /** Plans the commands for the worker's own address: those decided since its last heartbeat and not sent yet. */
     fun planDirectCommands(worker: WorkerState, now: MonotonicInstant): List<Command> {
         val commands = ArrayList<Command>()
         for (placement in worker.placements.values) {
@@ -98,7 +100,8 @@
     private fun isOfTerminalJob(placement: Placement): Boolean = table.jobs[placement.task.job]?.isTerminal != false
 
     private fun addStop(placement: Placement, grace: Duration, commands: MutableList<Command>) {
-        // A direct start can't be taken back; once the worker has the task, a late copy of the start does nothing.
+        // A direct start can't be cancelled. It is repeated before the stop, since a late copy of a start has no effect
+        // once the worker has the task.
         if (placement.directStartPending && placement.state == PlacementState.SENT) {
             placement.markSentInResponse()
             commands.add(Command.Start(placement.task, placement.attempt))
@@ -140,12 +143,12 @@
     private fun isReapable(worker: WorkerState, task: TaskStatus): Boolean {
         if (task.phase != TaskPhase.EXITED) return false
         val job = table.jobs[task.task.job]
-        // The worker keeps the result until it is recorded.
+        // The worker must keep the result until it is recorded.
         val unrecorded = job != null &&
             !job.isTerminal &&
             task.cause == ExitCause.DONE &&
             task.task.index !in job.recorded
-        // A start that may yet be executed would run a reaped task again.
+        // A start that may still be executed would run a reaped task again.
         return !unrecorded && Command.Start(task.task, task.attempt) !in worker.unacknowledgedStarts
     }
 
@@ -178,7 +181,7 @@
         worker.preemptionNotice != null || table.jobs[stop.task.job]?.isTerminal != false
 
     private companion object {
-        /** The line of an answer and the body of a request may be 64 KiB long; a command takes some 100 bytes. */
+        /** A response line and a request body are limited to 64 KiB; a command takes about 100 bytes. */
         const val MAX_COMMANDS = 400
     }
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/Heartbeat.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/Heartbeat.kt
@@ -10,32 +10,32 @@
 import kotlin.time.Duration
 
 /**
- * The position of a message among all messages of its worker, whatever order they arrive in.
+ * The position of a message among all messages of its worker, independent of the order in which they arrive.
  *
- * @property agentEpoch counts the expiries of the worker's lease; no task survives the end of its epoch.
- * @property number grows with each message of an epoch.
+ * @property agentEpoch increases each time the worker's lease expires. No task survives the end of its epoch.
+ * @property number increases with each message of an epoch.
  */
 public data class HeartbeatSequence(val agentEpoch: Long, val number: Long) : Comparable<HeartbeatSequence> {
     override fun compareTo(other: HeartbeatSequence): Int =
         compareValuesBy(this, other, { it.agentEpoch }, { it.number })
 }
 
-/** The phases of a task on its worker, in their order. */
+/** The phases of a task on its worker, in order. */
 public enum class TaskPhase { FETCHING, WAITING, RUNNING, SAVING, EXITED }
 
 /** Why a task exited. */
 public enum class ExitCause { DONE, STOPPED, PEERS, INCOMPLETE, ERROR, NO_ROOM, BUSY, UNKNOWN }
 
-/** The state of one task as its worker reports it; [cause] is absent until the task has exited. */
+/** The state of a task as reported by its worker; [cause] is null until the task has exited. */
 public data class TaskStatus(val task: TaskId, val attempt: Attempt, val phase: TaskPhase, val cause: ExitCause?)
 
 /**
- * A worker's periodic message to the leader; it has the same form as a worker's answer to commands and probes.
+ * A worker's periodic message to the leader. A worker's reply to commands and probes has the same format.
  *
- * @property sequence orders the worker's messages.
+ * @property sequence the position among the worker's messages.
  * @property term the highest term that the worker has seen.
- * @property preemptionNotice how long until the cloud reclaims a spot machine; absent: it has not announced that.
- * @property tasks all tasks on the worker, exited ones included until they are reaped.
+ * @property preemptionNotice how long until the cloud reclaims a spot machine; null if it has not announced that.
+ * @property tasks all tasks on the worker, including exited ones that have not been reaped.
  */
 public data class Heartbeat(
     val machine: MachineId,
--- a/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatCodec.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatCodec.kt
@@ -14,11 +14,10 @@
 import kotlin.time.DurationUnit
 
 /**
- * Reads heartbeats and writes commands in the words of the wire (PROTOCOL, "Workers ->
- * controller nodes" and "Controller nodes -> workers").
+ * Decodes heartbeats and encodes commands in the JSON format of the wire protocol between workers and controllers.
  */
 public object HeartbeatCodec {
-    /** The fields of the wire; some stand in heartbeats and in commands alike. */
+    /** Field names of the wire protocol. Some occur in both heartbeats and commands. */
     private object Field {
         const val MACHINE = "stall"
         const val ADDRESS = "addr"
@@ -39,13 +38,13 @@
         const val GRACE_SECONDS = "windDownS"
     }
 
-    private object CommandWord {
+    private object CommandName {
         const val START = "start"
         const val STOP = "kill"
         const val REAP = "reap"
     }
 
-    private val phaseOfWord = mapOf(
+    private val phasesByName = mapOf(
         "fetching" to TaskPhase.FETCHING,
         "waiting" to TaskPhase.WAITING,
         "running" to TaskPhase.RUNNING,
@@ -53,7 +52,7 @@
         "ended" to TaskPhase.EXITED,
     )
 
-    private val causeOfWord = mapOf(
+    private val causesByName = mapOf(
         "done" to ExitCause.DONE,
         "stopped" to ExitCause.STOPPED,
         "peers" to ExitCause.PEERS,
@@ -65,9 +64,9 @@
     )
 
     /**
-     * Reads the body of a heartbeat, or of a worker's answer to commands or a probe.
+     * Decodes the body of a heartbeat, or of a worker's reply to commands or a probe.
      *
-     * @throws MalformedJson naming the first field that is missing or wrong.
+     * @throws MalformedJson if a field is missing or invalid; the message names the first such field.
      */
     public fun decode(bytes: ByteArray): Heartbeat {
         val body = Json.parseObject(bytes)
@@ -91,19 +90,19 @@
     }
 
     private fun decodeTask(body: JsonObject): TaskStatus {
-        val phase = phaseOfWord[body.string(Field.PHASE)] ?: malformed(Field.PHASE, "unknown")
+        val phase = phasesByName[body.string(Field.PHASE)] ?: malformed(Field.PHASE, "unknown")
         val cause = if (phase == TaskPhase.EXITED) decodeCause(body) else null
         val task = TaskId.parse(body.string(Field.TASK)) ?: malformed(Field.TASK, "no task")
         return TaskStatus(task, Attempt(body.count(Field.ATTEMPT)), phase, cause)
     }
 
-    /** A cause that this version doesn't know is still an exit. */
+    /** Decodes the exit cause. A cause that this version doesn't know counts as an error. */
     private fun decodeCause(body: JsonObject): ExitCause =
-        causeOfWord[body.stringOrNull(Field.EXIT_CAUSE)] ?: ExitCause.ERROR
+        causesByName[body.stringOrNull(Field.EXIT_CAUSE)] ?: ExitCause.ERROR
 
     private fun malformed(field: String, reason: String): Nothing = throw MalformedJson("$field: $reason")
 
-    /** The answer to a heartbeat. */
+    /** Encodes the response to a heartbeat. */
     public fun encode(term: Term, commands: List<Command>): ByteArray = Json.bytes(
         linkedMapOf(
             Field.TERM to term.number,
@@ -111,7 +110,7 @@
         ),
     )
 
-    /** The request to a worker's own address; the worker refuses it unless [agentEpoch] is its current one. */
+    /** Encodes a request to a worker's own address. The worker refuses it unless [agentEpoch] is its current epoch. */
     public fun encodeDirect(term: Term, agentEpoch: Long, commands: List<Command>): ByteArray = Json.bytes(
         linkedMapOf(
             Field.TERM to term.number,
@@ -121,13 +120,13 @@
     )
 
     private fun encodeCommand(command: Command): Map<String, Any?> {
-        val word = when (command) {
-            is Command.Start -> CommandWord.START
-            is Command.Stop -> CommandWord.STOP
-            is Command.Reap -> CommandWord.REAP
+        val name = when (command) {
+            is Command.Start -> CommandName.START
+            is Command.Stop -> CommandName.STOP
+            is Command.Reap -> CommandName.REAP
         }
         val fields = linkedMapOf<String, Any?>(
-            Field.COMMAND to word,
+            Field.COMMAND to name,
             Field.TASK to command.task.toString(),
             Field.ATTEMPT to command.attempt.number,
         )
--- a/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatHandler.kt
@@ -8,18 +8,20 @@
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.time.MonotonicInstant
 
-/** A heartbeat and the state of its leader when it is received. */
+/** A received heartbeat with the leader's state at that time. */
 internal class ReceivedHeartbeat(
     val heartbeat: Heartbeat,
     val leadership: LeadershipState.Leader,
-    /** Whether all open jobs are known here; without them the tasks of a worker can't be judged. */
+    /** Whether the table contains all open jobs. Otherwise a worker's tasks can't be reconciled. */
     val tableComplete: Boolean,
     val now: MonotonicInstant,
 ) {
     val acknowledgesTerm: Boolean get() = heartbeat.term == leadership.term
 }
 
-/** Answers workers' heartbeats as the leader of a term: each answer renews the worker's lease and carries commands. */
+/**
+ * Answers workers' heartbeats as the leader of a term. Each response renews the worker's lease and carries commands.
+ */
 internal class HeartbeatHandler(
     private val workers: WorkerDirectory,
     private val messageRecorder: MessageRecorder,
@@ -29,17 +31,19 @@
     private val ports: SchedulerPorts,
 ) {
     /**
-     * @param runCycle runs a scheduling cycle, if one is due, before the given worker is answered: the capacity that
-     *   the heartbeat frees is assigned in its own answer, since the next heartbeat may be seconds away.
+     * Handles a heartbeat and returns the response to it.
+     *
+     * @param runCycle runs a scheduling cycle, if one is due, before the given worker is answered. Capacity that the
+     *   heartbeat frees is then assigned in the response to it, since the next heartbeat may be seconds away.
      */
     fun handle(received: ReceivedHeartbeat, runCycle: (WorkerState) -> Unit): HeartbeatResponse =
         when (val admission = admit(received)) {
             is HeartbeatAdmission.NewerTerm -> {
                 ports.leadership(LeadershipMessage.TermObserved(admission.term))
-                ANY_OTHER_NODE
+                REDIRECT_TO_ANY_NODE
             }
 
-            HeartbeatAdmission.Dropped -> ANY_OTHER_NODE
+            HeartbeatAdmission.Dropped -> REDIRECT_TO_ANY_NODE
 
             is HeartbeatAdmission.Overtaken -> answerOvertaken(admission.worker, received)
 
@@ -65,7 +69,7 @@
         val reported = received.heartbeat.tasks + worker.tasks
         val stops = commandPlanner.stopsOfTerminalJobs(worker, reported, received.tableComplete, mayStart = false)
         return when (stops) {
-            TerminalStops.Undeliverable -> ANY_OTHER_NODE
+            TerminalStops.Undeliverable -> REDIRECT_TO_ANY_NODE
 
             is TerminalStops.Deliverable -> {
                 renewLease(worker, received)
@@ -82,22 +86,23 @@
         val heartbeat = received.heartbeat
         val now = received.now
         messageRecorder.record(received.leadership, worker, heartbeat, now)
-        // A worker that doesn't know this term may still execute an earlier leader's command: its task list counts once
-        // it does. Without the jobs its tasks can't be judged: its lease is renewed, and a later heartbeat reconciled.
+        // A worker that doesn't know this term may still execute an earlier leader's command, so its task list is not
+        // reconciled until it does. While the table is incomplete its tasks can't be reconciled either. In both cases
+        // its lease may be renewed, and a later heartbeat is reconciled.
         if (received.acknowledgesTerm && received.tableComplete) {
             workerReconciler.reconcile(worker, heartbeat, inReply = false)
         } else if (!received.acknowledgesTerm && takeover.refusesUnawareWorkers(now)) {
-            return ANY_OTHER_NODE
+            return REDIRECT_TO_ANY_NODE
         }
         val mayCommand =
             received.acknowledgesTerm && received.tableComplete && received.leadership.maySendCommands(now)
         val stops =
             commandPlanner.stopsOfTerminalJobs(worker, heartbeat.tasks, received.tableComplete, mayStart = mayCommand)
         return when (stops) {
-            TerminalStops.Undeliverable -> ANY_OTHER_NODE
+            TerminalStops.Undeliverable -> REDIRECT_TO_ANY_NODE
 
             is TerminalStops.Deliverable -> {
-                // Renewed before the cycle, which may assign tasks to the worker for this very answer.
+                // The lease is renewed before the cycle, which may assign tasks to the worker in this response.
                 renewLease(worker, received)
                 if (mayCommand) runCycle(worker)
                 val commands =
@@ -107,17 +112,18 @@
         }
     }
 
-    /** The heartbeat is being answered, so its agent epoch continues. */
+    /** Records that the heartbeat is being answered, which renews the lease of its agent epoch. */
     private fun renewLease(worker: WorkerState, received: ReceivedHeartbeat) {
         worker.heartbeatAnswered(received.now)
         worker.lastHeartbeatAt = received.now
-        // A worker that the answer to a command has settled meanwhile holds nothing that this term doesn't know.
+        // A worker that was reconciled meanwhile, by its reply to a command or probe, runs no task unknown to this
+        // term.
         if (received.heartbeat.term < received.leadership.term && !worker.reconciled) {
             takeover.heartbeatAnswered(worker.id, received.now)
         }
     }
 
     private companion object {
-        val ANY_OTHER_NODE = HeartbeatResponse.Redirect(null)
+        val REDIRECT_TO_ANY_NODE = HeartbeatResponse.Redirect(null)
     }
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/LeaseView.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/LeaseView.kt
@@ -3,74 +3,79 @@
 import org.elderhitch.time.MonotonicInstant
 
 /**
- * What a leader believes, in its term, about one worker's lease. Immutable: each transition records an observation, and
- * [isExpired] draws the conclusion. `docs/design.md`, "What is believed about a lease", proves it.
+ * A leader's knowledge, within its term, about the lease of a worker. Immutable: each transition records an
+ * observation, and [isExpired] infers from them whether the lease has expired. `docs/design.md`, "What is believed
+ * about a lease", contains the proof.
  *
  * @property agentEpoch the latest known agent epoch of the worker.
- * @property renewedBy an instant that is not before the agent epoch's start, nor before the latest moment at which a
- *   heartbeat left the worker that may have renewed the epoch's lease. An epoch that a message tells of may have begun
- *   at any time up to that message: counting it from the last answer to an earlier epoch declared tasks lost that had
- *   just been started (`docs/incidents/sessions-told.md`).
- * @property acknowledgesTerm whether the worker knows this term, so that no other leader's answers renew its lease.
- * @property awaitingFirstResponse whether the epoch began in this term and none of its heartbeats has been answered:
- *   how much of its lease is left isn't known.
- * @property lastExpiredEpoch all epochs up to this one have expired, whatever messages still arrive from them.
+ * @property latestPossibleRenewal an upper bound of when the agent epoch began, and of when the worker sent the last
+ *   heartbeat that may have renewed the epoch's lease. A new epoch may have begun at any time up to its first message.
+ *   Measuring it from the last response to an earlier epoch declared tasks lost that had just been started
+ *   (`docs/incidents/sessions-told.md`).
+ * @property acknowledgesTerm whether the worker knows this term, so that no other leader's responses renew its lease.
+ * @property awaitingFirstResponse whether the epoch began in this term and none of its heartbeats has been answered, so
+ *   that the remaining time of its lease is unknown.
+ * @property lastExpiredEpoch the last epoch known to have expired, with all earlier ones, whatever messages still
+ *   arrive.
  */
 internal data class LeaseView(
     val agentEpoch: Long,
-    val renewedBy: MonotonicInstant,
+    val latestPossibleRenewal: MonotonicInstant,
     val acknowledgesTerm: Boolean,
     val awaitingFirstResponse: Boolean,
     val lastExpiredEpoch: Long,
 ) {
-    /** How a message of the given [agentEpoch] relates to the known epoch. */
+    /** Returns how a message of the given [agentEpoch] relates to the known epoch. */
     fun freshnessOf(agentEpoch: Long): MessageFreshness = when {
         agentEpoch <= lastExpiredEpoch || agentEpoch < this.agentEpoch -> MessageFreshness.STALE
         agentEpoch == this.agentEpoch -> MessageFreshness.CURRENT_EPOCH
         else -> MessageFreshness.NEW_EPOCH
     }
 
-    /** After any message of the worker that is not [MessageFreshness.STALE] and was sent at [at] at the latest. */
+    /** Returns the view after a message that is not [MessageFreshness.STALE] and was sent no later than [at]. */
     fun afterMessage(agentEpoch: Long, at: MonotonicInstant, acknowledgesTerm: Boolean): LeaseView = when {
         agentEpoch > this.agentEpoch -> LeaseView(
             agentEpoch,
-            renewedBy = at,
+            latestPossibleRenewal = at,
             acknowledgesTerm = this.acknowledgesTerm || acknowledgesTerm,
             awaitingFirstResponse = true,
             lastExpiredEpoch = agentEpoch - 1,
         )
 
-        // Until the worker knew this term, an earlier leader may have answered it.
-        !this.acknowledgesTerm -> copy(renewedBy = maxOf(renewedBy, at), acknowledgesTerm = acknowledgesTerm)
+        // Until the worker acknowledged this term, an earlier leader may have renewed its lease.
+        !this.acknowledgesTerm -> copy(
+            latestPossibleRenewal = maxOf(latestPossibleRenewal, at),
+            acknowledgesTerm = acknowledgesTerm,
+        )
 
         else -> this
     }
 
-    /** After a heartbeat of the known epoch, received at [at], is answered. */
+    /** Returns the view after a heartbeat of the known epoch, received at [at], is answered. */
     fun afterResponse(at: MonotonicInstant): LeaseView =
-        copy(renewedBy = maxOf(renewedBy, at), awaitingFirstResponse = false)
+        copy(latestPossibleRenewal = maxOf(latestPossibleRenewal, at), awaitingFirstResponse = false)
 
     /**
-     * Whether the known epoch has surely expired: nothing of it is on the worker any more, and no message of it counts.
-     * Concluded only of a worker that [acknowledgesTerm].
+     * Whether the known epoch has certainly expired, so that no task of it is on the worker and its messages are stale.
+     * Always false until the worker [acknowledgesTerm].
      *
-     * @param lastDelegateResponse no lease delegate of this term answers a heartbeat that leaves the worker later;
-     *   [MonotonicInstant.NEVER] if no delegate was named.
+     * @param lastDelegateResponse the instant after which no heartbeat that the worker sends is answered by a lease
+     *   delegate of this term; [MonotonicInstant.NEVER] if no delegate was appointed.
      */
     fun isExpired(
         now: MonotonicInstant,
         timeouts: LeaseTimeouts,
         lastDelegateResponse: MonotonicInstant = MonotonicInstant.NEVER,
-    ): Boolean = acknowledgesTerm && now > timeouts.expiredAfter(maxOf(renewedBy, lastDelegateResponse))
+    ): Boolean = acknowledgesTerm && now > timeouts.expiredAfter(maxOf(latestPossibleRenewal, lastDelegateResponse))
 
-    /** The same lease once its known epoch has been concluded to have expired. */
+    /** Returns the view after the known epoch was found to have expired. */
     fun expired(): LeaseView = if (lastExpiredEpoch >= agentEpoch) this else copy(lastExpiredEpoch = agentEpoch)
 
     companion object {
-        /** The view after the first message of a worker in this term, sent at [at] at the latest. */
+        /** Returns the view after the first message of a worker in this term, sent no later than [at]. */
         fun fromFirstMessage(agentEpoch: Long, at: MonotonicInstant, acknowledgesTerm: Boolean): LeaseView = LeaseView(
             agentEpoch,
-            renewedBy = at,
+            latestPossibleRenewal = at,
             acknowledgesTerm,
             awaitingFirstResponse = false,
             lastExpiredEpoch = agentEpoch - 1,
--- a/src/main/kotlin/org/elderhitch/heartbeat/MessageFreshness.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/MessageFreshness.kt
@@ -1,13 +1,13 @@
 package org.elderhitch.heartbeat
 
-/** How a worker's message relates to the agent epoch that is known of the worker. */
+/** How a worker's message relates to the worker's known agent epoch. */
 internal enum class MessageFreshness {
-    /** Of an epoch that is older than the known one or has expired: it tells nothing about the present. */
+    /** The message belongs to an epoch that is older than the known one or has expired, and is obsolete. */
     STALE,
 
-    /** Of the known epoch. */
+    /** The message belongs to the known epoch. */
     CURRENT_EPOCH,
 
-    /** The first message of a newer epoch. All tasks of earlier epochs are gone from the worker. */
+    /** The message is the first of a newer epoch. All tasks of earlier epochs are gone from the worker. */
     NEW_EPOCH,
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/MessageRecorder.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/MessageRecorder.kt
@@ -15,8 +15,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Records what a worker's message shows of the worker itself: its lease, address and liveness. The tasks in the message
- * are the [WorkerReconciler]'s. Heartbeats and the answers to commands and probes are recorded alike.
+ * Records the state of a worker from its message: lease, address and liveness. The tasks in the message are handled by
+ * [WorkerReconciler]. Heartbeats and replies to commands and probes are recorded in the same way.
  */
 internal class MessageRecorder(
     private val table: TaskTable,
@@ -27,26 +27,26 @@
     private val ports: SchedulerPorts,
     private val ledger: ActionLedger,
 ) {
-    /** Records the delayed message of a machine that is surely gone; returns whether the machine is gone. */
+    /** Records the delayed message if [machine] is known to be gone. Returns whether it is. */
     fun recordIfGone(machine: MachineId, now: MonotonicInstant): Boolean {
         val gone = machine in machineRegistry.gone
-        if (gone) ledger.machineSeen(machine, now)
+        if (gone) ledger.recordMachineSeen(machine, now)
         return gone
     }
 
-    /** Whether the message belongs to an agent epoch that has expired, and so tells nothing about the present. */
+    /** Whether the message belongs to an agent epoch that has expired, and is therefore obsolete. */
     fun isStale(worker: WorkerState, message: Heartbeat): Boolean =
         worker.lease?.freshnessOf(message.sequence.agentEpoch) == MessageFreshness.STALE
 
-    /** Whether the message comes after all others that were received of the worker. */
+    /** Whether the message was sent after all messages that were recorded from the worker. */
     fun isNewest(worker: WorkerState, message: Heartbeat): Boolean {
         val latest = worker.heartbeatSequence
         return latest == null || message.sequence > latest
     }
 
-    /** Records a message that is the newest of its worker and not stale. */
+    /** Records a message that is not stale and is the newest of its worker. */
     fun record(leadership: LeadershipState.Leader, worker: WorkerState, message: Heartbeat, now: MonotonicInstant) {
-        ledger.machineSeen(worker.id, now)
+        ledger.recordMachineSeen(worker.id, now)
         recordLease(leadership, worker, message, now)
         worker.heartbeatSequence = message.sequence
         worker.unreachable = false
@@ -72,7 +72,8 @@
         val acknowledgesTerm = message.term == leadership.term
         val freshness = worker.recordMessage(message.sequence.agentEpoch, now, acknowledgesTerm)
         if (freshness != MessageFreshness.NEW_EPOCH) return
-        // Direct commands name the agent epoch: those of an earlier one are never executed now, and its tasks are gone.
+        // Direct commands name their agent epoch. Those of earlier epochs are never executed now, and the tasks of
+        // these epochs are gone.
         worker.unacknowledgedStarts.clear()
         table.removeSentTo(worker)
     }
@@ -87,7 +88,7 @@
         worker.preemptionNotice = message.preemptionNotice
     }
 
-    /** Asks for the record that the machine is up, without which it is given no tasks. */
+    /** Requests that the machine be recorded as up. Until that is recorded, it is assigned no tasks. */
     private fun requestClearance(worker: WorkerState, now: MonotonicInstant) {
         if (worker.id !in machineRegistry.known || worker.id in machineRegistry.cleared) return
         if (now - worker.clearanceRequestedAt <= CLEARANCE_RETRY) return
--- a/src/main/kotlin/org/elderhitch/heartbeat/ProbeResultHandler.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/ProbeResultHandler.kt
@@ -10,7 +10,7 @@
 import org.elderhitch.tasks.MachineRegistry
 import org.elderhitch.time.MonotonicInstant
 
-/** Takes in the outcomes of the probes that a [WorkerProber] sent to workers' own addresses. */
+/** Handles the outcomes of probes that a [WorkerProber] sent to workers' own addresses. */
 internal class ProbeResultHandler(
     private val workers: WorkerDirectory,
     private val machineRegistry: MachineRegistry,
@@ -20,7 +20,11 @@
     private val ledger: ActionLedger,
     private val ports: SchedulerPorts,
 ) {
-    /** @param tableComplete whether all open jobs are known here, so that the worker's tasks can be reconciled. */
+    /**
+     * Handles the outcome of a probe.
+     *
+     * @param tableComplete whether the table contains all open jobs, so that the worker's tasks can be reconciled.
+     */
     fun handle(
         leadership: LeadershipState.Leader,
         machine: MachineId,
@@ -35,7 +39,7 @@
             return
         }
         val reply = outcome.heartbeat
-        // The address may belong to another machine by now.
+        // The address may have been reassigned to another machine.
         if (reply.machine != machine) return
         if (reply.term > leadership.term) {
             ports.leadership(LeadershipMessage.TermObserved(reply.term))
--- a/src/main/kotlin/org/elderhitch/heartbeat/TerminalStops.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/TerminalStops.kt
@@ -1,10 +1,10 @@
 package org.elderhitch.heartbeat
 
-/** The stops that a worker must be sent before anything may renew its lease. */
+/** The stops of tasks of terminal jobs, which a response must contain if it renews the worker's lease. */
 internal sealed interface TerminalStops {
-    /** All of them can be sent, in this answer or in this and the next ones. */
+    /** All stops can be delivered, in this response or spread over this and the following ones. */
     data class Deliverable(val commands: List<Command>) : TerminalStops
 
-    /** They can't all be sent, or not all are known, so the worker must not be answered now. */
+    /** Not all stops can be delivered, or not all are known, so the heartbeat must not be answered now. */
     data object Undeliverable : TerminalStops
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/WorkerClient.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/WorkerClient.kt
@@ -13,8 +13,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Sends commands and probes to workers' own addresses, a limited number at a time, so that sockets remain for the
- * connections that workers open.
+ * Sends commands and probes to workers' own addresses. The number of concurrent requests is limited, so that sockets
+ * remain available for connections that workers open.
  */
 public class WorkerClient(private val transport: Transport) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
@@ -24,17 +24,17 @@
     /**
      * Sends commands to the worker at [to], which executes them only in [agentEpoch].
      *
-     * @param entitled whether the leader may still send commands; asked once the request's turn has come, so that no
-     *   command outlasts the leader's window while it waits.
+     * @param maySendCommands whether the leader may still send commands. Evaluated when the request is about to be
+     *   sent, so that a command that waited past the end of the leader's command window isn't sent.
      */
     public suspend fun send(
         to: Address,
         term: Term,
         agentEpoch: Long,
         commands: List<Command>,
-        entitled: () -> Boolean,
+        maySendCommands: () -> Boolean,
     ): CommandOutcome = commandPermits.withPermit {
-        if (!entitled()) return CommandOutcome.NotExecuted
+        if (!maySendCommands()) return CommandOutcome.NotExecuted
         when (val delivery = deliverCommands(to, term, agentEpoch, commands)) {
             is Delivery.Answered -> commandOutcome(delivery.response)
             Delivery.NotSent -> CommandOutcome.Unreachable
@@ -49,14 +49,14 @@
     }
 
     /**
-     * Asks the worker at [at] for its state, and tells it the [term] if it doesn't know it yet: then the outcome is its
-     * state once it does. Two connections must fail before the worker counts as unreachable, since a single lost packet
-     * delays a connection by a second.
+     * Requests the state of the worker at [at], and announces [term] if the worker doesn't know it yet. The outcome
+     * then holds the worker's state after the announcement. A worker counts as unreachable only after two failed
+     * connections, since a single lost packet delays a connection by a second.
      */
-    public suspend fun probe(at: Address, term: Term, entitled: () -> Boolean): CommandOutcome =
+    public suspend fun probe(at: Address, term: Term, maySendCommands: () -> Boolean): CommandOutcome =
         probePermits.withPermit {
             when (val outcome = inspect(at)) {
-                is CommandOutcome.Executed -> announceTerm(at, term, outcome, entitled)
+                is CommandOutcome.Executed -> announceTerm(at, term, outcome, maySendCommands)
                 else -> outcome
             }
         }
@@ -75,9 +75,9 @@
         at: Address,
         term: Term,
         inspected: CommandOutcome.Executed,
-        entitled: () -> Boolean,
+        maySendCommands: () -> Boolean,
     ): CommandOutcome {
-        if (inspected.heartbeat.term >= term || !entitled()) return inspected
+        if (inspected.heartbeat.term >= term || !maySendCommands()) return inspected
         val delivery = deliverCommands(at, term, inspected.heartbeat.sequence.agentEpoch, emptyList())
         val accepted = delivery is Delivery.Answered && delivery.response.status == OK
         return if (accepted) decodeReply(delivery.response.body) else inspected
--- a/src/main/kotlin/org/elderhitch/heartbeat/WorkerDirectory.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/WorkerDirectory.kt
@@ -7,9 +7,10 @@
 import org.elderhitch.time.MonotonicInstant
 
 /**
- * Finds the state of the worker that sent a message, or creates it with the worker's first message in this term.
+ * Looks up the state of the worker that sent a message, and creates it on the worker's first message in this term.
  *
- * @param imageHints the images on a machine and their sizes in GB, as an earlier term recorded them.
+ * @param imageHints returns the images on a machine and their sizes in GB, as recorded by an earlier term, or null if
+ *   there is no record.
  */
 internal class WorkerDirectory(
     private val table: TaskTable,
--- a/src/main/kotlin/org/elderhitch/heartbeat/WorkerReconciler.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/WorkerReconciler.kt
@@ -7,10 +7,10 @@
 import org.elderhitch.tasks.WorkerState
 
 /**
- * Reconciles the table with the tasks that a worker reports. The first such report in a term settles the worker: from
- * then on it runs nothing of earlier terms that this one doesn't know.
+ * Reconciles the table with the tasks that a worker reports. The first reconciled report of a term settles the worker:
+ * from then on it runs no task of earlier terms that is unknown to this term.
  *
- * @param onReconciled called after each reconciliation; it may complete the takeover.
+ * @param onReconciled called after each reconciliation, which may allow the takeover to settle.
  */
 internal class WorkerReconciler(
     private val table: TaskTable,
@@ -20,9 +20,9 @@
     private val onReconciled: () -> Unit,
 ) {
     /**
-     * Takes over the tasks of a message whose worker knows this term.
+     * Reconciles the tasks in a message from a worker that knows this term.
      *
-     * @param inReply whether the message answers a direct command or a probe, rather than being a heartbeat.
+     * @param inReply whether the message is a reply to a direct command or a probe, rather than a heartbeat.
      */
     fun reconcile(worker: WorkerState, message: Heartbeat, inReply: Boolean) {
         if (!worker.reconciled) settle(worker, message)
--- a/src/main/kotlin/org/elderhitch/recovery/ActionLedger.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/ActionLedger.kt
@@ -8,18 +8,18 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Kind of action that a leader takes towards workers and the cloud.
+ * Kind of action that a leader requests from workers or the cloud.
  *
- * [statusWord] is the key under `orders.given` in `/status`; it is read by operators' tools and does not change.
+ * [statusKey] is the key under `orders.given` in `/status`. Operators' tools read it, so it must not change.
  */
-public enum class ActionKind(public val statusWord: String) {
+public enum class ActionKind(public val statusKey: String) {
     /** A task start sent to a worker. */
     START("start"),
 
     /** A task stop sent to a worker. */
     STOP("stop"),
 
-    /** Permission for a worker to drop an exited task. */
+    /** Permission for a worker to drop the record of an exited task. */
     REAP("reap"),
 
     /** A status probe sent to a worker's own address. */
@@ -33,11 +33,11 @@
 }
 
 /**
- * Kind of action that turned out to be needless, named by the evidence.
+ * Kind of action that turned out to be needless, named after the event that showed it.
  *
- * [statusWord] is the key under `orders.regret` in `/status`; it is read by operators' tools and does not change.
+ * [statusKey] is the key under `orders.regret` in `/status`. Operators' tools read it, so it must not change.
  */
-public enum class NeedlessActionKind(public val statusWord: String) {
+public enum class NeedlessActionKind(public val statusKey: String) {
     /**
      * A task was started and stopped again within [ActionLedger.START_REVIEW_WINDOW], although neither the end of its
      * job nor a preemption notice of its machine required the stop.
@@ -66,26 +66,26 @@
 /**
  * Counts the actions of a leader in its term: how many of each kind, the peak rate, and how many proved needless.
  *
- * The counts show how well a takeover went. Memory is bounded: a start or termination is remembered only while it can
- * still be classified as needless, and at most [MAX_REMEMBERED] of each.
+ * The counts show how well a takeover went. Memory is bounded: a start or termination is kept only while it can still
+ * be classified as needless, and at most [MAX_TRACKED] of each are kept.
  */
 public class ActionLedger {
-    private val taken = LongArray(ActionKind.entries.size)
-    private val needless = LongArray(NeedlessActionKind.entries.size)
-    private var windowStart = MonotonicInstant.NEVER
-    private var actionsInWindow = 0
+    private val actionCounts = LongArray(ActionKind.entries.size)
+    private val needlessCounts = LongArray(NeedlessActionKind.entries.size)
+    private var rateWindowStart = MonotonicInstant.NEVER
+    private var actionsInRateWindow = 0
     private var peakPerSecond = 0
 
     private val recentStarts = LinkedHashMap<TaskId, MonotonicInstant>()
     private val terminatedSuspects = LinkedHashMap<MachineId, MonotonicInstant>()
     private val idleTerminations = HashMap<Market, ArrayDeque<MonotonicInstant>>()
 
-    /** Forgets everything about the previous term. */
+    /** Resets all counts and tracked actions of the previous term. */
     public fun newTerm() {
-        taken.fill(0)
-        needless.fill(0)
-        windowStart = MonotonicInstant.NEVER
-        actionsInWindow = 0
+        actionCounts.fill(0)
+        needlessCounts.fill(0)
+        rateWindowStart = MonotonicInstant.NEVER
+        actionsInRateWindow = 0
         peakPerSecond = 0
         recentStarts.clear()
         terminatedSuspects.clear()
@@ -95,42 +95,42 @@
     /** Counts [count] actions of [kind] taken at [now]. */
     public fun record(kind: ActionKind, count: Int, now: MonotonicInstant) {
         if (count == 0) return
-        taken[kind.ordinal] += count.toLong()
-        if (now - windowStart >= 1.seconds) {
-            windowStart = now
-            actionsInWindow = 0
+        actionCounts[kind.ordinal] += count.toLong()
+        if (now - rateWindowStart >= 1.seconds) {
+            rateWindowStart = now
+            actionsInRateWindow = 0
         }
-        actionsInWindow += count
-        peakPerSecond = maxOf(peakPerSecond, actionsInWindow)
+        actionsInRateWindow += count
+        peakPerSecond = maxOf(peakPerSecond, actionsInRateWindow)
     }
 
     /** Counts [count] earlier actions that proved needless. */
     public fun recordNeedless(kind: NeedlessActionKind, count: Int = 1) {
-        needless[kind.ordinal] += count.toLong()
+        needlessCounts[kind.ordinal] += count.toLong()
     }
 
-    /** Counts the start of [task]. A start that is sent again keeps the time of its first sending. */
+    /** Counts the start of [task]. A start that is sent again keeps the time at which it was first sent. */
     public fun recordStart(task: TaskId, now: MonotonicInstant) {
         record(ActionKind.START, 1, now)
-        if (task !in recentStarts) remember(recentStarts, task, now, START_REVIEW_WINDOW)
+        if (task !in recentStarts) track(recentStarts, task, now, START_REVIEW_WINDOW)
     }
 
-    /** Counts the stop of [task]; [asked] is true if its job has ended or its machine is about to be preempted. */
-    public fun recordStop(task: TaskId, asked: Boolean, now: MonotonicInstant) {
+    /** Counts the stop of [task]; [requested] is true if its job has ended or its machine is about to be preempted. */
+    public fun recordStop(task: TaskId, requested: Boolean, now: MonotonicInstant) {
         record(ActionKind.STOP, 1, now)
         val startedAt = recentStarts.remove(task)
-        if (startedAt != null && !asked && now - startedAt <= START_REVIEW_WINDOW) {
+        if (startedAt != null && !requested && now - startedAt <= START_REVIEW_WINDOW) {
             recordNeedless(NeedlessActionKind.START_STOPPED)
         }
     }
 
-    /** The cloud confirmed that [machine], terminated as failed, is gone. */
+    /** Records that the cloud confirmed the termination of [machine], which was terminated as failed. */
     public fun recordSuspectGone(machine: MachineId, now: MonotonicInstant) {
-        remember(terminatedSuspects, machine, now, TERMINATION_REVIEW_WINDOW)
+        track(terminatedSuspects, machine, now, TERMINATION_REVIEW_WINDOW)
     }
 
-    /** A message of [machine] arrived, which may have been terminated as failed before. */
-    public fun machineSeen(machine: MachineId, now: MonotonicInstant) {
+    /** Records a message from [machine]. If the machine was recently terminated as failed, that was needless. */
+    public fun recordMachineSeen(machine: MachineId, now: MonotonicInstant) {
         if (terminatedSuspects.isEmpty()) return
         val goneAt = terminatedSuspects.remove(machine) ?: return
         if (now - goneAt <= TERMINATION_REVIEW_WINDOW) recordNeedless(NeedlessActionKind.TERMINATED_WHILE_ALIVE)
@@ -141,10 +141,13 @@
         record(ActionKind.TERMINATE, 1, now)
         val terminations = idleTerminations.getOrPut(market) { ArrayDeque() }
         terminations.addLast(now)
-        if (terminations.size > MAX_REMEMBERED) terminations.removeFirst()
+        if (terminations.size > MAX_TRACKED) terminations.removeFirst()
     }
 
-    /** The cloud provisioned [machines] machines of [market]: as many recent idle terminations there were needless. */
+    /**
+     * Records that the cloud provisioned [machines] machines of [market]. Up to as many recent idle terminations in
+     * that market count as needless.
+     */
     public fun recordProvisioned(market: Market, machines: Int, now: MonotonicInstant) {
         val terminations = idleTerminations[market] ?: return
         while (terminations.isNotEmpty() && now - terminations.first() > TERMINATION_REVIEW_WINDOW) {
@@ -155,36 +158,36 @@
         recordNeedless(NeedlessActionKind.TERMINATED_THEN_PROVISIONED, replaced)
     }
 
-    private fun <K> remember(
+    private fun <K> track(
         entries: LinkedHashMap<K, MonotonicInstant>,
         key: K,
         now: MonotonicInstant,
         retention: Duration,
     ) {
         entries[key] = now
-        // The loop ends at the new entry at the latest: it is neither too old nor beyond the limit.
+        // Stops at the new entry at the latest, which is neither expired nor beyond the limit.
         val oldestFirst = entries.values.iterator()
         while (oldestFirst.hasNext()) {
             val recordedAt = oldestFirst.next()
-            if (entries.size <= MAX_REMEMBERED && now - recordedAt <= retention) break
+            if (entries.size <= MAX_TRACKED && now - recordedAt <= retention) break
             oldestFirst.remove()
         }
     }
 
-    /** The counts for `/status` and the log: actions by kind, the peak rate, and needless actions by kind. */
+    /** Returns the counts for `/status` and the log: actions by kind, peak rate, and needless actions by kind. */
     public fun snapshot(): Map<String, Any?> = linkedMapOf(
-        "given" to ActionKind.entries.associate { it.statusWord to taken[it.ordinal] }.filterValues { it > 0 },
+        "given" to ActionKind.entries.associate { it.statusKey to actionCounts[it.ordinal] }.filterValues { it > 0 },
         "peak_per_s" to peakPerSecond,
         "regret" to
-            NeedlessActionKind.entries.associate { it.statusWord to needless[it.ordinal] }.filterValues { it > 0 },
+            NeedlessActionKind.entries.associate { it.statusKey to needlessCounts[it.ordinal] }.filterValues { it > 0 },
     )
 
     public companion object {
-        /** For how long after its start a stop makes the start needless. */
+        /** A task start is needless if the task is stopped within this time. */
         public val START_REVIEW_WINDOW: Duration = 30.seconds
 
-        /** For how long after a termination a sign of life or a new machine makes the termination needless. */
+        /** A termination is needless if the machine sends a message or is replaced within this time. */
         public val TERMINATION_REVIEW_WINDOW: Duration = 60.seconds
-        private const val MAX_REMEMBERED = 20_000
+        private const val MAX_TRACKED = 20_000
     }
 }
--- a/src/main/kotlin/org/elderhitch/recovery/ReconciliationStatistics.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/ReconciliationStatistics.kt
@@ -7,44 +7,44 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Counts what the leader found when it reconciled heartbeats with its table, by rule, and what it did about it.
+ * Counts the reconciled tasks of a term by rule, and holds the counts of the leader's actions.
  *
- * The counts are logged when the takeover settles and once more [LATE_REPORT_DELAY] after the claim, and are shown in
- * `/status`.
+ * The counts are shown in `/status`. They are logged when the takeover settles, and again [LATE_REPORT_DELAY] after the
+ * leader's claim.
  */
 internal class ReconciliationStatistics(private val clock: SteadyClock) {
     private val log = LoggerFactory.getLogger("elderhitch.recovery")
     private val counts = LongArray(TaskReconciliationRule.entries.size)
 
-    /** The actions that the leader took in this term. */
+    /** Actions that the leader has taken in this term. */
     val actions = ActionLedger()
     private var leadership: LeadershipState.Leader? = null
-    private var lateReportDone = true
+    private var lateReportLogged = true
     private var settledAfter: Duration? = null
 
-    /** Starts from zero. */
+    /** Resets all counts for a new term. */
     fun newTerm(leadership: LeadershipState.Leader) {
         this.leadership = leadership
         counts.fill(0)
         actions.newTerm()
-        lateReportDone = leadership.previousLeader == null
+        lateReportLogged = leadership.previousLeader == null
         settledAfter = null
     }
 
-    /** A reported task matched [rule]. */
+    /** Counts a reported task that matched [rule]. */
     fun count(rule: TaskReconciliationRule) {
         counts[rule.ordinal]++
     }
 
-    /** To be called regularly. Logs the counts when it is known which of the takeover's actions were needless. */
+    /** Logs the counts once the needless actions of the takeover are known. Must be called periodically. */
     fun tick() {
         val claimedAt = leadership?.claimedAt ?: return
-        if (lateReportDone || clock.now() - claimedAt < LATE_REPORT_DELAY) return
-        lateReportDone = true
+        if (lateReportLogged || clock.now() - claimedAt < LATE_REPORT_DELAY) return
+        lateReportLogged = true
         logCounts("a minute on")
     }
 
-    /** The takeover is settled. */
+    /** Records that the takeover has settled, and logs the counts. */
     fun settled() {
         settledAfter = leadership?.let { clock.now() - it.claimedAt }
         logCounts("settled")
@@ -55,9 +55,9 @@
         log.info("reconciled moment=\"{}\" {}", moment, fields)
     }
 
-    /** The counts for `/status` and the log. */
+    /** Returns the counts for `/status` and the log. */
     fun snapshot(): Map<String, Any?> {
-        val rows = TaskReconciliationRule.entries.associate { it.statusWord to counts[it.ordinal] }
+        val rows = TaskReconciliationRule.entries.associate { it.statusKey to counts[it.ordinal] }
         val own = linkedMapOf<String, Any?>(
             "term" to leadership?.term?.number,
             "settled_ms" to settledAfter?.inWholeMilliseconds,
@@ -67,7 +67,7 @@
     }
 
     private companion object {
-        /** By then the needless ones among the takeover's hasty actions have shown themselves. */
+        /** Time after which needless actions of the takeover have been detected. */
         val LATE_REPORT_DELAY = 60.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/Takeover.kt
@@ -15,11 +15,12 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Progress of a failover: which machines may still run something that an earlier term started.
+ * Progress of a failover: tracks which machines may still run tasks that an earlier term started.
  *
- * A new leader expects a heartbeat from each machine that may run tasks. Until a machine is accounted for, that is, has
- * reported to this term or is gone, it may run tasks that no heartbeat names, and these use quota. The takeover is
- * settled when all machines are accounted for, or when the leases that earlier terms granted or renewed have ended.
+ * A new leader expects a heartbeat from each machine that may run tasks. A machine is accounted for once it has
+ * reported to this term or is gone. Until then it may run tasks that no heartbeat has listed, and these count against
+ * quota. The takeover settles when all machines are accounted for, or when all leases that earlier terms granted or
+ * renewed have expired.
  */
 internal class Takeover(
     private val leadershipTimeouts: LeadershipTimeouts,
@@ -29,30 +30,30 @@
     private val log = LoggerFactory.getLogger("elderhitch.workers")
     private var term = Term.NONE
 
-    /** Machines not accounted for; null: the inventory of machines is not loaded yet. */
+    /** Machines that are not accounted for; null until the machine inventory is loaded. */
     private var pending: HashSet<MachineId>? = null
 
-    /** When all leases that earlier terms renewed have ended. */
+    /** When all leases that earlier terms renewed have expired. */
     private var earlierLeasesEnd = MonotonicInstant.FOREVER
 
     /**
-     * When this term last answered a heartbeat of a machine that did not know the term yet. Such an answer renews the
-     * lease of what an earlier term started, so [earlierLeasesEnd] does not hold for these machines. Without this,
-     * tasks were started anew whose machine had come back just before.
+     * When this term last answered a heartbeat from a machine that did not know the term yet. Such an answer renews the
+     * lease of tasks that an earlier term started, so [earlierLeasesEnd] does not apply to these machines. Without this
+     * map, tasks were started again although their machine had reconnected just before.
      */
     private val renewedAt = HashMap<MachineId, MonotonicInstant>()
 
-    /** Whether nothing of earlier terms is unclear any more. */
+    /** Whether it is known which tasks of earlier terms are still running. */
     var settled = false
         private set
 
-    /** Whether the previous leader's process has ended. Workers that reported to it look for the new leader then. */
+    /** Whether the previous leader's process has ended, so that its workers are already looking for the new leader. */
     var previousLeaderEnded = false
 
-    /** Machines that are not accounted for; empty too while the inventory is not loaded. */
+    /** Machines that are not accounted for; also empty while the inventory is not loaded. */
     val unaccounted: Set<MachineId> get() = pending.orEmpty()
 
-    /** Begins the takeover of a new term. It is settled at once if there was no previous leader. */
+    /** Begins the takeover of a new term. It settles immediately if there was no previous leader. */
     fun begin(leadership: LeadershipState.Leader) {
         term = leadership.term
         pending = null
@@ -62,35 +63,38 @@
         earlierLeasesEnd = leases.expiredAfterClaim(leadership.claimedAt, leadershipTimeouts)
     }
 
-    /** The inventory is loaded: [machines] may run tasks and have not reported to this term. */
+    /** Records the loaded inventory: [machines] may run tasks and have not reported to this term. */
     fun expect(machines: Set<MachineId>) {
         pending = HashSet(machines)
     }
 
-    /** The machine has reported to this term, or is gone. */
+    /** Records that [machine] has reported to this term or is gone. */
     fun markAccounted(machine: MachineId) {
         pending?.remove(machine)
         renewedAt.remove(machine)
     }
 
-    /** A heartbeat that arrived at [at] from a machine that did not know this term is being answered. */
+    /** Records that a heartbeat received at [at] from a machine that did not know this term is being answered. */
     fun heartbeatAnswered(machine: MachineId, at: MonotonicInstant) {
         if (!settled) renewedAt[machine] = at
     }
 
     /**
-     * Whether heartbeats of machines that don't know this term are left unanswered. Otherwise a machine that sends
-     * heartbeats but never receives an answer would keep the takeover from settling. Such machines learn of the term
-     * from probes.
+     * Whether heartbeats from machines that don't know this term must be left unanswered. Otherwise a machine that
+     * sends heartbeats but never receives an answer would prevent the takeover from settling. Such machines learn of
+     * the term from probes.
      */
     fun refusesUnawareWorkers(now: MonotonicInstant): Boolean = !settled && now > earlierLeasesEnd
 
-    /** All previous leaders have stopped answering heartbeats: the leases that they renewed end one lease from now. */
+    /**
+     * Records that all previous leaders have stopped answering heartbeats, so that the leases they renewed expire at
+     * most one lease duration from now.
+     */
     fun previousLeadersStopped() {
         if (!settled) earlierLeasesEnd = minOf(earlierLeasesEnd, leases.expiredAfter(clock.now()))
     }
 
-    /** Settles the takeover if that is possible now. True if this call settled it. */
+    /** Settles the takeover if possible. Returns whether this call settled it. */
     fun trySettle(): Boolean {
         if (settled) return false
         val now = clock.now()
@@ -105,7 +109,7 @@
      * Whether an unreported task of [job] may run on a machine that is not accounted for.
      *
      * No term places a task on a machine that the job's constraints exclude or whose type is too small. So a service
-     * doesn't wait for a spot machine, nor a large task for a small machine.
+     * doesn't wait for a spot machine, and a large task doesn't wait for a small machine.
      */
     fun mayRunUnreported(job: JobSpec, known: Map<MachineId, Machine>, catalog: Catalog): Boolean {
         if (settled) return false
@@ -121,18 +125,18 @@
             catalog.resources(machine.type)?.let(job.resources::fitsIn) != false
 
     /**
-     * The number of machines of [zone] that are not accounted for; null: the inventory is not loaded. A machine about
-     * which nothing is known counts in every zone.
+     * Returns the number of machines in [zone] that are not accounted for, or null if the inventory is not loaded. A
+     * machine whose zone is unknown counts in every zone.
      */
     fun unaccountedIn(zone: Zone, known: Map<MachineId, Machine>): Int? {
         if (settled) return 0
         return pending?.count { id -> known[id].let { it == null || it.zone == zone } }
     }
 
-    /** Whether the takeover will settle within one lease, whatever happens. */
-    fun endsSoon(now: MonotonicInstant): Boolean = leases.expireSoon(earlierLeasesEnd, now)
+    /** Whether the takeover will settle within one lease duration in any case. */
+    fun settlesWithinLease(now: MonotonicInstant): Boolean = leases.expireWithinLease(earlierLeasesEnd, now)
 
-    /** The resources that unreported tasks may use, to be reserved in the quota of every team. */
+    /** Returns the resources that unreported tasks may use. They are reserved in the quota of every team. */
     fun reservedResources(known: Map<MachineId, Machine>, catalog: Catalog): Resources {
         if (settled) return Resources.NONE
         var sum = Resources.NONE
@@ -141,7 +145,7 @@
     }
 
     private companion object {
-        /** More of each resource than any fleet has. */
+        /** Exceeds the amount of any resource in any fleet. */
         const val UNLIMITED = 1e12
         val EVERYTHING = Resources(UNLIMITED, UNLIMITED, UNLIMITED)
     }
--- a/src/main/kotlin/org/elderhitch/recovery/TaskReconciler.kt
+++ b/src/main/kotlin/org/elderhitch/recovery/TaskReconciler.kt
@@ -20,17 +20,17 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Updates the leader's table from heartbeats.
+ * Updates the leader's table from the tasks that workers report.
  *
- * The list of a worker that knows this term is authoritative for its own machine. What becomes of each listed task is
- * decided by [TaskReconciliation] and carried out here.
+ * The task list of a worker that knows this term is authoritative for its own machine. [TaskReconciliation] decides
+ * what to do with each listed task; this class carries it out.
  */
 internal class TaskReconciler(
     private val table: TaskTable,
-    private val faults: FailureAttribution,
+    private val failureAttribution: FailureAttribution,
     private val clock: SteadyClock,
     private val events: EventLog,
-    /** Called with the rule that applied to each reported task. */
+    /** Called for each reported task with the rule that applied to it. */
     private val onReconciled: (TaskReconciliationRule) -> Unit = {},
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
@@ -38,9 +38,9 @@
     /**
      * Applies the list of tasks in [heartbeat] to the table.
      *
-     * [inReply]: the list came in the answer to a command at the worker's own address, while the response to its latest
-     * heartbeat may still be under way with starts in it. Only a heartbeat sent after that response proves that a start
-     * that it doesn't list was not executed.
+     * @param inReply whether the list is part of the reply to a direct command or probe. The response to the worker's
+     *   latest heartbeat may then still be in transit and contain starts. Only a heartbeat sent after that response
+     *   proves that a start that it doesn't list was not executed.
      */
     fun apply(worker: WorkerState, heartbeat: Heartbeat, inReply: Boolean) {
         if (worker.tasks != heartbeat.tasks) {
@@ -57,13 +57,13 @@
         removeUnlisted(worker, listed, inReply)
     }
 
-    /** Removes what the worker would have listed if it were there. */
+    /** Removes placements that the worker would have listed if it had the task. */
     private fun removeUnlisted(worker: WorkerState, listed: Set<TaskId>, inReply: Boolean) {
         for (placement in worker.placements.values.toList()) {
             if (placement.task in listed) continue
             if (placement.state == PlacementState.ASSIGNED || placement.directStartPending) continue
-            // A worker sends one heartbeat at a time: this one left after the response that contained the start was
-            // received or given up.
+            // A worker sends one heartbeat at a time, so it sent a heartbeat only after it had received the response
+            // with the start, or had stopped waiting for it. A reply proves no such order.
             if (inReply && placement.state == PlacementState.SENT) continue
             val job = table.jobs[placement.task.job]
             if (job != null) table.remove(job, placement) else removeOrphan(worker, placement)
@@ -79,29 +79,29 @@
     private fun reconcileUnknown(worker: WorkerState, task: TaskStatus) {
         val reported = ReportedTask(
             JobLifecycle.UNKNOWN,
-            exists = true,
+            indexValid = true,
             live = task.phase != TaskPhase.EXITED,
             saving = false,
             completed = false,
-            here = LocalPlacement.NOTHING,
-            elsewhere = RemotePlacement.NOTHING,
+            local = LocalPlacement.NOTHING,
+            remote = RemotePlacement.NOTHING,
         )
-        val rule = TaskReconciliation.row(reported)
+        val rule = TaskReconciliation.ruleFor(reported)
         onReconciled(rule)
         if (rule.verdict == TaskVerdict.STOP) worker.unknownTaskJobs += task.task.job
     }
 
     private fun reconcile(worker: WorkerState, job: JobState, task: TaskStatus) {
         val local = worker.placements[task.task]
-        // Two attempts of a task can't be on one machine, so the one in the table is not there, and a copy elsewhere
-        // may take its place.
+        // A machine never has two attempts of a task, so the attempt in the table is not there. A copy on another
+        // machine may become the placement.
         if (local != null && local.attempt != task.attempt && task.phase != TaskPhase.EXITED) table.remove(job, local)
         val remote = job.placements[task.task.index]?.takeIf { it.worker !== worker }
         val reported = compare(job, task, local, remote)
-        val rule = TaskReconciliation.row(reported)
+        val rule = TaskReconciliation.ruleFor(reported)
         onReconciled(rule)
         val placement = carryOut(rule, worker, job, task, local, remote) ?: return
-        update(worker, job, placement, task)
+        updatePlacement(worker, job, placement, task)
         if (TaskReconciliation.mustStop(reported) && placement.stopGrace == null) {
             table.stop(job, placement, Duration.ZERO)
         }
@@ -110,25 +110,25 @@
     private fun compare(job: JobState, task: TaskStatus, local: Placement?, remote: Placement?): ReportedTask =
         ReportedTask(
             if (job.isTerminal) JobLifecycle.ENDED else JobLifecycle.OPEN,
-            exists = task.task.index < job.spec.tasks,
+            indexValid = task.task.index < job.spec.tasks,
             live = task.phase != TaskPhase.EXITED,
             saving = task.phase == TaskPhase.SAVING,
             completed = task.cause == ExitCause.DONE,
-            here = when (local?.attempt) {
+            local = when (local?.attempt) {
                 null -> LocalPlacement.NOTHING
                 task.attempt -> LocalPlacement.THIS_ATTEMPT
                 else -> LocalPlacement.ANOTHER_ATTEMPT
             },
-            elsewhere = when {
+            remote = when {
                 remote == null -> RemotePlacement.NOTHING
                 remote.state == PlacementState.ASSIGNED -> RemotePlacement.UNSENT
-                remote.stopGrace != null || remote.state == PlacementState.SENT -> RemotePlacement.UNSURE
+                remote.stopGrace != null || remote.state == PlacementState.SENT -> RemotePlacement.UNCERTAIN
                 task.attempt.number < remote.attempt.number -> RemotePlacement.LATER
                 else -> RemotePlacement.EARLIER
             },
         )
 
-    /** Carries out the verdict of [rule]. Returns the placement of the reported copy; null: it has none afterwards. */
+    /** Carries out the verdict of [rule]. Returns the placement of the reported copy, or null if it has none. */
     private fun carryOut(
         rule: TaskReconciliationRule,
         worker: WorkerState,
@@ -139,19 +139,19 @@
     ): Placement? = when (rule.verdict) {
         TaskVerdict.KEEP -> local
 
-        TaskVerdict.ADOPT, TaskVerdict.SWAP, TaskVerdict.SURPLUS -> take(rule, worker, job, task, remote)
+        TaskVerdict.ADOPT, TaskVerdict.REPLACE, TaskVerdict.SURPLUS -> adopt(rule, worker, job, task, remote)
 
-        TaskVerdict.FINISH -> {
-            finish(job, task, local)
+        TaskVerdict.COMPLETE -> {
+            completeReported(job, task, local)
             null
         }
 
-        TaskVerdict.LOSE -> {
-            local?.let { lose(worker, job, task, it) }
+        TaskVerdict.RESCHEDULE -> {
+            local?.let { handleIncompleteExit(worker, job, task, it) }
             null
         }
 
-        TaskVerdict.LEAVE -> {
+        TaskVerdict.IGNORE -> {
             events.error("no such task", worker.id) {
                 "no such task task=${task.task} machine=${worker.id} of=${job.spec.tasks}"
             }
@@ -161,8 +161,8 @@
         TaskVerdict.STOP, TaskVerdict.REAP -> null
     }
 
-    /** Brings the placement of a live task up to date with the report. */
-    private fun update(worker: WorkerState, job: JobState, placement: Placement, task: TaskStatus) {
+    /** Updates the placement of a live task from the report. */
+    private fun updatePlacement(worker: WorkerState, job: JobState, placement: Placement, task: TaskStatus) {
         val phaseChanged = placement.phase != task.phase
         if (phaseChanged || placement.state != PlacementState.CONFIRMED) {
             log.debug("task task={} phase={} machine={} class={}", task.task, task.phase, worker.id, job.spec.jobClass)
@@ -176,8 +176,8 @@
         if (job.isGang && job.placements[task.task.index] === placement) job.gang.observe(task.phase)
     }
 
-    /** Adds a reported copy that the table does not have. */
-    private fun take(
+    /** Adds a placement for a reported copy that the table does not have. */
+    private fun adopt(
         rule: TaskReconciliationRule,
         worker: WorkerState,
         job: JobState,
@@ -189,8 +189,8 @@
                 "task on two machines task=${task.task} here=${worker.id} there=${remote.worker.id}"
             }
         }
-        if (rule.verdict == TaskVerdict.SWAP && remote != null) table.demote(job, remote)
-        if (rule == TaskReconciliationRule.TWICE_UNSENT && remote != null) table.remove(job, remote)
+        if (rule.verdict == TaskVerdict.REPLACE && remote != null) table.demote(job, remote)
+        if (rule == TaskReconciliationRule.DUPLICATE_UNSENT && remote != null) table.remove(job, remote)
         val placement = if (rule.verdict == TaskVerdict.SURPLUS) {
             table.placeSurplus(job, task.task, task.attempt, worker)
         } else {
@@ -207,7 +207,7 @@
         if (!placement.accounted) job.usage.recordStart(clock.now())
     }
 
-    private fun finish(job: JobState, task: TaskStatus, local: Placement?) {
+    private fun completeReported(job: JobState, task: TaskStatus, local: Placement?) {
         val placement = local?.takeIf { it.attempt == task.attempt }
         placement?.let { confirm(job, it) }
         complete(job, task.task.index)
@@ -216,7 +216,7 @@
 
     private fun complete(job: JobState, index: Int) {
         if (index in job.completed) return
-        // The members of a gang have all run, seen or not, and complete together.
+        // The members of a gang complete together, including those that were never reported as running.
         val placements = if (job.isGang) job.placements.values else listOfNotNull(job.placements[index])
         placements.forEach { job.usage.recordCompletion(it, clock.now(), job.placements[index]?.runningSince) }
         placements.firstOrNull { it.sendBy != MonotonicInstant.NEVER }?.let { table.onTaskCompleted(job, it) }
@@ -225,13 +225,13 @@
         table.dirty = true
     }
 
-    private fun lose(worker: WorkerState, job: JobState, task: TaskStatus, placement: Placement) {
+    private fun handleIncompleteExit(worker: WorkerState, job: JobState, task: TaskStatus, placement: Placement) {
         val now = clock.now()
-        if (task.cause !in REFUSALS) confirm(job, placement)
+        if (task.cause !in REFUSAL_CAUSES) confirm(job, placement)
         when (task.cause) {
             ExitCause.ERROR -> {
                 placement.failed = true
-                faults.recordTaskFailure(worker, job, task, now)
+                failureAttribution.recordTaskFailure(worker, job, task, now)
             }
 
             ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN -> {
@@ -249,10 +249,10 @@
     }
 
     private companion object {
-        /** For how long a job avoids a worker that refused a start of it. */
+        /** How long a job avoids a worker that refused to start one of its tasks. */
         val REFUSAL_BACKOFF = 5.seconds
 
-        /** Causes by which the worker refused the start, so that there was no attempt. */
-        val REFUSALS = setOf(ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN)
+        /** Exit causes that mean the worker refused the start, so that the attempt never ran. */
+        val REFUSAL_CAUSES = setOf(ExitCause.NO_ROOM, ExitCause.BUSY, ExitCause.UNKNOWN)
     }
 }
--- a/src/test/kotlin/org/elderhitch/failuredetection/FailureAttributionTest.kt
+++ b/src/test/kotlin/org/elderhitch/failuredetection/FailureAttributionTest.kt
@@ -39,7 +39,7 @@
     private fun worker(id: String) =
         WorkerState(MachineId(id), MachineType("g8"), Zone("a"), false, now).also { table.workers[it.id] = it }
 
-    /** The worker reports the task as running from now on. */
+    /** Records that the worker reports the task as running from now on. */
     private fun confirm(job: JobState, index: Int, attempt: Attempt, worker: WorkerState) {
         val placement = table.place(
             job,
@@ -52,7 +52,7 @@
         placement.runningSince = now
     }
 
-    private fun fails(job: JobState, worker: WorkerState, task: Int) = attribution.recordTaskFailure(
+    private fun recordFailure(job: JobState, worker: WorkerState, task: Int) = attribution.recordTaskFailure(
         worker,
         job,
         TaskStatus(TaskId(job.id, task), Attempt(task.toLong()), TaskPhase.EXITED, ExitCause.ERROR),
@@ -64,17 +64,17 @@
         val job = job("req-1")
         job.completed.add(39)
         val faulty = List(5) { worker("sick$it") }
-        // Five machines at once: by their number alone these errors would be the job's.
-        repeat(30) { fails(job, faulty[it % 5], it) }
+        // Failures on five machines would put the job at fault if it did not run well elsewhere.
+        repeat(30) { recordFailure(job, faulty[it % 5], it) }
         assertTrue(faulty.all { it.faulty })
-        assertTrue(job.notBefore < now, "the job waits for nothing")
+        assertTrue(job.notBefore < now, "the job is not delayed")
     }
 
     @Test
     fun `attribution blames no machine and delays the job when the job fails everywhere`() {
         val job = job("req-1")
         val machines = List(6) { worker("m$it") }
-        machines.forEachIndexed { n, machine -> repeat(2) { fails(job, machine, n * 2 + it) } }
+        machines.forEachIndexed { n, machine -> repeat(2) { recordFailure(job, machine, n * 2 + it) } }
         assertTrue(machines.none { it.faulty })
         assertTrue(job.notBefore > now + 10.seconds)
     }
@@ -82,39 +82,42 @@
     @Test
     fun `attribution blames the machine when several jobs fail on it or its job runs well elsewhere later`() {
         val machine = worker("m1")
-        fails(job("req-1"), machine, 0)
+        recordFailure(job("req-1"), machine, 0)
         assertTrue(
             !machine.faulty && machine.quarantinedUntil > now,
-            "one error is no proof, but nothing new goes there",
+            "one failure is no proof, but the machine is quarantined",
         )
-        fails(job("req-2"), machine, 0)
+        recordFailure(job("req-2"), machine, 0)
         assertTrue(machine.faulty)
         val other = worker("m2")
         val job = job("req-3")
-        repeat(2) { fails(job, other, it) }
+        repeat(2) { recordFailure(job, other, it) }
         assertEquals(false, other.faulty)
-        val well = worker("m3")
-        confirm(job, 5, Attempt(9), well)
+        val healthy = worker("m3")
+        confirm(job, 5, Attempt(9), healthy)
         now += 20.seconds
         attribution.reassess(now)
-        assertTrue(other.faulty && !well.faulty)
+        assertTrue(other.faulty && !healthy.faulty)
     }
 
-    /** Seen: seventy tasks of one job failed on fifty machines within 1.5 s, and closed each to everybody for ten. */
+    /**
+     * Regression: seventy tasks of one job failed on fifty machines within 1.5 s, and closed each machine to all jobs
+     * for ten seconds.
+     */
     @Test
     fun `attribution lifts the quarantine and limits trials when the job is known to be at fault`() {
         val job = job("req-1", tasks = 70)
         assertEquals(null, attribution.trialLimit(job))
         val machines = List(50) { worker("m$it") }
-        fails(job, machines[0], 0)
-        assertEquals(null, attribution.trialLimit(job), "one error is no suspicion")
-        fails(job, machines[1], 1)
-        assertEquals(2, attribution.trialLimit(job), "two machines are")
-        machines.forEachIndexed { n, machine -> fails(job, machine, n) }
+        recordFailure(job, machines[0], 0)
+        assertEquals(null, attribution.trialLimit(job), "failures on one machine don't make the job suspect")
+        recordFailure(job, machines[1], 1)
+        assertEquals(2, attribution.trialLimit(job), "failures on two machines make the job suspect")
+        machines.forEachIndexed { n, machine -> recordFailure(job, machine, n) }
         assertTrue(machines.all { it.quarantinedUntil < now && !it.faulty })
         assertEquals(1, attribution.trialLimit(job))
         table.place(job, TaskId(job.id, 60), Attempt(60), worker("m99"), PlacementState.SENT, MonotonicInstant.FOREVER)
-        assertEquals(0, attribution.trialLimit(job), "one at a time")
+        assertEquals(0, attribution.trialLimit(job), "one trial at a time")
     }
 
     @Test
@@ -122,22 +125,22 @@
         for (seed in 1..60) {
             table.jobs.clear()
             table.workers.clear()
-            val failures = RandomFailures(seed)
-            failures.play()
-            failures.check()
+            val simulation = FailureSimulation(seed)
+            simulation.run()
+            simulation.check()
         }
     }
 
-    /** Some faulty machines, on which every task fails, and some faulty jobs, whose every task fails. */
-    private inner class RandomFailures(private val seed: Int) {
+    /** Simulates faulty machines, on which every task fails, and faulty jobs, whose tasks all fail everywhere. */
+    private inner class FailureSimulation(private val seed: Int) {
         private val random = Random(seed)
         private val faultyMachines = List(random.nextInt(3, 12)) { worker("sick$it") }
-        private val soundMachines = List(30) { worker("well$it") }
+        private val healthyMachines = List(30) { worker("well$it") }
         private val faultyJobs = List(random.nextInt(1, 4)) { job("req-bad$it") }
-        private val soundJobs = List(4) { job("req-good$it") }
+        private val healthyJobs = List(4) { job("req-good$it") }
         private var attempts = 0
 
-        fun play() = repeat(200) {
+        fun run() = repeat(200) {
             now += random.nextInt(50, 400).milliseconds
             val machine = randomOpenMachine()
             val job = if (machine != null) randomStartableJob() else null
@@ -148,28 +151,28 @@
         }
 
         private fun randomOpenMachine(): WorkerState? =
-            (faultyMachines + soundMachines).filter { !it.faulty && it.quarantinedUntil < now }.randomOrNull(random)
+            (faultyMachines + healthyMachines).filter { !it.faulty && it.quarantinedUntil < now }.randomOrNull(random)
 
         private fun randomStartableJob(): JobState? =
-            (faultyJobs + soundJobs).filter { it.notBefore < now && (attribution.trialLimit(it) ?: 1) > 0 }
+            (faultyJobs + healthyJobs).filter { it.notBefore < now && (attribution.trialLimit(it) ?: 1) > 0 }
                 .randomOrNull(random)
 
         private fun runTask(job: JobState, machine: WorkerState) {
             val index = attempts++ % 40
             if (machine in faultyMachines || job in faultyJobs) {
-                fails(job, machine, index)
+                recordFailure(job, machine, index)
             } else if (index !in job.placements) {
                 confirm(job, index, Attempt(attempts.toLong()), machine)
             }
         }
 
         fun check() {
-            assertTrue(soundJobs.all { it.notBefore < now }, "seed $seed: a good job waits")
+            assertTrue(healthyJobs.all { it.notBefore < now }, "seed $seed: a healthy job is delayed")
             val found = faultyMachines.count { it.faulty }
             val all = faultyMachines.size
             assertTrue(found * 2 > all, "seed $seed: faulty machines found: $found of $all")
-            val blamed = soundMachines.count { it.faulty }
-            assertTrue(blamed <= faultyJobs.size, "seed $seed: $blamed good machines cordoned")
+            val blamed = healthyMachines.count { it.faulty }
+            assertTrue(blamed <= faultyJobs.size, "seed $seed: $blamed healthy machines marked faulty")
         }
     }
 }
--- a/src/test/kotlin/org/elderhitch/failuredetection/ProbeRateLimiterTest.kt
+++ b/src/test/kotlin/org/elderhitch/failuredetection/ProbeRateLimiterTest.kt
@@ -6,7 +6,9 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 class ProbeRateLimiterTest {
-    /** How many probes are allowed in each tick of six seconds while [perTick] machines come by themselves in each. */
+    /**
+     * Returns the probes allowed in each tick of six seconds while [perTick] machines reconnect unprompted per tick.
+     */
     private fun allowedProbes(machines: Int, perTick: Int, previousLeaderEnded: Boolean): List<Int> {
         val limiter = ProbeRateLimiter()
         return List(60) { tick ->
@@ -16,27 +18,32 @@
     }
 
     @Test
-    fun `limiter allows no probes when machines come by themselves, and all at once when they don't`() {
+    fun `limiter allows no probes while machines reconnect unprompted, and the maximum once they don't`() {
         for (leaderEnded in listOf(false, true)) {
             assertTrue(allowedProbes(600, perTick = 120, leaderEnded).subList(1, 5).all { it == 0 })
-            // Nobody comes: they wait for the answer of a leader that is cut off, or for one that is down.
-            assertTrue(allowedProbes(600, perTick = 0, leaderEnded).drop(1).all { it == ProbeRateLimiter.PER_TICK })
+            // No machine reconnects: all wait for an answer from a leader that is partitioned or down.
+            assertTrue(
+                allowedProbes(600, perTick = 0, leaderEnded).drop(1).all { it == ProbeRateLimiter.MAX_PROBES_PER_TICK },
+            )
         }
-        // A few come by chance, as their heartbeats were due.
-        assertEquals(ProbeRateLimiter.PER_TICK, allowedProbes(600, perTick = 3, previousLeaderEnded = false)[2])
+        // A few machines reconnect by chance because their heartbeats were due.
+        assertEquals(
+            ProbeRateLimiter.MAX_PROBES_PER_TICK,
+            allowedProbes(600, perTick = 3, previousLeaderEnded = false)[2],
+        )
     }
 
     /**
-     * Seen on a simulated day at 1,182 machines: a controller that had just started sent 882 probes while 650 workers
-     * sent heartbeats as fast as it took them.
+     * Regression, from a simulated day with 1,182 machines: a controller that had just started sent 882 probes while
+     * 650 workers sent heartbeats as fast as it accepted them.
      */
     @Test
-    fun `limiter allows no probes for four seconds when machines come slowly after the previous leader ended`() {
+    fun `limiter allows no probes for four seconds when machines reconnect slowly after the previous leader ended`() {
         val slow = allowedProbes(650, perTick = 4, previousLeaderEnded = true)
         assertTrue(slow.subList(1, 40).all { it == 0 }, "$slow")
-        assertTrue(slow.drop(40).all { it == ProbeRateLimiter.PER_TICK }, "$slow")
-        // All but the last ten have come: those are probed.
+        assertTrue(slow.drop(40).all { it == ProbeRateLimiter.MAX_PROBES_PER_TICK }, "$slow")
+        // All but the last ten have reconnected; those are probed.
         val fast = allowedProbes(650, perTick = 64, previousLeaderEnded = true)
-        assertEquals(ProbeRateLimiter.PER_TICK, fast.drop(12).first())
+        assertEquals(ProbeRateLimiter.MAX_PROBES_PER_TICK, fast.drop(12).first())
     }
 }
--- a/src/test/kotlin/org/elderhitch/heartbeat/CommandPlannerTest.kt
+++ b/src/test/kotlin/org/elderhitch/heartbeat/CommandPlannerTest.kt
@@ -46,33 +46,35 @@
         return job
     }
 
-    /** The line of an answer is limited. Starts beyond it counted as sent, and were waited for until a heartbeat. */
+    /**
+     * Regression: starts beyond the size limit of a response counted as sent, and were waited for until a heartbeat.
+     */
     @Test
-    fun `planner leaves what an answer can't hold for the next one`() {
+    fun `planner defers commands that exceed the size of a response to the next one`() {
         val job = job("req-1", 1000)
         val terminal = terminalJob("req-2", 300)
         place(job, 1000, firstAttempt = 1000, PlacementState.ASSIGNED, now + 5.seconds)
         table.markTerminal(terminal)
-        val seen = ArrayList<Command>()
+        val sent = ArrayList<Command>()
         repeat(4) {
-            val answer = planner.planResponse(worker, now, terminalStops = emptyList())
-            assertTrue(answer.size <= 400, "${answer.size} commands")
-            seen.addAll(answer)
-            executeOnWorker(answer, terminal)
+            val response = planner.planResponse(worker, now, terminalStops = emptyList())
+            assertTrue(response.size <= 400, "${response.size} commands")
+            sent.addAll(response)
+            executeOnWorker(response, terminal)
         }
-        assertEquals(1000, seen.count { it is Command.Start })
-        assertEquals(300, seen.takeWhile { it is Command.Stop }.size, "stops come first")
+        assertEquals(1000, sent.count { it is Command.Start })
+        assertEquals(300, sent.takeWhile { it is Command.Stop }.size, "stops precede starts")
         assertTrue(worker !in table.undelivered)
     }
 
-    /** Only the starts in the answer count as sent; they are confirmed, and the tasks of the terminal job gone. */
-    private fun executeOnWorker(answer: List<Command>, terminal: JobState) {
-        val started = answer.filterIsInstance<Command.Start>().map { it.task }.toSet()
+    /** Checks that only starts in the response count as sent, confirms them, and removes the stopped tasks. */
+    private fun executeOnWorker(response: List<Command>, terminal: JobState) {
+        val started = response.filterIsInstance<Command.Start>().map { it.task }.toSet()
         for (placement in worker.placements.values.toList()) {
             assertEquals(
                 placement.task in started,
                 placement.state == PlacementState.SENT,
-                "${placement.task} counts as sent and is not in the answer",
+                "${placement.task} must count as sent exactly if the response contains it",
             )
             if (placement.state == PlacementState.SENT) placement.confirm()
             if (placement.stopGrace != null) table.remove(terminal, placement)
@@ -80,26 +82,26 @@
     }
 
     /**
-     * A job with more tasks on a machine than an answer holds was cancelled: none of its stops went out, and the
-     * machine was not answered until its lease had expired, with the tasks of all other jobs there. Outside the command
-     * window it still is all or none, since there may be no next answer.
+     * Regression: a job with more tasks on a machine than fit into a response was cancelled. None of its stops were
+     * sent, and the machine was not answered until its lease had expired, which ended the tasks of all other jobs there
+     * too. Outside the command window the stops are still sent all or none, since there may be no further response.
      */
     @Test
-    fun `planner sends more stops than an answer holds in several answers`() {
+    fun `planner spreads stops that exceed the size of a response over several responses`() {
         val terminal = terminalJob("req-1", 900)
         table.markTerminal(terminal)
         assertEquals(TerminalStops.Undeliverable, terminalStops(mayStart = false))
         val direct = planner.planDirectCommands(worker, now)
         assertTrue(direct.size in 1..400, "${direct.size} in one request")
-        var answers = 0
+        var responses = 0
         while (worker.placements.isNotEmpty()) {
             val deliverable = assertIs<TerminalStops.Deliverable>(terminalStops(mayStart = true))
             val stops = planner.planResponse(worker, now, deliverable.commands).filterIsInstance<Command.Stop>()
-            assertTrue(stops.size in 1..400, "${stops.size} in one answer")
+            assertTrue(stops.size in 1..400, "${stops.size} in one response")
             stops.forEach { stop -> worker.placements[stop.task]?.let { table.remove(terminal, it) } }
-            answers++
+            responses++
         }
-        assertEquals(3, answers)
+        assertEquals(3, responses)
     }
 
     private fun terminalStops(mayStart: Boolean): TerminalStops {
--- a/src/test/kotlin/org/elderhitch/heartbeat/LeaseViewTest.kt
+++ b/src/test/kotlin/org/elderhitch/heartbeat/LeaseViewTest.kt
@@ -17,30 +17,30 @@
     private val start = MonotonicInstant(0) + 1000.seconds
 
     @Test
-    fun `an agent epoch that a probe tells of has a lease of its own`() {
+    fun `an agent epoch that a probe reveals has its own lease`() {
         val before = LeaseView.fromFirstMessage(1, start, acknowledgesTerm = true).afterResponse(start)
         val now = start + 32.seconds
         val inNewEpoch = before.afterMessage(2, now, acknowledgesTerm = true)
         assertTrue(before.isExpired(now, leases))
-        assertTrue(!inNewEpoch.isExpired(now, leases), "it may have begun just now")
+        assertTrue(!inNewEpoch.isExpired(now, leases), "the new epoch may have just begun")
         assertTrue(inNewEpoch.awaitingFirstResponse && !inNewEpoch.afterResponse(now).awaitingFirstResponse)
         assertTrue(inNewEpoch.isExpired(now + lease + 1.seconds, leases))
         assertEquals(MessageFreshness.STALE, inNewEpoch.freshnessOf(1))
     }
 
     @Test
-    fun `a probe renews nothing, and an expired epoch stays expired`() {
+    fun `a probe renews no lease, and an expired epoch stays expired`() {
         val known = LeaseView.fromFirstMessage(3, start, acknowledgesTerm = true)
         val probed = known.afterMessage(3, start + 10.seconds, acknowledgesTerm = true)
         assertTrue(probed.isExpired(start + 12.seconds, leases))
         val expired = probed.expired()
-        assertEquals(MessageFreshness.STALE, expired.freshnessOf(3), "a heartbeat of it was delayed")
+        assertEquals(MessageFreshness.STALE, expired.freshnessOf(3), "a delayed heartbeat of the expired epoch")
         assertEquals(MessageFreshness.NEW_EPOCH, expired.freshnessOf(4))
         assertEquals(expired, expired.expired())
     }
 
     @Test
-    fun `a lease that a lease delegate may have renewed expires after the delegate's last answer`() {
+    fun `a lease that a lease delegate may have renewed expires after the delegate's last response`() {
         val known = LeaseView.fromFirstMessage(1, start, acknowledgesTerm = true).afterResponse(start)
         assertTrue(known.isExpired(start + 12.seconds, leases, start))
         assertTrue(!known.isExpired(start + 25.seconds, leases, start + 14.seconds))
@@ -48,15 +48,19 @@
     }
 
     @Test
-    fun `a lease is not concluded to have expired until its worker knows the term`() {
+    fun `a lease is never considered expired until its worker knows the term`() {
         val known = LeaseView.fromFirstMessage(1, start, acknowledgesTerm = false)
-        assertTrue(!known.isExpired(start + 60.seconds, leases), "nothing is known of the earlier leader's answers")
+        assertTrue(!known.isExpired(start + 60.seconds, leases), "the earlier leader may have renewed the lease")
         val acknowledged = known.afterMessage(1, start + 60.seconds, acknowledgesTerm = true)
         assertTrue(!acknowledged.isExpired(start + 70.seconds, leases))
         assertTrue(acknowledged.isExpired(start + 72.seconds, leases))
     }
 
-    /** A worker that keeps its lease as PROTOCOL describes it ("Tokens", "Leases"), on a clock of its own. */
+    /**
+     * A worker that measures its lease on its own clock. It ignores responses from earlier terms, and responses to
+     * heartbeats that it sent in an earlier agent epoch or more than four seconds before. It begins a new agent epoch
+     * when a lease duration passes without a renewal.
+     */
     private inner class SimulatedWorker(private val drift: Double) {
         var agentEpoch = 1L
         var term = 0L
@@ -82,9 +86,9 @@
     private class ScheduledEvent(val at: Duration, val order: Int, val run: () -> Unit)
 
     /**
-     * A leader of term 2, and one of term 1 that doesn't know of it yet, with a worker whose heartbeats, their answers
-     * and the answers to probes take any time, get lost, or come in another order. Whenever the leader of term 2
-     * concludes that an epoch has expired, it must have expired on the worker.
+     * Simulates a leader of term 2, a leader of term 1 that doesn't know of term 2 yet, and a worker. Heartbeats,
+     * responses and replies to probes are delayed, lost or reordered at random. Whenever the leader of term 2 concludes
+     * that an epoch has expired, it must have expired on the worker.
      */
     private inner class Simulation(private val seed: Int) {
         private val random = Random(seed)
@@ -96,7 +100,7 @@
         private var view: LeaseView? = null
         private var latestSequence: HeartbeatSequence? = null
         private var messages = 0L
-        var conclusions = 0
+        var expiredEpochs = 0
             private set
         var staleMessages = 0
             private set
@@ -106,7 +110,7 @@
             while (at < 300.seconds) {
                 at += random.nextInt(200, 3_000).milliseconds
                 scheduleMessage(at)
-                scheduleConclusion(at + random.nextInt(0, 2_000).milliseconds)
+                scheduleExpiryCheck(at + random.nextInt(0, 2_000).milliseconds)
             }
             while (queue.isNotEmpty()) queue.poll().run()
         }
@@ -143,7 +147,7 @@
         }
 
         private fun answerProbe(sequence: HeartbeatSequence, sentAt: Duration, lost: Boolean) {
-            // The probe told the worker the term, if it came through.
+            // The probe may have announced the term to the worker even if the reply is lost.
             if (!lost || random.nextDouble() < 0.3) worker.term = maxOf(worker.term, 2)
             val acknowledgesTerm = worker.term == 2L
             if (lost) return
@@ -169,7 +173,9 @@
             schedule(returnsAt) { worker.receiveResponse(sequence.agentEpoch, sentAt, returnsAt, fromTerm) }
         }
 
-        /** Whether the message was the newest of a live epoch, so that the leader takes it in. */
+        /**
+         * Receives a message. Returns whether the leader records it: it is the newest, and its epoch has not expired.
+         */
         private fun receive(sequence: HeartbeatSequence, acknowledgesTerm: Boolean, at: Duration): Boolean {
             if (view?.freshnessOf(sequence.agentEpoch) == MessageFreshness.STALE) {
                 staleMessages++
@@ -182,33 +188,33 @@
             return true
         }
 
-        private fun scheduleConclusion(at: Duration) = schedule(at) {
+        private fun scheduleExpiryCheck(at: Duration) = schedule(at) {
             val current = view
             if (current != null && current.isExpired(leaderTime(at), leases)) {
                 worker.advance(at)
                 assertTrue(
                     worker.agentEpoch > current.agentEpoch,
-                    "seed $seed: epoch ${current.agentEpoch} was concluded to have expired at $at, and has not",
+                    "seed $seed: epoch ${current.agentEpoch} was considered expired at $at, but has not expired",
                 )
-                conclusions++
+                expiredEpochs++
                 view = current.expired()
             }
         }
     }
 
     @Test
-    fun `lease view concludes only what is true of the worker when messages are lost, late or for a previous leader`() {
-        var conclusions = 0
+    fun `lease view never considers a valid lease expired when messages are lost, late or sent to a previous leader`() {
+        var expiredEpochs = 0
         var staleMessages = 0
         for (seed in 1..1000) {
             val simulation = Simulation(seed)
             simulation.run()
-            conclusions += simulation.conclusions
+            expiredEpochs += simulation.expiredEpochs
             staleMessages += simulation.staleMessages
         }
         assertTrue(
-            conclusions > 1000 && staleMessages > 100,
-            "the model must come to conclusions: $conclusions, $staleMessages",
+            expiredEpochs > 1000 && staleMessages > 100,
+            "the simulation must cover enough cases: $expiredEpochs expired epochs, $staleMessages stale messages",
         )
     }
 }
--- a/src/test/kotlin/org/elderhitch/recovery/DuplicatePlacementsTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/DuplicatePlacementsTest.kt
@@ -36,7 +36,9 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Copies of one task on several workers: one counts, and the others are stopped and use capacity until then. */
+/**
+ * Copies of a task on several workers: one is the placement; the others are stopped, and use capacity until they exit.
+ */
 class DuplicatePlacementsTest {
     private val now = MonotonicInstant(0) + 1000.seconds
     private val table = TaskTable({ now }, 120.seconds)
@@ -88,7 +90,7 @@
             assertEquals(Attempt(5), job.placements[index]?.attempt)
             assertNull(job.placements[index]?.stopGrace)
             assertEquals(Duration.ZERO, workers[1].placements[task(index)]?.stopGrace)
-            assertEquals(2, job.copies, "both use room and quota")
+            assertEquals(2, job.copies, "both copies use capacity and quota")
         }
     }
 
@@ -102,35 +104,35 @@
         assertTrue(job.placements.isEmpty() && job.surplus == null)
     }
 
-    /** For random reports, the table must have exactly what the workers list, and count all of it. */
+    /** For random reports, the table must contain exactly the tasks that the workers list, and count all of them. */
     @Test
-    fun `the table follows random reports exactly and is empty after empty ones`() {
+    fun `the table matches random reports and is empty after empty reports`() {
         for (seed in 1..300) {
             val random = Random(seed)
             workers.forEach { table.removeAllOf(it) }
             val actual = HashMap<Pair<Int, Int>, Long>()
             var nextAttempt = 100L
             repeat(40) {
-                val number = random.nextInt(3)
+                val workerIndex = random.nextInt(3)
                 val index = random.nextInt(6)
-                val placed = number to index
-                if (random.nextInt(3) > 0) actual.getOrPut(placed) { nextAttempt++ } else actual.remove(placed)
+                val copyKey = workerIndex to index
+                if (random.nextInt(3) > 0) actual.getOrPut(copyKey) { nextAttempt++ } else actual.remove(copyKey)
                 report(
-                    workers[number],
-                    *actual.filterKeys { it.first == number }
+                    workers[workerIndex],
+                    *actual.filterKeys { it.first == workerIndex }
                         .map { (copy, attempt) -> running(copy.second, attempt) }
                         .toTypedArray(),
                 )
-                val seen = workers.indices.flatMap { n ->
+                val inTable = workers.indices.flatMap { n ->
                     workers[n].placements.values.map { (n to it.task.index) to it.attempt.number }
                 }.toMap()
-                val listed = actual.filterKeys { (n, _) -> workers[n].tasks.isNotEmpty() || n == number }
+                val listed = actual.filterKeys { (n, _) -> workers[n].tasks.isNotEmpty() || n == workerIndex }
                 for ((copy, attempt) in listed) {
-                    if (copy.first == number) assertEquals(attempt, seen[copy], "seed $seed: $copy")
+                    if (copy.first == workerIndex) assertEquals(attempt, inTable[copy], "seed $seed: $copy")
                 }
-                assertEquals(seen.size, job.copies, "seed $seed: all copies count")
+                assertEquals(inTable.size, job.copies, "seed $seed: all copies count")
                 assertEquals(
-                    seen.keys.map { it.second }.toSet(),
+                    inTable.keys.map { it.second }.toSet(),
                     job.placements.keys,
                     "seed $seed: each task has one placement",
                 )
--- a/src/test/kotlin/org/elderhitch/recovery/ReconciliationTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/ReconciliationTest.kt
@@ -14,22 +14,25 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The tables of `docs/design/recovery.md`, over all that can be named and all that can be known. */
+/**
+ * Exhaustive checks of the rules for reported tasks and for silent machines, and checks of the rate limit on
+ * terminations. `docs/design/recovery.md` lists the rules.
+ */
 class ReconciliationTest {
-    private val flags = listOf(false, true)
+    private val booleans = listOf(false, true)
 
-    private fun everyTask(): List<ReportedTask> = buildList {
+    private fun allReportedTasks(): List<ReportedTask> = buildList {
         for (job in JobLifecycle.entries) {
-            for (exists in flags) {
-                for (live in flags) {
-                    for (saving in flags) {
-                        for (completed in flags) {
-                            for (here in LocalPlacement.entries) {
-                                for (elsewhere in RemotePlacement.entries) {
-                                    val savingThoughNotLive = saving && !live
-                                    val liveThoughCompleted = completed && live
-                                    if (savingThoughNotLive || liveThoughCompleted) continue
-                                    add(ReportedTask(job, exists, live, saving, completed, here, elsewhere))
+            for (indexValid in booleans) {
+                for (live in booleans) {
+                    for (saving in booleans) {
+                        for (completed in booleans) {
+                            for (local in LocalPlacement.entries) {
+                                for (remote in RemotePlacement.entries) {
+                                    val savingWithoutLive = saving && !live
+                                    val completedAndLive = completed && live
+                                    if (savingWithoutLive || completedAndLive) continue
+                                    add(ReportedTask(job, indexValid, live, saving, completed, local, remote))
                                 }
                             }
                         }
@@ -40,35 +43,36 @@
     }
 
     @Test
-    fun `every row is reached, and what is on a machine is never out of the table`() {
-        val rows = everyTask().groupBy(TaskReconciliation::row)
-        assertEquals(TaskReconciliationRule.entries.toSet(), rows.keys)
-        val inTable = setOf(TaskVerdict.KEEP, TaskVerdict.ADOPT, TaskVerdict.SWAP, TaskVerdict.SURPLUS)
-        for (task in everyTask().filter { it.exists && it.job != JobLifecycle.UNKNOWN }) {
-            val verdict = TaskReconciliation.row(task).verdict
-            // ran_twice, quota: a live task uses room, and keeps others of its number from starting, whatever else is
-            // known.
+    fun `every rule is reachable, and a task is in the table exactly if it is live`() {
+        val rules = allReportedTasks().groupBy(TaskReconciliation::ruleFor)
+        assertEquals(TaskReconciliationRule.entries.toSet(), rules.keys)
+        val inTable = setOf(TaskVerdict.KEEP, TaskVerdict.ADOPT, TaskVerdict.REPLACE, TaskVerdict.SURPLUS)
+        for (task in allReportedTasks().filter { it.indexValid && it.job != JobLifecycle.UNKNOWN }) {
+            val verdict = TaskReconciliation.ruleFor(task).verdict
+            // A live task uses capacity and quota, and its index must not be started again, whatever else is known.
+            // Guards the invariants ran_twice and quota.
             assertEquals(task.live, verdict in inTable, "$task: $verdict")
-            // not_done, lost work: a result counts, whichever attempt brought it.
-            if (task.completed) assertEquals(TaskVerdict.FINISH, verdict, "$task")
+            // A result counts, whichever attempt produced it. Guards the invariant not_done, and against lost work.
+            if (task.completed) assertEquals(TaskVerdict.COMPLETE, verdict, "$task")
         }
     }
 
-    /** ran_cancelled: nothing goes on that its job's end has not stopped. */
+    /** No task keeps running after its job has ended. Guards the invariant ran_cancelled. */
     @Test
-    fun `what lives of a job that has ended is stopped`() {
-        for (task in everyTask().filter { it.live && it.exists }) {
+    fun `live tasks of a terminal job are stopped`() {
+        for (task in allReportedTasks().filter { it.live && it.indexValid }) {
             when (task.job) {
                 JobLifecycle.OPEN -> assertTrue(!TaskReconciliation.mustStop(task))
                 JobLifecycle.ENDED -> assertTrue(TaskReconciliation.mustStop(task), "$task")
-                JobLifecycle.UNKNOWN -> assertEquals(TaskVerdict.STOP, TaskReconciliation.row(task).verdict, "$task")
+                JobLifecycle.UNKNOWN ->
+                    assertEquals(TaskVerdict.STOP, TaskReconciliation.ruleFor(task).verdict, "$task")
             }
         }
     }
 
-    /** Two workers that report one task must not lead to both being stopped, nor to both going on. */
+    /** If two workers report the same task, exactly one of the copies must keep running. */
     @Test
-    fun `of two copies one stays, in whichever order their machines report`() {
+    fun `one of two copies keeps running, in whichever order their workers report`() {
         val task =
             ReportedTask(
                 JobLifecycle.OPEN,
@@ -79,26 +83,29 @@
                 LocalPlacement.NOTHING,
                 RemotePlacement.EARLIER,
             )
-        assertEquals(TaskVerdict.SURPLUS, TaskReconciliation.row(task).verdict)
-        assertEquals(TaskVerdict.SWAP, TaskReconciliation.row(task.copy(elsewhere = RemotePlacement.LATER)).verdict)
-        for (saving in everyTask().filter {
+        assertEquals(TaskVerdict.SURPLUS, TaskReconciliation.ruleFor(task).verdict)
+        assertEquals(
+            TaskVerdict.REPLACE,
+            TaskReconciliation.ruleFor(task.copy(remote = RemotePlacement.LATER)).verdict,
+        )
+        for (saving in allReportedTasks().filter {
             it.saving &&
-                it.elsewhere > RemotePlacement.UNSENT &&
-                it.here != LocalPlacement.THIS_ATTEMPT &&
-                it.exists &&
+                it.remote > RemotePlacement.UNSENT &&
+                it.local != LocalPlacement.THIS_ATTEMPT &&
+                it.indexValid &&
                 it.job == JobLifecycle.OPEN
         }) {
             assertEquals(
                 TaskVerdict.SURPLUS,
-                TaskReconciliation.row(saving).verdict,
-                "one that saves is on its way out: $saving",
+                TaskReconciliation.ruleFor(saving).verdict,
+                "a copy that is saving is about to exit: $saving",
             )
         }
     }
 
-    // ---- machines ----------------------------------------------------------------------------------------------
+    // ---- silent machines ----
 
-    private val times =
+    private val timeouts =
         DetectionTimeouts(
             heartbeatOverdue = 3.seconds,
             unresponsive = 9.seconds,
@@ -108,36 +115,36 @@
             neverSeenMargin = 3.seconds,
             zonePartition = 90.seconds,
         )
-    private val reconciliation = SuspicionRules(times)
+    private val suspicionRules = SuspicionRules(timeouts)
     private val now = MonotonicInstant(0) + 1000.seconds
 
-    private fun everyMachine(): List<SuspectedMachine> = buildList {
-        for (unheard in flags) {
-            for (settled in flags) {
-                for (unlisted in flags) {
-                    for (unreachable in listOf(
+    private fun allSuspectedMachines(): List<SuspectedMachine> = buildList {
+        for (neverSeen in booleans) {
+            for (reconciled in booleans) {
+                for (unlisted in booleans) {
+                    for (unreachableSince in listOf(
                         null,
                         now - 5.seconds,
                     )) {
-                        for (asked in flags) {
-                            for (zoneHeard in listOf(null, now - 9.seconds, now - 1.seconds)) {
-                                for (doubtful in flags) {
-                                    for (cut in flags) {
-                                        for (missing in flags) {
-                                            for (mute in flags) {
-                                                if (unheard && (settled || mute)) continue
+                        for (probeUnanswered in booleans) {
+                            for (zoneLastSeenAt in listOf(null, now - 9.seconds, now - 1.seconds)) {
+                                for (zonePossiblyPartitioned in booleans) {
+                                    for (zonePartitioned in booleans) {
+                                        for (zoneNeverSeen in booleans) {
+                                            for (oneWayPartitioned in booleans) {
+                                                if (neverSeen && (reconciled || oneWayPartitioned)) continue
                                                 add(
                                                     SuspectedMachine(
-                                                        unheard,
-                                                        settled,
+                                                        neverSeen,
+                                                        reconciled,
                                                         unlisted,
-                                                        unreachable,
-                                                        asked,
-                                                        zoneHeard,
-                                                        doubtful,
-                                                        cut,
-                                                        missing,
-                                                        mute,
+                                                        unreachableSince,
+                                                        probeUnanswered,
+                                                        zoneLastSeenAt,
+                                                        zonePossiblyPartitioned,
+                                                        zonePartitioned,
+                                                        zoneNeverSeen,
+                                                        oneWayPartitioned,
                                                     ),
                                                 )
                                             }
@@ -153,75 +160,92 @@
     }
 
     @Test
-    fun `nothing is returned sooner than its evidence allows`() {
-        val rows = HashSet<SuspicionRule>()
-        for (machine in everyMachine()) {
-            for (open in flags) {
-                for (endsSoon in flags) {
-                    val row = reconciliation.ruleFor(machine, open, endsSoon)
-                    val patience = reconciliation.patience(machine, open, endsSoon)
-                    rows.add(row)
-                    assertTrue(patience >= reconciliation.minimumPatience)
-                    if (!row.proven) {
+    fun `no machine is terminated sooner than the evidence allows`() {
+        val rules = HashSet<SuspicionRule>()
+        for (machine in allSuspectedMachines()) {
+            for (open in booleans) {
+                for (settlesWithinLease in booleans) {
+                    val rule = suspicionRules.ruleFor(machine, open, settlesWithinLease)
+                    val terminationDelay = suspicionRules.terminationDelay(machine, open, settlesWithinLease)
+                    rules.add(rule)
+                    assertTrue(terminationDelay >= suspicionRules.minimumTerminationDelay)
+                    if (!rule.proven) {
                         assertTrue(
-                            patience >= times.unresponsive,
-                            "$machine: $row after $patience, with no proof",
+                            terminationDelay >= timeouts.unresponsive,
+                            "$machine: $rule after $terminationDelay, without proof",
                         )
                     }
-                    if (row == SuspicionRule.UNLISTED) {
+                    if (rule == SuspicionRule.UNLISTED) {
                         assertTrue(
                             machine.neverSeen && machine.unlisted,
-                            "a machine that has spoken is not returned by the word of an old list",
+                            "a machine seen in this term is not terminated because of an outdated list",
                         )
                     }
-                    if (row == SuspicionRule.UNREACHABLE) {
+                    if (rule == SuspicionRule.UNREACHABLE) {
                         assertTrue(
-                            !machine.zoneDoubtful && (open || machine.zoneLastSeenAt == now - 1.seconds),
-                            "a cut explains it: $machine",
+                            !machine.zonePossiblyPartitioned && (open || machine.zoneLastSeenAt == now - 1.seconds),
+                            "a partition may explain the silence: $machine",
                         )
                     }
-                    // What it runs goes on until its lease is over.
-                    if (row == SuspicionRule.ONE_WAY_PARTITIONED) {
+                    // Its tasks keep running until its lease has expired.
+                    if (rule == SuspicionRule.ONE_WAY_PARTITIONED) {
                         assertTrue(
-                            machine.oneWayPartitioned && patience >= times.oneWayPartition,
-                            "$machine: $row after $patience",
+                            machine.oneWayPartitioned && terminationDelay >= timeouts.oneWayPartition,
+                            "$machine: $rule after $terminationDelay",
                         )
                     }
-                    // A whole zone is silent: its machines run on, and their return would end all that is there.
-                    if (machine.zonePartitioned && machine.zoneDoubtful && machine.reconciled) {
-                        assertTrue(patience >= times.zonePartition, "$machine: $row after $patience")
+                    // The whole zone is silent: its machines keep running, and terminating them would end all their
+                    // tasks.
+                    if (machine.zonePartitioned && machine.zonePossiblyPartitioned && machine.reconciled) {
+                        assertTrue(
+                            terminationDelay >= timeouts.zonePartition,
+                            "$machine: $rule after $terminationDelay",
+                        )
                     }
-                    if (machine.zoneNeverSeen && machine.zoneDoubtful && !machine.unlisted) {
-                        assertTrue(patience >= times.zonePartition, "$machine: $row after $patience")
+                    if (machine.zoneNeverSeen && machine.zonePossiblyPartitioned && !machine.unlisted) {
+                        assertTrue(
+                            terminationDelay >= timeouts.zonePartition,
+                            "$machine: $rule after $terminationDelay",
+                        )
                     }
                 }
             }
         }
-        assertEquals(SuspicionRule.entries.toSet(), rows)
+        assertEquals(SuspicionRule.entries.toSet(), rules)
     }
 
-    /** Mass returns for silence alone are paced by zone; a few always go at once, and all do in the end. */
+    /**
+     * Mass terminations on the evidence of silence alone are rate-limited by zone. A few are always allowed
+     * immediately, and all are eventually.
+     */
     @Test
-    fun `no more than a quarter of a zone goes within five seconds, and nobody waits for ever`() {
+    fun `terminations are limited to a quarter of a zone within five seconds, and all are eventually allowed`() {
         for (seed in 1..200) {
             val random = Random(seed)
-            val pace = TerminationRateLimiter(0.25)
+            val rateLimiter = TerminationRateLimiter(0.25)
             val size = random.nextInt(1, 600)
             var silent = random.nextInt(0, size + 1)
-            val first = silent
-            val gone = ArrayList<Pair<MonotonicInstant, Int>>()
+            val initial = silent
+            val sent = ArrayList<Pair<MonotonicInstant, Int>>()
             var at = now
             while (silent > 0) {
-                val may = pace.allow(Zone("a"), size, silent, at)
-                assertTrue(may in 0..silent)
-                silent -= may
-                gone.add(at to may)
-                val lately = gone.filter { at - it.first < TerminationRateLimiter.SPAN }.sumOf { it.second }
-                assertTrue(lately <= 2 * maxOf(TerminationRateLimiter.FEW, size * 0.25), "seed $seed: $lately of $size")
+                val allowed = rateLimiter.allow(Zone("a"), size, silent, at)
+                assertTrue(allowed in 0..silent)
+                silent -= allowed
+                sent.add(at to allowed)
+                val inPeriod =
+                    sent.filter { at - it.first < TerminationRateLimiter.REFILL_PERIOD }.sumOf { it.second }
+                assertTrue(
+                    inPeriod <= 2 * maxOf(TerminationRateLimiter.MIN_BURST, size * 0.25),
+                    "seed $seed: $inPeriod of $size",
+                )
                 at += (random.nextInt(1, 300)).milliseconds
-                assertTrue(at - now <= TerminationRateLimiter.SPAN * 6, "seed $seed: $silent of $first still wait")
+                assertTrue(
+                    at - now <= TerminationRateLimiter.REFILL_PERIOD * 6,
+                    "seed $seed: $silent of $initial still wait",
+                )
             }
-            if (first <= TerminationRateLimiter.FEW) assertEquals(first, gone.firstOrNull()?.second ?: 0)
+            if (initial <= TerminationRateLimiter.MIN_BURST) assertEquals(initial, sent.firstOrNull()?.second ?: 0)
         }
     }
 }
--- a/src/test/kotlin/org/elderhitch/recovery/TakeoverTest.kt
+++ b/src/test/kotlin/org/elderhitch/recovery/TakeoverTest.kt
@@ -32,13 +32,13 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** When a takeover settles, and what may run unreported until then. */
+/** Checks when a takeover settles, and which tasks may run unreported until then. */
 class TakeoverTest {
     private var now = MonotonicInstant(0) + 100.seconds
     private val type = MachineType("g8")
     private val spot = Machine(MachineId("s"), type, Zone("a"), true)
-    private val ordinary = Machine(MachineId("o"), type, Zone("b"), false)
-    private val known = listOf(spot, ordinary).associateBy { it.id }
+    private val onDemand = Machine(MachineId("o"), type, Zone("b"), false)
+    private val inventory = listOf(spot, onDemand).associateBy { it.id }
     private val catalog = Catalog(
         mapOf(
             type to
@@ -54,10 +54,10 @@
                 ),
         ),
     )
-    private val times = WorkerTimeouts(1.seconds, 11.seconds, 45.seconds, 5.seconds, 41.seconds)
+    private val timeouts = WorkerTimeouts(1.seconds, 11.seconds, 45.seconds, 5.seconds, 41.seconds)
     private val takeover = Takeover(
-        LeadershipTimeouts.of(times),
-        LeaseTimeouts(times.lease),
+        LeadershipTimeouts.of(timeouts),
+        LeaseTimeouts(timeouts.lease),
         SteadyClock { now },
     ).apply {
         val previousLeader = PreviousLeader(NodeName("n0"), Incarnation("x"))
@@ -80,45 +80,50 @@
         Image("img"), 1.0, Duration.ZERO, Duration.ZERO, Duration.ZERO, null,
     )
 
-    /** Seen: all services of earlier terms waited four seconds for the word of one spot machine that was gone. */
+    /**
+     * Regression: all services of earlier terms waited four seconds for a report from one spot machine that was gone.
+     */
     @Test
-    fun `a job's tasks hide only where the job may run`() {
-        assertTrue(takeover.mayRunUnreported(spec(false), known, catalog), "nobody knows yet which machines there are")
+    fun `unreported tasks of a job are expected only on machines where the job may run`() {
+        assertTrue(takeover.mayRunUnreported(spec(false), inventory, catalog), "the inventory is not loaded")
         takeover.expect(setOf(spot.id))
-        assertFalse(takeover.mayRunUnreported(spec(false), known, catalog))
-        assertTrue(takeover.mayRunUnreported(spec(true), known, catalog))
-        assertFalse(takeover.mayRunUnreported(spec(true, Zone("b")), known, catalog))
-        takeover.expect(setOf(spot.id, ordinary.id))
-        assertTrue(takeover.mayRunUnreported(spec(false), known, catalog))
+        assertFalse(takeover.mayRunUnreported(spec(false), inventory, catalog))
+        assertTrue(takeover.mayRunUnreported(spec(true), inventory, catalog))
+        assertFalse(takeover.mayRunUnreported(spec(true, Zone("b")), inventory, catalog))
+        takeover.expect(setOf(spot.id, onDemand.id))
+        assertTrue(takeover.mayRunUnreported(spec(false), inventory, catalog))
         assertTrue(
             takeover.mayRunUnreported(spec(false), emptyMap(), catalog),
-            "a machine of which nothing is known could run anything",
+            "a machine about which nothing is known may run any task",
         )
         assertFalse(
-            takeover.mayRunUnreported(spec(true).copy(resources = Resources(32.0, 0.0, 56.0)), known, catalog),
-            "too large for either",
+            takeover.mayRunUnreported(spec(true).copy(resources = Resources(32.0, 0.0, 56.0)), inventory, catalog),
+            "the task is too large for both machines",
         )
-        takeover.markAccounted(ordinary.id)
-        assertFalse(takeover.mayRunUnreported(spec(false), known, catalog))
+        takeover.markAccounted(onDemand.id)
+        assertFalse(takeover.mayRunUnreported(spec(false), inventory, catalog))
     }
 
     /**
-     * The response to a machine that doesn't know the term yet renews the lease of what an earlier term started there.
-     * Regression: a takeover that settled by the clock alone took a machine for empty that had sent one heartbeat just
-     * before.
+     * A response to a machine that doesn't know the term yet renews the lease of tasks that an earlier term started.
+     * Regression: a takeover that settled by elapsed time alone considered a machine empty that had sent a heartbeat
+     * just before.
      */
     @Test
-    fun `a takeover waits for leases that it renewed, but not for machines that receive no answers`() {
-        takeover.expect(setOf(spot.id, ordinary.id))
-        val longest = 4.seconds + LeadershipTimeouts.of(times).answerGracePeriod + times.lease
-        val end = now + longest * 1.001 + 500.milliseconds
-        now = end - 2.seconds
+    fun `a takeover waits for leases that it renewed, but not for machines that receive no responses`() {
+        takeover.expect(setOf(spot.id, onDemand.id))
+        val maxLeaseTime = 4.seconds + LeadershipTimeouts.of(timeouts).answerGracePeriod + timeouts.lease
+        val leasesEnd = now + maxLeaseTime * 1.001 + 500.milliseconds
+        now = leasesEnd - 2.seconds
         assertFalse(takeover.refusesUnawareWorkers(now))
         takeover.heartbeatAnswered(spot.id, now)
-        now = end + 1.milliseconds
-        assertFalse(takeover.trySettle(), "the lease that was renewed two seconds ago runs on")
-        assertTrue(takeover.refusesUnawareWorkers(now), "whoever still doesn't know the term is answered no more")
-        now = end - 2.seconds + times.lease * 1.001 + 499.milliseconds
+        now = leasesEnd + 1.milliseconds
+        assertFalse(takeover.trySettle(), "the lease renewed two seconds ago is still valid")
+        assertTrue(
+            takeover.refusesUnawareWorkers(now),
+            "a worker that still doesn't know the term is no longer answered",
+        )
+        now = leasesEnd - 2.seconds + timeouts.lease * 1.001 + 499.milliseconds
         assertFalse(takeover.trySettle())
         now += 2.milliseconds
         assertTrue(takeover.trySettle())
@@ -129,8 +134,8 @@
     fun `a takeover settles when all machines that may run tasks are accounted for`() {
         takeover.expect(setOf(spot.id))
         takeover.heartbeatAnswered(spot.id, now)
-        takeover.heartbeatAnswered(ordinary.id, now)
+        takeover.heartbeatAnswered(onDemand.id, now)
         takeover.markAccounted(spot.id)
-        assertTrue(takeover.trySettle(), "all that may run something have told, whatever else was answered")
+        assertTrue(takeover.trySettle(), "all machines that may run tasks have reported, whatever else was answered")
     }
 }
