--- a/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
@@ -38,6 +38,7 @@
     private val unansweredProbes = HashSet<MachineId>()
     private var rateLimiter = ProbeRateLimiter()
 
+    /** Discards the state of the previous term. */
     fun newTerm() {
         probedAt.clear()
         listedAddresses.clear()
--- a/src/test/kotlin/org/elderhitch/failuredetection/FailureAttributionTest.kt
+++ b/src/test/kotlin/org/elderhitch/failuredetection/FailureAttributionTest.kt
@@ -121,7 +121,7 @@
     }
 
     @Test
-    fun `attribution tells faulty machines from faulty jobs when both fail in any order`() {
+    fun `attribution distinguishes faulty machines from faulty jobs when both fail in any order`() {
         for (seed in 1..60) {
             table.jobs.clear()
             table.workers.clear()
