--- a/src/main/kotlin/org/elderhitch/explain/ExplanationContext.kt
+++ b/src/main/kotlin/org/elderhitch/explain/ExplanationContext.kt
@@ -6,15 +6,15 @@
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.time.MonotonicInstant
 
-/** The leader's state at the moment of an explanation. */
+/** The part of the leader's state, other than the task table, that a [JobExplainer] uses. */
 internal class ExplanationContext(
     val leader: LeadershipState.Leader,
     val now: MonotonicInstant,
-    /** The task table holds all jobs that were recorded before the term was claimed. */
+    /** Whether the task table holds all jobs that were stored before this term was claimed. */
     val isTableComplete: Boolean,
     val catalog: Catalog,
-    /** Where the cloud had no machine to offer when it was last asked. */
+    /** The markets in which the cloud had no machine available when it was last asked. */
     val unavailableMarkets: Set<Market>,
-    /** Whether new tasks may be placed on a worker. */
+    /** Whether new tasks may be placed on the worker. */
     val isUsable: (WorkerState) -> Boolean,
 )
--- a/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
+++ b/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
@@ -18,7 +18,7 @@
 import org.elderhitch.tasks.isGang
 
 /**
- * Explains to a user, from the leader's state, why a job is in its present state: one line for each reason, the
+ * Explains to a user why a job is in its current state, based on the leader's state: one line for each reason, the
  * decisive one first.
  */
 internal class JobExplainer(
@@ -29,16 +29,16 @@
     private val machineRegistry: MachineRegistry,
     private val teams: Map<TeamName, Team>,
 ) {
-    /** The reasons as lines of text. Null: the leader's table has no such open job. */
+    /** The reasons as lines of text; null if the leader's task table has no such open job. */
     fun explain(id: JobId, context: ExplanationContext): List<String>? {
-        if (!context.isTableComplete) return listOf("a takeover: the leader is still reading what is recorded")
+        if (!context.isTableComplete) return listOf("takeover in progress: the leader is still loading the stored jobs")
         val job = table.jobs[id]?.takeUnless { it.isTerminal } ?: return null
         val lines = ArrayList<String>()
         job.hold?.let { lines.add("held (${it.kind.wireName}): ${it.reason}") }
-        if (job.holdPending && job.hold == null) lines.add("a hold is being recorded")
+        if (job.holdPending && job.hold == null) lines.add("a hold is being stored")
         addProgress(job, lines)
-        val missing = job.spec.tasks - job.completed.count - job.placements.size
-        if (missing <= 0 || job.hold != null || job.holdPending) return lines
+        val unplacedCount = job.spec.tasks - job.completed.count - job.placements.size
+        if (unplacedCount <= 0 || job.hold != null || job.holdPending) return lines
         addLeadershipReasons(job, context, lines)
         addFailureReasons(job, context, lines)
         quotaReason(job)?.let(lines::add)
@@ -46,7 +46,7 @@
         return lines
     }
 
-    /** How many tasks are in which phase. */
+    /** Adds how many tasks have completed and how many are in each phase. */
     private fun addProgress(job: JobState, lines: MutableList<String>) {
         val phases = job.placements.values.groupingBy { placement ->
             when {
@@ -57,22 +57,22 @@
         }.eachCount().toSortedMap()
         val phaseCounts = phases.entries.joinToString("") { (phase, count) -> ", $count $phase" }
         lines.add(
-            "of ${job.spec.tasks} tasks ${job.completed.count} done$phaseCounts; " +
-                "${job.usage.attempts} starts seen, ${job.usage.lost} lost, in this term",
+            "of ${job.spec.tasks} tasks: ${job.completed.count} completed$phaseCounts; " +
+                "in this term ${job.usage.attempts} starts seen, ${job.usage.lost} lost",
         )
-        val cutOff = job.placements.values.count { failureDetector.isPartitioned(it.zone) }
-        if (cutOff > 0) lines.add("$cutOff of its tasks are in a zone that is cut off")
+        val partitionedCount = job.placements.values.count { failureDetector.isPartitioned(it.zone) }
+        if (partitionedCount > 0) lines.add("$partitionedCount of its tasks are in a partitioned zone")
     }
 
     private fun addLeadershipReasons(job: JobState, context: ExplanationContext, lines: MutableList<String>) {
         val isOlderThanTerm = job.version <= context.leader.termRevision
         if (isOlderThanTerm && takeover.mayRunUnreported(job.spec, machineRegistry.known, context.catalog)) {
             val machines = takeover.unaccounted.size
-            lines.add("waits for a takeover: $machines machines that may run it have not reported yet")
+            lines.add("waits for the takeover to complete: $machines machines have not reported their tasks yet")
         }
         if (!context.leader.maySendCommands(context.now)) {
             lines.add(
-                "waits for the state service: the leader can't prove that it leads and knows all that is recorded",
+                "waits for the state service: the leader can't prove that it leads and has read all stored changes",
             )
         }
     }
@@ -81,19 +81,19 @@
         if (job.notBefore > context.now) {
             val retryInS = (job.notBefore - context.now).inWholeSeconds
             lines.add(
-                "at fault: failed on ${job.failedOn.size} machines and runs on none; tried again in $retryInS s",
+                "at fault: failed on ${job.failedOn.size} machines and runs on none; next attempt in $retryInS s",
             )
         }
         failureAttribution.trialLimit(job)?.let {
-            lines.add("failed on ${job.failedOn.size} machines: no more than a few tasks are tried at a time")
+            lines.add("failed on ${job.failedOn.size} machines: only a few of its tasks are started at a time")
         }
         if (job.isGang && job.gang.broken) {
-            lines.add("the gang broke: waits for its members to exit before the next attempt")
+            lines.add("the gang's attempt failed: waits for its tasks to exit before the next attempt")
         }
     }
 
     private fun quotaReason(job: JobState): String? {
-        val team = teams[job.spec.team] ?: return "its team is unknown here"
+        val team = teams[job.spec.team] ?: return "its team is not configured on the leader"
         var used = Resources.NONE
         for (other in table.jobs.values) if (other.spec.team == team.name) used += other.spec.resources * other.copies
         val needed = job.spec.resources * if (job.isGang) job.spec.tasks - job.placements.size else 1
@@ -106,35 +106,35 @@
     private fun addCapacityReasons(job: JobState, context: ExplanationContext, lines: MutableList<String>) {
         val fittingTypes = context.catalog.fitting(job.spec).map { it.name }.toSet()
         if (fittingTypes.isEmpty()) {
-            lines.add("no machine type is known that a task of it fits")
+            lines.add("its tasks fit on no known machine type")
             return
         }
         confinementReason(job.spec, context)?.let(lines::add)
         val allowed = table.workers.values.filter { it.type in fittingTypes && mayUse(job.spec, it) }
         lines.add(freeCapacityReason(job, allowed, context))
-        val avoided = allowed.count { job.spec.id in it.avoidedBy }
-        if (avoided > 0) lines.add("$avoided machines are left out for a while: it failed or was refused there")
+        val avoidedCount = allowed.count { job.spec.id in it.avoidedBy }
+        if (avoidedCount > 0) lines.add("$avoidedCount machines are avoided for now: it failed or was refused there")
     }
 
-    /** Of work that some machine types are too small for: where it may run, and whether more of those can be had. */
+    /** The types that the job is confined to, and whether more machines are available; null if it fits on all types. */
     private fun confinementReason(spec: JobSpec, context: ExplanationContext): String? {
         val catalog = context.catalog
         val fitting = catalog.fitting(spec)
         if (fitting.size == catalog.types.size) return null
-        val up = table.workers.values.count { worker ->
+        val upCount = table.workers.values.count { worker ->
             mayUse(spec, worker) && fitting.any { type -> type.name == worker.type }
         }
         val isExhausted = context.unavailableMarkets.containsAll(catalog.markets(spec))
-        val more = if (isExhausted) "none more to be had" else "more can be rented"
+        val more = if (isExhausted) "no more available" else "more can be provisioned"
         val types = fitting.joinToString(" or ") { it.name.name }
-        return "waits for room of ${spec.resources.cpus} CPUs on $types: $up up, $more; " +
-            "others leave them as their tasks end"
+        return "waits for ${spec.resources.cpus} free CPUs on a machine of type $types: $upCount up, $more; " +
+            "jobs that can run elsewhere leave these machines as their tasks complete"
     }
 
     private fun freeCapacityReason(job: JobState, allowed: List<WorkerState>, context: ExplanationContext): String {
         val spec = job.spec
         val usable = allowed.filter(context.isUsable)
-        val withRoom = usable.count { worker ->
+        val fitting = usable.count { worker ->
             freeOn(worker, context.catalog)?.let { spec.resources.fitsIn(it) } ?: false
         }
         val booting = machineRegistry.known.values.count {
@@ -142,12 +142,12 @@
         }
         val need = "${spec.resources.cpus} CPUs, ${spec.resources.gpus} GPUs, ${spec.resources.memoryGb} GB"
         val constraints = constraints(spec)
-        if (withRoom == 0) {
-            return "waits for room: none of ${usable.size} usable machines$constraints has $need free; " +
+        if (fitting == 0) {
+            return "waits for capacity: none of ${usable.size} usable machines$constraints has $need free; " +
                 "$booting are booting"
         }
         val gangRule = if (job.isGang) "; a gang starts only when all its tasks fit at once" else ""
-        return "$withRoom of ${usable.size} usable machines$constraints have $need free; $booting are booting$gangRule"
+        return "$fitting of ${usable.size} usable machines$constraints have $need free; $booting are booting$gangRule"
     }
 
     private fun constraints(spec: JobSpec): String = buildString {
