--- a/src/main/kotlin/org/elderhitch/placement/CandidateIndex.kt
+++ b/src/main/kotlin/org/elderhitch/placement/CandidateIndex.kt
@@ -4,61 +4,61 @@
 import org.elderhitch.jobs.Resources
 
 /**
- * The machines that may be of use to a scheduling cycle. Free resources only shrink within a cycle, so machines that
- * are too full for any pending task are left out from the start, or dropped when they fill up.
+ * The machines that a scheduling cycle can use. Free resources only shrink within a cycle, so a machine without
+ * capacity for any pending task is omitted from the start, or dropped once it fills up.
  */
 internal class CandidateIndex(input: CycleInput, scarcity: ScarceCapacity, private val scorer: MachineScorer) {
     private class Candidate(val machine: RemainingCapacity, val penaltySeconds: Double, val serviceAffinity: Double)
 
-    /** A machine with less free resources than that is of no use to any task of this scheduling cycle. */
-    private val smallestRequest = input.smallestRequest()
+    /** No pending task fits on a machine that has less free. */
+    private val minimumRequest = input.minimumRequest()
 
-    /** Machines that may have capacity for some task. */
+    /** Machines that may have capacity for some pending task. */
     private val open = ArrayList<RemainingCapacity>()
 
-    /** Machines where tasks are stopping. */
-    val releasing = LinkedHashSet<RemainingCapacity>()
+    /** Machines on which tasks are stopping. */
+    val releasingMachines = LinkedHashSet<RemainingCapacity>()
 
-    /** Machines where tasks could be preempted. */
-    val preemptible = ArrayList<RemainingCapacity>()
+    /** Machines on which tasks can be preempted. */
+    val preemptibleMachines = ArrayList<RemainingCapacity>()
 
-    /** How often a machine was looked at in this scheduling cycle. */
+    /** How often a machine was examined in this scheduling cycle. */
     var machineVisits = 0L
         private set
 
     init {
         val highestPriority = input.jobs.maxOfOrNull { it.spec.priority }
         for (view in input.machines) {
-            visit()
-            val hasCapacity = smallestRequest.fitsIn(view.load.free)
+            countVisit()
+            val hasCapacity = minimumRequest.fitsIn(view.load.free)
             val isReleasing = view.load.releasing != Resources.NONE
             val isPreemptible = highestPriority != null &&
                 view.load.preemptible.any { it.priority < highestPriority }
             if (!hasCapacity && !isReleasing && !isPreemptible) continue
             val machine = RemainingCapacity(view, scarcity.reservedOn(view))
             if (hasCapacity) open.add(machine)
-            if (isReleasing) releasing.add(machine)
-            if (isPreemptible) preemptible.add(machine)
+            if (isReleasing) releasingMachines.add(machine)
+            if (isPreemptible) preemptibleMachines.add(machine)
         }
     }
 
-    fun visit() {
+    fun countVisit() {
         machineVisits++
     }
 
-    /** The machines where a task of the job fits now, the most suitable first. Drops machines that are full. */
+    /** The machines that accept a task of the job, the most suitable first. Drops machines that have filled up. */
     fun candidates(spec: JobSpec): List<RemainingCapacity> {
         val fitting = ArrayList<Candidate>()
-        var stillOpen = 0
+        var keptCount = 0
         for (machine in open) {
-            visit()
-            if (!smallestRequest.fitsIn(machine.free)) continue
-            open[stillOpen++] = machine
-            if (scorer.accepts(spec, machine) && machine.view.allows(spec)) {
+            countVisit()
+            if (!minimumRequest.fitsIn(machine.free)) continue
+            open[keptCount++] = machine
+            if (scorer.accepts(spec, machine) && machine.view.permits(spec)) {
                 fitting.add(candidate(spec, machine))
             }
         }
-        open.subList(stillOpen, open.size).clear()
+        open.subList(keptCount, open.size).clear()
         fitting.sortWith(PREFERENCE)
         return fitting.map { it.machine }
     }
@@ -70,7 +70,10 @@
     )
 
     private companion object {
-        /** Written out rather than composed of selectors: it is called for each comparison of each sort. */
+        /**
+         * The lowest penalty first, then the highest affinity, then the fullest machine. Written out rather than built
+         * with `compareBy`, since it runs for every comparison of every sort.
+         */
         val PREFERENCE: Comparator<Candidate> = Comparator { a, b ->
             var order = a.penaltySeconds.compareTo(b.penaltySeconds)
             if (order == 0) order = b.serviceAffinity.compareTo(a.serviceAffinity)
--- a/src/main/kotlin/org/elderhitch/placement/ConfinedGroup.kt
+++ b/src/main/kotlin/org/elderhitch/placement/ConfinedGroup.kt
@@ -5,26 +5,26 @@
 import org.elderhitch.jobs.Priority
 import org.elderhitch.jobs.Resources
 
-/** The work that is confined to the same machine [types], and what of it has no machine yet. */
+/** The jobs that are confined to the same machine [types], and their demand that no machine is allocated to yet. */
 internal class ConfinedGroup(val types: Set<MachineType>) {
     private class Demand(val request: Resources, var tasks: Double)
 
-    /** The tasks of each job that wait or are expected. */
+    /** The waiting and expected tasks by job. */
     private val demands = ArrayList<Demand>()
 
-    /** The highest priority of its jobs. */
+    /** The highest priority of the group's jobs. */
     var priority = Priority.LOW
         private set
 
     val hasDemand: Boolean get() = demands.isNotEmpty()
 
-    /** The weight of all tasks that wait or are expected. */
+    /** The [Resources.weight] of all waiting and expected tasks. */
     val demandWeight: Double get() = demands.sumOf { it.request.weight * it.tasks }
 
-    /** The smallest request that waits or is expected; null if there is none. */
+    /** The request with the least weight of all waiting and expected tasks; null if there are none. */
     val smallestRequest: Resources? get() = demands.minByOrNull { it.request.weight }?.request
 
-    /** Notes a job of the group that runs, waits or is expected. */
+    /** Adds a running, waiting or expected job, which may raise the group's [priority]. */
     fun addJob(spec: JobSpec) {
         priority = maxOf(priority, spec.priority)
     }
@@ -34,22 +34,24 @@
     }
 
     /**
-     * Takes out of the demand what fits into [capacity] and weighs at most [maxWeight], large tasks first; returns the
-     * resources of what was taken.
+     * Removes from the demand the tasks that fit into [capacity] and have at most the total weight [maxWeight], large
+     * tasks first.
+     *
+     * @return the total request of the removed tasks
      */
     fun allocate(capacity: Resources, maxWeight: Double): Resources {
         var remaining = capacity
-        var taken = Resources.NONE
+        var allocated = Resources.NONE
         for (demand in demands.sortedByDescending { it.request.weight }) {
             while (demand.tasks > 0 &&
                 demand.request.fitsIn(remaining) &&
-                taken.weight + demand.request.weight <= maxWeight
+                allocated.weight + demand.request.weight <= maxWeight
             ) {
                 demand.tasks--
                 remaining -= demand.request
-                taken += demand.request
+                allocated += demand.request
             }
         }
-        return taken
+        return allocated
     }
 }
--- a/src/main/kotlin/org/elderhitch/placement/CycleInput.kt
+++ b/src/main/kotlin/org/elderhitch/placement/CycleInput.kt
@@ -11,15 +11,15 @@
 import org.elderhitch.time.MonotonicInstant
 
 /**
- * All that a [SchedulingCycle] decides from.
+ * The input of a [SchedulingCycle].
  *
- * @property quota the usage of the teams; the cycle adds what it places
- * @property reservations capacity that only work of at least the same priority may use
- * @property wholeMachinesNeeded whether some job needs whole machines, or nearly so
- * @property mostlyBooting whether most of the fleet still boots: more capacity will come up than there is
- * @property hostResourcesPerGpu the most that open jobs' tasks use of the other resources per accelerator
- * @property expectedArrivals tasks that are expected to arrive, by class
- * @property bootingMachines how many machines boot, by type
+ * @property quota the resource usage of the teams; the cycle adds what it places
+ * @property reservations capacity that only jobs of at least the same priority may use
+ * @property wholeMachinesNeeded whether some job needs whole machines, or nearly whole ones
+ * @property mostlyBooting whether more machines are booting than are up
+ * @property hostResourcesPerGpu the most CPUs and memory that any open job requests for each GPU
+ * @property expectedArrivals tasks that are expected to be submitted, by job class
+ * @property bootingMachines the number of booting machines by type
  */
 public class CycleInput(
     public val machines: List<MachineView>,
@@ -33,27 +33,28 @@
     public val expectedArrivals: List<ExpectedArrivals> = emptyList(),
     public val bootingMachines: Map<MachineType, Int> = emptyMap(),
 ) {
-    /** The order in which jobs are placed. */
-    internal fun jobOrder(): Comparator<JobView> = compareByDescending<JobView> { it.spec.priority }
+    /** The order in which jobs are placed; see [SchedulingCycle]. */
+    internal fun placementOrder(): Comparator<JobView> = compareByDescending<JobView> { it.spec.priority }
         .thenByDescending { quota.withinGuarantee(it.spec.team, it.spec.resources) }
         .thenByDescending { it.starved }
-        // Where all services start at once, those with the longest fetch start first.
+        // During a cold start all services start at once: the ones with the largest images fetch first.
         .thenByDescending { if (mostlyBooting && it.spec.kind == JobKind.SERVICE) it.spec.imageGb else 0.0 }
         .thenBy { it.due }
         .thenBy { it.revision }
 
-    /** The least that any task here requests, of each resource by itself. */
-    internal fun smallestRequest(): Resources = Resources(
+    /** The component-wise minimum of all requests: a machine with less free of any resource fits no pending task. */
+    internal fun minimumRequest(): Resources = Resources(
         jobs.minOfOrNull { it.spec.resources.cpus } ?: Double.MAX_VALUE,
         jobs.minOfOrNull { it.spec.resources.gpus } ?: Double.MAX_VALUE,
         jobs.minOfOrNull { it.spec.resources.memoryGb } ?: Double.MAX_VALUE,
     )
 
     /**
-     * Whether no machine is left to try the job on, so that one is provisioned for it although it failed everywhere.
-     * Without that, a job that failed on the only machines there were would wait for ever once they are terminated.
+     * Whether no machine is left that the job may be retried on. A machine is then provisioned for the job although it
+     * failed everywhere: otherwise a job that failed on all existing machines would wait forever once those are
+     * terminated.
      */
-    internal fun hasNoMachineToTry(job: JobView): Boolean = machines.none {
+    internal fun hasNoMachineToRetryOn(job: JobView): Boolean = machines.none {
         job.spec.permitsMachine(it.type, it.zone, it.spot) && (job.atFault || job.spec.id !in it.avoidedBy)
     }
 }
@@ -61,23 +62,23 @@
 /**
  * A job with tasks to place.
  *
- * @property revision the revision of the store that the job was submitted with: older jobs have lower ones
+ * @property revision the store revision of the job's submission: older jobs have lower revisions
  * @property pending the indices of the tasks to place
- * @property zones how many of its other tasks may be in each zone, those exiting included
- * @property joinAttempt of a gang: the attempt that waits for replacements; null: the tasks start a new attempt
- * @property due by when the service-level objectives want it started or completed
- * @property probe whether it failed wherever it was tried: it is tried where there is capacity, and nothing is
+ * @property tasksPerZone how many other tasks of the job may be running in each zone, including those that are stopping
+ * @property joinAttempt for a gang, the attempt that needs replacement tasks; null if the tasks start a new attempt
+ * @property due when the job must start or complete to meet its service-level objectives
+ * @property probe whether the job failed wherever it ran: it is retried where capacity is free, but nothing is
  *   preempted or reserved for it
- * @property atFault whether it failed so often that the fault is known to be its own
- * @property late whether it missed the first of its objectives, or will
- * @property starved whether none of its tasks has started for long, at its team's limit: its first task is placed
- *   before the next ones of others of the same priority
+ * @property atFault whether the job failed on so many machines that the job itself is considered faulty
+ * @property late whether the job has missed its first objective, or will miss it
+ * @property starved whether the job has waited long without starting any task while its team is at its limit: its first
+ *   task is placed before further tasks of jobs with the same priority
  */
 public class JobView(
     public val spec: JobSpec,
     public val revision: Revision,
     public val pending: List<Int>,
-    public val zones: Map<Zone, Int>,
+    public val tasksPerZone: Map<Zone, Int>,
     public val joinAttempt: Attempt?,
     public val due: MonotonicInstant = MonotonicInstant.FOREVER,
     public val probe: Boolean = false,
@@ -86,21 +87,21 @@
     public val starved: Boolean = false,
 ) {
     public fun withDue(due: MonotonicInstant, late: Boolean): JobView =
-        JobView(spec, revision, pending, zones, joinAttempt, due, probe, atFault, late)
+        JobView(spec, revision, pending, tasksPerZone, joinAttempt, due, probe, atFault, late)
 
-    /** Splits off the first task of a starved job, so that it is placed before the rest. */
+    /** Splits a starved job into a view of its first task, marked as starved, and a view of the remaining tasks. */
     public fun withFirstTaskApart(): List<JobView> = listOf(
-        JobView(spec, revision, pending.take(1), zones, joinAttempt, due, probe, atFault, late, starved = true),
-        JobView(spec, revision, pending.drop(1), zones, joinAttempt, due, probe, atFault, late),
+        JobView(spec, revision, pending.take(1), tasksPerZone, joinAttempt, due, probe, atFault, late, starved = true),
+        JobView(spec, revision, pending.drop(1), tasksPerZone, joinAttempt, due, probe, atFault, late),
     ).filter { it.pending.isNotEmpty() }
 }
 
-/** Capacity for [tasks] tasks that urgent work finds free at once, rather than have less important work preempted. */
+/** Capacity that is kept free for [tasks] tasks like those of [spec], so that they can start without preemption. */
 public class CapacityReservation(public val spec: JobSpec, public val tasks: Int)
 
 /**
- * The rate at which tasks of a class arrived lately.
+ * The rate at which tasks of a job class were submitted recently.
  *
- * @property spec the latest job of the class
+ * @property spec the most recent job of the class
  */
 public class ExpectedArrivals(public val spec: JobSpec, public val tasksPerS: Double)
--- a/src/main/kotlin/org/elderhitch/placement/CycleOutput.kt
+++ b/src/main/kotlin/org/elderhitch/placement/CycleOutput.kt
@@ -8,12 +8,13 @@
 import org.elderhitch.settings.Zone
 
 /**
- * What a [SchedulingCycle] decided.
+ * The decisions of a [SchedulingCycle].
  *
- * @property preempted tasks to stop
- * @property machineVisits how often a machine was looked at: bounds the cost of the cycle on any processor
- * @property scarceTypes the sets of types that some work is confined to while other work could run elsewhere
- * @property reservedMachines how many machines are reserved for such work
+ * @property preempted the tasks to stop
+ * @property machineVisits how often a machine was examined: a measure of the cycle's cost that does not depend on the
+ *   speed of the processor
+ * @property scarceTypes the sets of machine types that some jobs are confined to while other jobs can run elsewhere too
+ * @property reservedMachines how many machines are reserved for confined jobs
  */
 public class CycleOutput(
     public val placed: List<PlacementDecision>,
@@ -27,12 +28,12 @@
 /**
  * A task and the machine to start it on.
  *
- * @property joinAttempt of a gang: the attempt that the task joins; null: it starts a new one
+ * @property joinAttempt for a gang, the attempt that the task joins; null if it starts a new attempt
  */
 public data class PlacementDecision(val task: TaskId, val machine: MachineId, val joinAttempt: Attempt?)
 
 /**
- * Tasks that no machine has capacity for, though their team's limit allows them: new machines are provisioned for them.
+ * Tasks that their team's limit allows but that no machine has capacity for: new machines are provisioned for them.
  *
  * @property zones how many tasks of the job are in each zone
  */
--- a/src/main/kotlin/org/elderhitch/placement/FittingTypes.kt
+++ b/src/main/kotlin/org/elderhitch/placement/FittingTypes.kt
@@ -6,12 +6,12 @@
 import org.elderhitch.jobs.Resources
 
 /**
- * Which of the given machine types can take a task of a job at all.
+ * The machine types on which a task of a job fits when the machine is empty.
  *
- * @param capacities the types to choose from, with the resources of a machine of each
+ * @param capacities the types to choose from, with the total resources of a machine of each type
  */
 internal class FittingTypes(private val capacities: Map<MachineType, Resources>) {
-    /** Asked for many times per job and scheduling cycle. */
+    /** Avoids recomputation: the types of a job are needed many times per scheduling cycle. */
     private val cache = HashMap<JobId, Set<MachineType>>()
 
     fun of(spec: JobSpec): Set<MachineType> = cache.getOrPut(spec.id) {
@@ -22,8 +22,8 @@
 
     companion object {
         /**
-         * Whether work that fits on the types [fitting] is *flexible* on the [scarce] types: it could use some of them,
-         * but also run where work that is confined to those can't.
+         * Whether a job that fits on the types [fitting] is *flexible* on the [scarce] types: it can use some of them,
+         * but also types that jobs confined to the scarce types cannot use.
          */
         fun isFlexible(fitting: Set<MachineType>, scarce: Set<MachineType>): Boolean =
             fitting.any { it in scarce } && !scarce.containsAll(fitting)
--- a/src/main/kotlin/org/elderhitch/placement/MachineView.kt
+++ b/src/main/kotlin/org/elderhitch/placement/MachineView.kt
@@ -12,11 +12,11 @@
 import org.elderhitch.time.MonotonicInstant
 
 /**
- * A machine as a scheduling cycle sees it. Immutable, so that it can be reused by the next cycles until something
- * changes on the machine.
+ * A snapshot of a machine for scheduling cycles. Immutable, so that later cycles can reuse it until something on the
+ * machine changes.
  *
- * @property capacity all resources of a machine of its type
- * @property avoidedBy jobs that failed here lately and are placed elsewhere
+ * @property capacity the total resources of a machine of this type
+ * @property avoidedBy jobs that failed on the machine recently and must be placed elsewhere
  */
 public class MachineView(
     public val id: MachineId,
@@ -28,16 +28,16 @@
     public val load: MachineLoad,
     public val avoidedBy: Set<JobId> = emptySet(),
 ) {
-    /** Whether tasks of the job may run here, whatever the load. */
-    internal fun allows(spec: JobSpec): Boolean = spec.permitsMachine(type, zone, spot) && spec.id !in avoidedBy
+    /** Whether tasks of the job may run on the machine, regardless of its load. */
+    internal fun permits(spec: JobSpec): Boolean = spec.permitsMachine(type, zone, spot) && spec.id !in avoidedBy
 }
 
 /**
  * The images of a machine.
  *
- * @property cached the images that are on the machine
- * @property fetchGbPerS the rate of fetches in GB per second, which concurrent fetches may share
- * @property fetching what is still to be fetched, in GB by image, for tasks that are there or on their way
+ * @property cached the images that are present on the machine
+ * @property fetchGbPerS the rate at which images are fetched, in GB per second; concurrent fetches may share it
+ * @property fetching the images that are being fetched, or are to be fetched for assigned tasks, with the remaining GB
  */
 public class MachineImages(
     public val cached: Set<Image>,
@@ -46,28 +46,29 @@
 )
 
 /**
- * What the tasks on a machine use and leave of it.
+ * The use of a machine's resources by its tasks.
  *
- * @property free resources that no task holds
- * @property releasing resources that stopping tasks will release
- * @property preemptible tasks that may be stopped for more important ones
- * @property serviceWeight what services use, as [Resources.weight]; services stay, while other tasks complete
- * @property empty whether no task is there: a gang could use the whole machine, or it could be terminated
- * @property occupants all tasks that are there or on their way
+ * @property free the resources that no task holds
+ * @property releasing the resources that stopping tasks will release
+ * @property preemptible the tasks that may be stopped for tasks of higher priority
+ * @property serviceWeight the [Resources.weight] of the services on the machine, which run until they are cancelled
+ * @property isEmpty whether the machine has no task: a gang could use all of it, or the machine could be terminated
+ * @property occupants all tasks that are on the machine or assigned to it
  */
 public class MachineLoad(
     public val free: Resources,
     public val releasing: Resources,
     public val preemptible: List<PreemptionCandidate>,
     public val serviceWeight: Double,
-    public val empty: Boolean,
+    public val isEmpty: Boolean,
     public val occupants: List<Occupant> = emptyList(),
 )
 
 /**
- * A task that may be stopped for a more important one.
+ * A task that may be stopped for a task of higher priority.
  *
- * @property unsavedSince the work since then is lost if the task is stopped; null: next to nothing is lost
+ * @property unsavedSince the start of the work that is lost if the task is stopped; null if the task can checkpoint and
+ *   loses next to nothing
  */
 public class PreemptionCandidate(
     public val task: TaskId,
@@ -77,8 +78,8 @@
 )
 
 /**
- * A task that is on a machine or on its way there.
+ * A task that is on a machine or assigned to it.
  *
- * @property until when the task is expected to complete
+ * @property expectedEnd when the task is expected to complete
  */
-public class Occupant(public val spec: JobSpec, public val until: MonotonicInstant)
+public class Occupant(public val spec: JobSpec, public val expectedEnd: MonotonicInstant)
--- a/src/main/kotlin/org/elderhitch/placement/Preemption.kt
+++ b/src/main/kotlin/org/elderhitch/placement/Preemption.kt
@@ -7,7 +7,7 @@
 import org.elderhitch.settings.Zone
 import kotlin.time.DurationUnit
 
-/** Frees capacity for more important tasks by stopping less important ones, at the least cost. */
+/** Frees capacity for tasks by stopping tasks of lower priority, at the lowest cost. */
 internal class Preemption(
     private val input: CycleInput,
     private val index: CandidateIndex,
@@ -17,27 +17,32 @@
     private val lateJobs: Set<JobId> = input.jobs.filter { it.late }.mapTo(HashSet()) { it.spec.id }
 
     /**
-     * Claims capacity for one task on a machine that [usable] accepts: some that is being released, or some that is
-     * released by preempting tasks.
+     * Claims capacity for one task on a machine that [isUsable] accepts. Capacity that stopping tasks are about to
+     * release is preferred; otherwise tasks are preempted.
      *
-     * @return whether the capacity will come
+     * @return whether capacity was claimed, so that the task can start once it is released
      */
-    fun makeRoom(spec: JobSpec, zones: MutableMap<Zone, Int>, usable: (RemainingCapacity) -> Boolean): Boolean {
-        val accepted = { machine: RemainingCapacity ->
-            index.visit()
-            machine.view.allows(spec) && spec.zoneAllows(zones, machine.view.zone) && usable(machine)
+    fun claimOrPreempt(
+        spec: JobSpec,
+        tasksPerZone: MutableMap<Zone, Int>,
+        isUsable: (RemainingCapacity) -> Boolean,
+    ): Boolean {
+        val isAccepted = { machine: RemainingCapacity ->
+            index.countVisit()
+            machine.view.permits(spec) && spec.zoneAllows(tasksPerZone, machine.view.zone) && isUsable(machine)
         }
-        val machine = index.releasing.firstOrNull { spec.resources.fitsIn(it.free + it.releasing) && accepted(it) }
-            ?: preemptCheapest(spec, accepted)
+        val machine = index.releasingMachines
+            .firstOrNull { spec.resources.fitsIn(it.free + it.releasing) && isAccepted(it) }
+            ?: preemptCheapest(spec, isAccepted)
             ?: return false
         claim(machine, spec)
-        zones.merge(machine.view.zone, 1, Int::plus)
+        tasksPerZone.merge(machine.view.zone, 1, Int::plus)
         return true
     }
 
     /**
-     * Claims what a task needs of the free resources and of those being released, so that nothing less important is
-     * placed there meanwhile.
+     * Deducts a task's request from the free resources of the machine, and the rest from those being released, so that
+     * no lower-ranked task is placed there in the meantime.
      */
     fun claim(machine: RemainingCapacity, spec: JobSpec) {
         val fromFree = Resources(
@@ -49,46 +54,49 @@
         machine.releasing -= spec.resources - fromFree
     }
 
-    /** Stops the tasks on the machine. */
+    /** Stops [victims] on the machine. */
     fun preempt(machine: RemainingCapacity, victims: List<PreemptionCandidate>) {
         for (victim in victims) {
             machine.preemptible.remove(victim)
             machine.releasing += victim.request
             decisions.preempted.add(victim.task)
         }
-        index.releasing.add(machine)
+        index.releasingMachines.add(machine)
     }
 
-    /** Preempts on one machine: one that has the image, or will have it first, then one where it costs least. */
-    private fun preemptCheapest(spec: JobSpec, accepted: (RemainingCapacity) -> Boolean): RemainingCapacity? {
+    /**
+     * Preempts tasks on one machine: the one that has the job's image soonest and, among equals, the one with the
+     * lowest [cost].
+     */
+    private fun preemptCheapest(spec: JobSpec, isAccepted: (RemainingCapacity) -> Boolean): RemainingCapacity? {
         var best: RemainingCapacity? = null
         var bestVictims: List<PreemptionCandidate> = emptyList()
-        var bestFetch = Double.MAX_VALUE
-        for (machine in index.preemptible) {
-            if (!hasPreemptible(machine, spec.priority) || !accepted(machine)) continue
+        var bestFetchSeconds = Double.MAX_VALUE
+        for (machine in index.preemptibleMachines) {
+            if (!hasPreemptible(machine, spec.priority) || !isAccepted(machine)) continue
             val victims = victims(machine, spec, spec.priority) ?: continue
-            val fetch = scorer.fetchSeconds(spec, machine)
-            val cheaper = best == null ||
-                fetch < bestFetch ||
-                (fetch == bestFetch && cost(victims, spec.resources) < cost(bestVictims, spec.resources))
-            if (cheaper) {
+            val fetchSeconds = scorer.fetchSeconds(spec, machine)
+            val isCheaper = best == null ||
+                fetchSeconds < bestFetchSeconds ||
+                (fetchSeconds == bestFetchSeconds && cost(victims, spec.resources) < cost(bestVictims, spec.resources))
+            if (isCheaper) {
                 best = machine
                 bestVictims = victims
-                bestFetch = fetch
+                bestFetchSeconds = fetchSeconds
             }
         }
         return best?.also { preempt(it, bestVictims) }
     }
 
-    /** Whether some task on the machine has a priority below the given one and could be preempted. */
+    /** Whether the machine has a preemptible task with a priority below [below]. */
     fun hasPreemptible(machine: RemainingCapacity, below: Priority): Boolean {
-        val lowest = machine.lowestPreemptible
+        val lowest = machine.lowestPreemptiblePriority
         return lowest != null && lowest < below
     }
 
     /**
-     * The tasks with a priority below [below] that are to be stopped on the machine so that a task of the job fits;
-     * null if it would not fit then either.
+     * The tasks with a priority below [below] that must be stopped on the machine so that a task of the job
+     * fits; null if it would not fit even then.
      */
     fun victims(machine: RemainingCapacity, spec: JobSpec, below: Priority): List<PreemptionCandidate>? {
         val chosen = ArrayList<PreemptionCandidate>()
@@ -102,40 +110,42 @@
     }
 
     /**
-     * The least important first, then few large ones rather than many small, but none much larger than the request,
-     * then those that lose least.
+     * Orders victims: the lowest priority first, then those that are not much larger than the request, then large ones,
+     * so that few rather than many are stopped, then those that lose least.
      */
     private fun cheapestFirst(request: Resources): Comparator<PreemptionCandidate> = compareBy(
         { it.priority },
-        { it.request.weight > request.weight * MUCH_LARGER },
+        { it.request.weight > request.weight * OVERSIZED_VICTIM_RATIO },
         { -it.request.weight },
         { lossSeconds(it) },
     )
 
     /**
-     * What preempting the tasks costs their users, in seconds: each is restarted somewhere, and repeats what was not
-     * saved. A task several times as large as the request that it is stopped for loses as many times more work.
+     * The cost of preempting the tasks, in seconds: each is restarted elsewhere and repeats its unsaved work. A
+     * task that is larger than the request loses more work by the same factor.
      */
     fun cost(victims: List<PreemptionCandidate>, request: Resources): Double = victims.sumOf {
-        (RESTART_S + lossSeconds(it)) *
+        (RESTART_COST_S + lossSeconds(it)) *
             maxOf(1.0, it.request.weight / request.weight)
     }
 
     /**
-     * What a task loses, in seconds. Tasks of jobs that are late already are cheaper: a job that is in time may become
-     * late by one task that is restarted.
+     * The loss if a task is stopped: its unsaved work, and a surcharge unless its job is late already, since restarting
+     * a single task can make a job late.
      */
     private fun lossSeconds(victim: PreemptionCandidate): Double =
-        unsavedSeconds(victim) + if (victim.task.job in lateJobs) 0.0 else IN_TIME_S
+        unsavedSeconds(victim) + if (victim.task.job in lateJobs) 0.0 else ON_TIME_JOB_COST_S
 
     private fun unsavedSeconds(victim: PreemptionCandidate): Double =
         victim.unsavedSince?.let { (input.now - it).toDouble(DurationUnit.SECONDS) } ?: 0.0
 
     private companion object {
-        const val RESTART_S = 10.0
+        const val RESTART_COST_S = 10.0
+
+        /** The cost of stopping a task of a job that is not late, in addition to the unsaved work. */
+        const val ON_TIME_JOB_COST_S = 30.0
 
-        /** What a restart of a job's task costs if the job is in time, on top of the work that is lost. */
-        const val IN_TIME_S = 30.0
-        const val MUCH_LARGER = 2.0
+        /** A victim of more than this multiple of the request's weight is stopped only after smaller ones. */
+        const val OVERSIZED_VICTIM_RATIO = 2.0
     }
 }
--- a/src/main/kotlin/org/elderhitch/placement/RemainingCapacity.kt
+++ b/src/main/kotlin/org/elderhitch/placement/RemainingCapacity.kt
@@ -4,23 +4,24 @@
 import org.elderhitch.jobs.Resources
 
 /**
- * What a scheduling cycle has left of a machine, after what it placed and preempted there so far.
+ * The capacity that remains on a machine after the placements and preemptions of the current scheduling cycle.
  *
- * @property reserved what of the free resources is still reserved for work that could run nowhere else
+ * @property reserved the part of the machine's resources that is still reserved for jobs confined to its type; see
+ *   [ScarceCapacity]
  */
 internal class RemainingCapacity(val view: MachineView, var reserved: Resources) {
     var free = view.load.free
     var releasing = view.load.releasing
     var serviceWeight = view.load.serviceWeight
-    var empty = view.load.empty
+    var isEmpty = view.load.isEmpty
 
-    /** What is still to be fetched to the machine, in GB. */
+    /** The size of all image data that is still to be fetched to the machine. */
     var pendingFetchGb = view.images.fetching.values.sum()
 
-    /** Images that are being fetched, those for tasks placed in this scheduling cycle included. */
+    /** Images that are being fetched, including those for tasks placed in this scheduling cycle. */
     val fetchingImages = HashSet(view.images.fetching.keys)
     val preemptible = ArrayList(view.load.preemptible)
 
-    /** The lowest priority among the tasks that could be preempted here; null if there is none. */
-    val lowestPreemptible: Priority? = view.load.preemptible.minOfOrNull { it.priority }
+    /** The lowest priority of all preemptible tasks on the machine; null if there are none. */
+    val lowestPreemptiblePriority: Priority? = view.load.preemptible.minOfOrNull { it.priority }
 }
--- a/src/main/kotlin/org/elderhitch/placement/ScarceCapacity.kt
+++ b/src/main/kotlin/org/elderhitch/placement/ScarceCapacity.kt
@@ -8,18 +8,19 @@
 import kotlin.time.DurationUnit
 
 /**
- * Capacity that is reserved for work that could run nowhere else, decided from the types that are up and from what
- * waits, runs and arrived lately. Two things make capacity scarce:
+ * Reserves capacity for jobs that cannot run elsewhere, based on the machine types that are up and on the waiting,
+ * running and recently submitted jobs. Two kinds of capacity are scarce:
  *
- * * an accelerator: tasks that use none leave the other resources that a machine's free accelerators need
- *   ([CycleInput.hostResourcesPerGpu]);
- * * a type: work that fits only on some types is *confined* to them ([ConfinedGroup]), and work that could also run
- *   elsewhere is *flexible* there. Confined work that waits, or is expected to arrive by the time that flexible tasks
- *   complete, is assigned on paper to the machines that flexible tasks leave first. That capacity is *reserved*:
- *   flexible tasks there complete and aren't followed by others, so that large enough parts of a machine come free.
+ * * GPUs: tasks that use none must leave the CPUs and memory that the free GPUs of a machine need
+ *   ([CycleInput.hostResourcesPerGpu]).
+ * * Machine types: a job that fits only on some types is *confined* to them ([ConfinedGroup]), and a job that fits on
+ *   some of them and on others too is *flexible* there. Confined tasks that wait, or are expected to arrive before the
+ *   flexible tasks complete, are provisionally assigned to the machines from which flexible tasks will be gone first.
+ *   That capacity is *reserved*: flexible tasks on it run to completion but are not followed by others, so that large
+ *   enough parts of a machine become free.
  *
- * Where flexible work is late as well and there isn't capacity for both, the machines are shared in proportion to the
- * demand: neither is kept out for long.
+ * If flexible jobs are late too and the capacity does not suffice for both, the machines are divided in proportion to
+ * demand, so that neither kind waits for long.
  */
 public class ScarceCapacity(private val input: CycleInput) {
     private class Reservation(val group: ConfinedGroup, val resources: Resources)
@@ -31,39 +32,39 @@
     private val groups = LinkedHashMap<Set<MachineType>, ConfinedGroup>()
     private val reservations = HashMap<MachineId, Reservation>()
 
-    /** The sets of types that some work is confined to, the smallest first. */
+    /** The sets of types that some jobs are confined to, the smallest first. */
     public val scarceTypes: List<Set<MachineType>>
 
     public val reservedMachineCount: Int get() = reservations.size
 
     init {
-        // With a single type none is scarcer than the others.
+        // With a single type no job is confined.
         if (capacities.size > 1) collectGroups()
         val smallestFirst = groups.values.sortedBy { it.types.size }
         scarceTypes = smallestFirst.map { it.types }
         smallestFirst.forEach(::reserve)
     }
 
-    /** The resources of a machine that are reserved for confined work. */
+    /** The resources of a machine that are reserved for confined jobs. */
     public fun reservedOn(machine: MachineView): Resources = reservations[machine.id]?.resources ?: Resources.NONE
 
-    /** Whether the machine has a reservation, and the job is flexible there and so may not use it. */
-    public fun isReservedAgainst(spec: JobSpec, machine: MachineView): Boolean =
+    /** Whether the machine has a reservation that the job may not use, because the job is flexible there. */
+    public fun isReservedForOthers(spec: JobSpec, machine: MachineView): Boolean =
         reservations[machine.id]?.let { isFlexible(spec, it.group) } ?: false
 
-    /** Whether the machine's type is scarce and the job could run on other types as well. */
+    /** Whether the machine's type is scarce and the job can also run on other types. */
     public fun isFlexible(spec: JobSpec, machine: MachineView): Boolean =
         scarceTypes.any { machine.type in it && FittingTypes.isFlexible(fittingTypes.of(spec), it) }
 
     /**
-     * Whether a task that fits into the free resources may have them. Jobs more important than the confined work may
-     * use what is reserved too: otherwise they would preempt less important tasks elsewhere.
+     * Whether a task of the job may use the free resources that it fits into. Jobs with a higher priority than the
+     * confined jobs may use reserved resources too: otherwise they would preempt tasks elsewhere.
      *
      * @param free the machine's free resources
-     * @param reserved what of the machine's resources is still reserved for confined work
+     * @param reserved the part of the machine's resources that is still reserved for confined jobs
      */
     public fun admits(spec: JobSpec, machine: MachineView, free: Resources, reserved: Resources): Boolean {
-        if (!leavesAcceleratorsUsable(spec, machine.capacity, free)) return false
+        if (!leavesGpusUsable(spec, machine.capacity, free)) return false
         val group = reservations[machine.id]?.group ?: return true
         return !isFlexible(spec, group) || spec.priority > group.priority || spec.resources.fitsIn(free - reserved)
     }
@@ -72,13 +73,13 @@
         FittingTypes.isFlexible(fittingTypes.of(spec), group.types)
 
     /**
-     * Whether the task uses accelerators, or leaves the other resources that the free accelerators of the machine need.
+     * Whether the task uses GPUs itself, or leaves the CPUs and memory that the free GPUs of the machine need.
      *
-     * Thousands of small tasks would use the processors of all machines otherwise, and the accelerators would stand
-     * idle: capacity for one larger task would never come together, since each small task that completes is followed
-     * by another. Tasks too large for what is left of an empty machine are exempt, or they would never run.
+     * Otherwise thousands of small tasks could use the CPUs of all machines and leave the GPUs idle: each small task
+     * that completes is followed by another, so the capacity for a larger task never becomes free at once. A task that
+     * does not fit beside the GPUs of an empty machine is exempt, since it could never run.
      */
-    private fun leavesAcceleratorsUsable(spec: JobSpec, capacity: Resources, free: Resources): Boolean {
+    private fun leavesGpusUsable(spec: JobSpec, capacity: Resources, free: Resources): Boolean {
         if (spec.resources.gpus > 0 || free.gpus <= 0 || input.hostResourcesPerGpu == Resources.NONE) return true
         return spec.resources.fitsIn(free - hostResources(free.gpus)) ||
             !spec.resources.fitsIn(capacity - hostResources(capacity.gpus))
@@ -99,7 +100,7 @@
         }
     }
 
-    /** The group of the job, made when first asked for; null if the job fits on no type or on all. */
+    /** The group of the job, created on first use; null if the job fits on no type or on all types. */
     private fun confinedGroup(spec: JobSpec): ConfinedGroup? {
         val fitting = fittingTypes.of(spec)
         if (fitting.isEmpty() || fitting.size == capacities.size) return null
@@ -108,7 +109,10 @@
         return group
     }
 
-    /** How many seconds it takes until flexible tasks complete: capacity is reserved for what arrives until then. */
+    /**
+     * For how long ahead capacity is reserved for expected tasks: half the average remaining run time of the flexible
+     * tasks, limited to a range.
+     */
     private fun horizonSeconds(group: ConfinedGroup): Double {
         var sum = 0.0
         var flexibleTasks = 0
@@ -116,36 +120,47 @@
             if (machine.type !in group.types) continue
             for (occupant in machine.load.occupants) {
                 if (!isFlexible(occupant.spec, group)) continue
-                sum += (occupant.until - input.now).toDouble(DurationUnit.SECONDS)
+                sum += (occupant.expectedEnd - input.now).toDouble(DurationUnit.SECONDS)
                 flexibleTasks++
             }
         }
         return if (flexibleTasks == 0) {
-            LEAST_HORIZON_S
+            MIN_HORIZON_S
         } else {
-            (sum / flexibleTasks / 2).coerceIn(LEAST_HORIZON_S, MOST_HORIZON_S)
+            (sum / flexibleTasks / 2).coerceIn(MIN_HORIZON_S, MAX_HORIZON_S)
         }
     }
 
-    /** A machine that may be reserved; [freeAt]: when the group's smallest request fits on it. */
-    private class ReservationChoice(val machine: MachineView, val freeAt: MonotonicInstant, val resources: Resources)
+    /**
+     * A machine that may be reserved.
+     *
+     * @property availableAt when the group's smallest request is expected to fit on the machine
+     * @property resources the resources that remain for the group once the flexible tasks have completed
+     */
+    private class ReservationCandidate(
+        val machine: MachineView,
+        val availableAt: MonotonicInstant,
+        val resources: Resources,
+    )
 
-    /** Reserves machines for the group, those first that are free soonest and then those with the least capacity. */
+    /** Reserves machines for the group: those that are available soonest, then those with the least capacity. */
     private fun reserve(group: ConfinedGroup) {
         if (!group.hasDemand) return
         val machines = input.machines.filter { it.type in group.types && it.id !in reservations }
         var remainingWeight = maxReservedWeight(group, machines)
         allocateToBootingMachines(group)
         val smallestRequest = group.smallestRequest ?: return
-        val choices = machines.map { choice(it, group, smallestRequest) }
+        val candidates = machines.map { candidate(it, group, smallestRequest) }
             .sortedWith(
-                compareBy<ReservationChoice> { it.freeAt }.thenBy { it.resources.weight }.thenBy { it.machine.id },
+                compareBy<ReservationCandidate> { it.availableAt }
+                    .thenBy { it.resources.weight }
+                    .thenBy { it.machine.id },
             )
-        for (choice in choices) {
-            val reserved = group.allocate(choice.resources, remainingWeight)
+        for (candidate in candidates) {
+            val reserved = group.allocate(candidate.resources, remainingWeight)
             if (reserved == Resources.NONE) continue
             remainingWeight -= reserved.weight
-            reservations[choice.machine.id] = Reservation(group, reserved)
+            reservations[candidate.machine.id] = Reservation(group, reserved)
         }
     }
 
@@ -158,23 +173,24 @@
     }
 
     /**
-     * How much of the machines may be reserved, as [Resources.weight]: all of it, or, where late flexible work wants
-     * more than the rest, the part that corresponds to what the confined work holds and asks for. That counts
-     * [CONFINED_SHARE] times, since flexible work has other machines to itself. So each gets at least half of its part.
+     * How much of the machines may be reserved, as [Resources.weight]: all of it or, if late flexible jobs want more
+     * than the confined jobs leave, the share that corresponds to what the confined jobs hold and request. That amount
+     * is multiplied by [CONFINED_DEMAND_FACTOR], since flexible jobs have other machines to themselves. Each kind thus
+     * gets at least half of its proportional share.
      */
     private fun maxReservedWeight(group: ConfinedGroup, machines: List<MachineView>): Double {
         val total = machines.sumOf { it.capacity.weight }
         val flexible = flexibleWeight(group, machines)
         val held = heldWeight(group, machines)
-        val confined = (held + group.demandWeight) * CONFINED_SHARE
-        return if (confined / CONFINED_SHARE + flexible <= total) {
+        val confined = (held + group.demandWeight) * CONFINED_DEMAND_FACTOR
+        return if (confined / CONFINED_DEMAND_FACTOR + flexible <= total) {
             total
         } else {
             total * confined / (confined + flexible) - held
         }
     }
 
-    /** What late flexible work asks for, and all flexible tasks hold; 0 if none is late. */
+    /** The weight that late flexible jobs request and that all flexible tasks hold; 0 if no flexible job is late. */
     private fun flexibleWeight(group: ConfinedGroup, machines: List<MachineView>): Double {
         val waiting = input.jobs.sumOf {
             if (it.late && isFlexible(it.spec, group)) it.spec.resources.weight * it.pending.size else 0.0
@@ -185,7 +201,7 @@
         }
     }
 
-    /** What tasks that aren't flexible hold of the machines. */
+    /** The weight that tasks of jobs that are not flexible hold on the machines. */
     private fun heldWeight(group: ConfinedGroup, machines: List<MachineView>): Double {
         var held = 0.0
         for (machine in machines) {
@@ -196,8 +212,11 @@
         return held
     }
 
-    /** What flexible and stopping tasks will leave of a machine, and when [smallestRequest] fits there. */
-    private fun choice(machine: MachineView, group: ConfinedGroup, smallestRequest: Resources): ReservationChoice {
+    private fun candidate(
+        machine: MachineView,
+        group: ConfinedGroup,
+        smallestRequest: Resources,
+    ): ReservationCandidate {
         var resources = machine.capacity
         val flexible = ArrayList<Occupant>()
         for (occupant in machine.load.occupants) {
@@ -207,29 +226,30 @@
                 resources -= occupant.spec.resources
             }
         }
-        return ReservationChoice(machine, freeAt(machine, flexible, smallestRequest), resources)
+        return ReservationCandidate(machine, availableAt(machine, flexible, smallestRequest), resources)
     }
 
-    private fun freeAt(
+    /** When [smallestRequest] fits on the machine, if the tasks in [flexible] end as expected. */
+    private fun availableAt(
         machine: MachineView,
         flexible: MutableList<Occupant>,
         smallestRequest: Resources,
     ): MonotonicInstant {
         var free = machine.load.free + machine.load.releasing
-        var freeAt = input.now
-        if (smallestRequest.fitsIn(free)) return freeAt
-        flexible.sortBy { it.until }
+        var availableAt = input.now
+        if (smallestRequest.fitsIn(free)) return availableAt
+        flexible.sortBy { it.expectedEnd }
         for (occupant in flexible) {
             free += occupant.spec.resources
-            freeAt = maxOf(freeAt, occupant.until)
+            availableAt = maxOf(availableAt, occupant.expectedEnd)
             if (smallestRequest.fitsIn(free)) break
         }
-        return freeAt
+        return availableAt
     }
 
     private companion object {
-        const val CONFINED_SHARE = 1.5
-        const val LEAST_HORIZON_S = 5.0
-        const val MOST_HORIZON_S = 20.0
+        const val CONFINED_DEMAND_FACTOR = 1.5
+        const val MIN_HORIZON_S = 5.0
+        const val MAX_HORIZON_S = 20.0
     }
 }
--- a/src/main/kotlin/org/elderhitch/placement/SchedulingCycle.kt
+++ b/src/main/kotlin/org/elderhitch/placement/SchedulingCycle.kt
@@ -3,16 +3,17 @@
 import org.elderhitch.jobs.JobKind
 
 /**
- * One scheduling cycle: a pure function from a [CycleInput] to a [CycleOutput], apart from the input's quota ledger,
- * which gets what is placed.
+ * One scheduling cycle: a pure function from a [CycleInput] to a [CycleOutput], except that placed tasks are added to
+ * the input's quota ledger.
  *
- * Jobs are placed one after the other in the order of [CycleInput.jobOrder]: by priority, then those within their
- * team's guarantee, then the first tasks of starved jobs, then by due time, then by age. Each task goes to the machine
- * with the lowest [MachineScorer.penaltySeconds], of equals to the fullest one that it fits on; for services
- * [MachineScorer.serviceAffinity] comes before that.
+ * Jobs are placed one after the other in the order of [CycleInput.placementOrder]: by priority, then jobs within their
+ * team's guarantee, then the first tasks of starved jobs, then services with large images while most of the fleet is
+ * booting, then by due time, then by age. Each task goes to the machine with the lowest
+ * [MachineScorer.penaltySeconds]. Ties go to the machine with the highest [MachineScorer.serviceAffinity], then to the
+ * one with the least free capacity.
  *
- * Free resources only shrink within a scheduling cycle, so that most of the fleet is looked at only once: see
- * [CandidateIndex]. A job goes through its candidates once, and machines that did not fit aren't tried again.
+ * Free resources only shrink within a scheduling cycle, so most of the fleet is examined only once: see
+ * [CandidateIndex]. A job goes through its candidates once, and machines that did not fit are not retried.
  */
 public class SchedulingCycle(private val input: CycleInput) {
     private val scarcity = ScarceCapacity(input)
@@ -23,10 +24,10 @@
     private val taskPlacer = TaskPlacer(input, index, scorer, preemption, decisions)
     private val gangPlacer = GangPlacer(input, index, preemption, decisions)
 
-    /** Runs the cycle; to be called once. */
+    /** Runs the cycle. Must be called only once. */
     public fun decide(): CycleOutput {
         val reservations = ArrayDeque(input.reservations.sortedByDescending { it.spec.priority })
-        for (job in input.jobs.sortedWith(input.jobOrder())) {
+        for (job in input.jobs.sortedWith(input.placementOrder())) {
             while (reservations.isNotEmpty() && reservations.first().spec.priority > job.spec.priority) {
                 reserve(reservations.removeFirst())
             }
@@ -42,7 +43,7 @@
         )
     }
 
-    /** Withholds capacity from the jobs that are placed after this. */
+    /** Deducts the reserved capacity from machines, so that jobs that are placed later cannot use it. */
     private fun reserve(reservation: CapacityReservation) {
         val request = reservation.spec.resources
         val candidates = index.candidates(reservation.spec)
--- a/src/main/kotlin/org/elderhitch/quota/PlacementConstraints.kt
+++ b/src/main/kotlin/org/elderhitch/quota/PlacementConstraints.kt
@@ -5,13 +5,12 @@
 import org.elderhitch.settings.Zone
 
 /**
- * Where the tasks of a job may run.
+ * The machines on which the tasks of a job may run.
  *
- * @property types the machine types that are allowed; null: all
- * @property zone the only zone that is allowed; null: all
- * @property spot whether spot machines are allowed
+ * @property types the allowed machine types; null if all are allowed
+ * @property zone the only allowed zone; null if all are allowed
  */
-public data class PlacementConstraints(val types: Set<MachineType>?, val zone: Zone?, val spot: Boolean) {
+public data class PlacementConstraints(val types: Set<MachineType>?, val zone: Zone?, val spotAllowed: Boolean) {
     public companion object {
         public fun of(spec: JobSpec): PlacementConstraints = PlacementConstraints(
             spec.types,
--- a/src/main/kotlin/org/elderhitch/quota/QuotaLedger.kt
+++ b/src/main/kotlin/org/elderhitch/quota/QuotaLedger.kt
@@ -5,10 +5,10 @@
 import org.elderhitch.settings.TeamName
 
 /**
- * The resources that each team's tasks use, against the team's limits and guarantees. It counts tasks that are still
- * stopping, and never counts resources as free before they surely are.
+ * The resource usage of each team, checked against the team's limit and guarantee. Tasks that are still stopping count
+ * as usage: resources are released only once it is certain that no task uses them.
  *
- * @param reserved added to the usage of every team: what unresponsive workers may run, while that isn't settled
+ * @param reserved an amount added to the usage of every team, for tasks that may be running on unresponsive workers
  */
 public class QuotaLedger(private val teams: Map<TeamName, Team>, private val reserved: Resources) {
     private data class DemandKey(val team: TeamName, val constraints: PlacementConstraints)
@@ -20,7 +20,7 @@
     /**
      * Adds to the usage of the team.
      *
-     * @param service whether a service uses it, which ends only when its user cancels it
+     * @param service whether the request is for a service, which runs until its user cancels it
      */
     public fun add(team: TeamName, request: Resources, service: Boolean = false) {
         usage[team] = usage(team) + request
@@ -31,31 +31,31 @@
         usage[team] = usage(team) - request
     }
 
-    /** What the team uses, without what is reserved. */
+    /** The team's usage without the reserved amount. */
     public fun usage(team: TeamName): Resources = usage[team] ?: Resources.NONE
 
     /**
-     * Counts a request that waits for machines, if the team's limit allows it together with all requests that were
-     * counted before with the same constraints.
+     * Records a request that waits for machines, if the team's limit allows it together with all requests recorded
+     * before with the same constraints.
      *
-     * Only such requests are worth new machines: else all jobs behind a team's last free slot would have machines
-     * provisioned that the limit lets nobody use. Requests with other constraints are counted apart: if no machine is
-     * to be had for those, they must not use up the limit.
+     * Machines are provisioned only for recorded requests. Otherwise machines would be provisioned for every job that
+     * waits behind the last free part of a team's limit, although the limit lets no task use them. Requests with
+     * different constraints are counted separately: those that no machine is available for must not use up the limit.
      *
-     * @return false if the limit leaves no room for the request, so that machines for it would be of no use
+     * @return false if the limit excludes the request, so that a machine for it would stay unused
      */
     public fun addDemand(team: TeamName, request: Resources, constraints: PlacementConstraints): Boolean {
         val key = DemandKey(team, constraints)
-        val counted = demand[key] ?: Resources.NONE
-        if (!allows(team, counted + request)) return false
-        demand[key] = counted + request
+        val recorded = demand[key] ?: Resources.NONE
+        if (!allows(team, recorded + request)) return false
+        demand[key] = recorded + request
         return true
     }
 
-    /** Whether the team's limit allows the request on top of what it uses. */
+    /** Whether the team's limit allows the request on top of the team's usage. */
     public fun allows(team: TeamName, request: Resources): Boolean = withinLimit(team, usage(team) + reserved + request)
 
-    /** Whether the team's limit would allow the request once all its tasks but those of services had completed. */
+    /** Whether the team's limit would allow the request if only the team's services were running. */
     public fun allowsBesideServices(team: TeamName, request: Resources): Boolean = withinLimit(
         team,
         (serviceUsage[team] ?: Resources.NONE) + reserved + request,
@@ -67,7 +67,7 @@
             (limits.mostGpus == null || total.gpus <= limits.mostGpus + ROUNDING_TOLERANCE)
     }
 
-    /** Whether the team would be within its guarantee with the request on top of what it uses. */
+    /** Whether the request on top of the team's usage is within the team's guarantee. */
     public fun withinGuarantee(team: TeamName, request: Resources): Boolean {
         val guarantee = teams[team] ?: return false
         if (guarantee.guaranteedCpus <= 0 && guarantee.guaranteedGpus <= 0) return false
@@ -77,7 +77,7 @@
     }
 
     private companion object {
-        /** Sums of decimal amounts differ in the last bits. */
+        /** Tolerates floating-point rounding in sums of decimal amounts. */
         const val ROUNDING_TOLERANCE = 1e-6
     }
 }
--- a/src/test/kotlin/org/elderhitch/placement/CycleFixture.kt
+++ b/src/test/kotlin/org/elderhitch/placement/CycleFixture.kt
@@ -18,15 +18,15 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Builders of a scheduling cycle's input, for tests: one team, and machines of one size. */
+/** Builds input of scheduling cycles for tests: a single team, and machines of the same size. */
 internal object CycleFixture {
-    /** The resources of a machine, whatever its type. */
+    /** The total resources of every machine, regardless of its type. */
     val machineCapacity = Resources(48.0, 8.0, 384.0)
 
-    /** The request of a task unless a test says otherwise. */
+    /** The default request of a task. */
     val taskRequest = Resources(4.0, 1.0, 30.0)
 
-    /** A request that takes nearly a whole machine. */
+    /** A request for nearly a whole machine. */
     val wholeMachineRequest = Resources(43.0, 8.0, 230.0)
     val team = TeamName("team")
 
@@ -49,7 +49,7 @@
         10.seconds, Duration.ZERO, Duration.ZERO, null,
     )
 
-    /** A service of production that runs on demand machines only. */
+    /** A service of production priority that runs on on-demand machines only. */
     fun productionService(id: Int, tasks: Int = 1, imageGb: Double = 1.0) =
         spec(id, JobKind.SERVICE, tasks, Priority.PRODUCTION, spot = false, imageGb = imageGb)
 
@@ -72,10 +72,10 @@
         spot,
         machineCapacity,
         MachineImages(images, fetchGbPerS, fetching),
-        MachineLoad(free, releasing, preemptible, serviceWeight, empty = free == machineCapacity),
+        MachineLoad(free, releasing, preemptible, serviceWeight, isEmpty = free == machineCapacity),
     )
 
-    /** Tasks of one job that may be preempted. */
+    /** Preemptible tasks of a single job. */
     fun preemptible(
         count: Int,
         priority: Priority,
@@ -89,10 +89,10 @@
     fun job(
         spec: JobSpec,
         revision: Long = 1,
-        zones: Map<Zone, Int> = emptyMap(),
+        tasksPerZone: Map<Zone, Int> = emptyMap(),
         due: MonotonicInstant = MonotonicInstant.FOREVER,
         probe: Boolean = false,
-    ) = JobView(spec, Revision(revision), (0 until spec.tasks).toList(), zones, null, due, probe)
+    ) = JobView(spec, Revision(revision), (0 until spec.tasks).toList(), tasksPerZone, null, due, probe)
 
     fun decide(machines: List<MachineView>, jobs: List<JobView>, quota: QuotaLedger = quota()) =
         SchedulingCycle(CycleInput(machines, jobs, quota)).decide()
--- a/src/test/kotlin/org/elderhitch/placement/GangPlacementTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/GangPlacementTest.kt
@@ -17,7 +17,7 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
 
-/** How a scheduling cycle places gangs, and what it reserves for them. */
+/** How a scheduling cycle places gangs and reserves machines and quota for them. */
 class GangPlacementTest {
     private val busyRequest = Resources(5.0, 1.0, 27.0)
 
@@ -30,11 +30,11 @@
     )
 
     @Test
-    fun `machines that a gang could use are reserved when it waits for others`() {
+    fun `machines that a gang can use are reserved while it waits for more`() {
         val gang = job(spec(1, JobKind.GANG, 2, Priority.HIGH, wholeMachineRequest, oneZone = true), revision = 2)
         val array = job(spec(2, tasks = 8), revision = 1)
         assertEquals(emptyList(), decide(listOf(machine("m1")), listOf(gang, array)).placed)
-        // Once the gang has its zone, machines elsewhere are free for others.
+        // Once the gang fits in one zone, the machines of other zones are free for other jobs.
         val output = decide(
             listOf(machine("m1", "a"), machine("m2", "b"), machine("m3", "b"), machine("m4", "c")),
             listOf(gang, array),
@@ -46,24 +46,24 @@
         assertEquals(8, output.placed.count { it.task.job == array.spec.id })
     }
 
-    /** Seen: two thirds of the gangs started within 30 s beside low-priority tasks; the rest waited for boots. */
+    /** Without preemption only two thirds of the gangs started within 30 s; the rest waited for machines to boot. */
     @Test
-    fun `low-priority tasks are preempted for a gang when that frees all machines that it needs`() {
+    fun `low-priority tasks are preempted for a gang only if that frees all machines that it needs`() {
         val gang = job(spec(1, JobKind.GANG, 2, Priority.HIGH, wholeMachineRequest, oneZone = true, spot = false))
-        val one = listOf(
+        val tooFew = listOf(
             busy("1", "a", Priority.LOW),
             busy("2", "b", Priority.LOW),
             busy("3", "a", Priority.NORMAL),
             busy("4", "a", Priority.LOW, spot = true),
         )
-        assertTrue(decide(one, listOf(gang)).let { it.preempted.isEmpty() && it.unplaced.size == 1 })
-        val two = one + busy("5", "b", Priority.LOW, 3) + busy("6", "a", Priority.LOW)
-        val output = decide(two, listOf(gang))
+        assertTrue(decide(tooFew, listOf(gang)).let { it.preempted.isEmpty() && it.unplaced.size == 1 })
+        val enough = tooFew + busy("5", "b", Priority.LOW, 3) + busy("6", "a", Priority.LOW)
+        val output = decide(enough, listOf(gang))
         assertEquals(setOf("req-92", "req-95"), output.preempted.map { it.job.text }.toSet())
         assertEquals(11, output.preempted.size)
         assertTrue(output.placed.isEmpty() && output.unplaced.isEmpty())
-        // While they stop, nothing else is preempted, and less important work doesn't use what is free there.
-        val stopping = two.map {
+        // While they stop, nothing else is preempted, and jobs of lower priority do not use what is free there.
+        val stopping = enough.map {
             if (it.id.text in setOf("2", "5")) {
                 machine(it.id.text, "b", free = it.load.free, releasing = machineCapacity - it.load.free)
             } else {
@@ -75,21 +75,22 @@
         assertTrue(next.preempted.isEmpty() && next.placed.none { it.machine.text in setOf("2", "5") })
     }
 
-    /** Gangs of a team at its limit starved beside its arrays: quota that came free went to single tasks. */
+    /** Guards against starving gangs of a team at its limit: released quota went to single tasks of its arrays. */
     @Test
-    fun `quota that comes free is reserved for a gang when that is placed first`() {
+    fun `released quota is reserved for a gang that comes first in the placement order`() {
         val gang =
             job(spec(1, JobKind.GANG, tasks = 2, priority = Priority.HIGH, resources = Resources(40.0, 8.0, 300.0)))
         val array = job(spec(2, tasks = 50), revision = 2)
         val machines = List(8) { machine("m$it") }
-        fun ledger(used: Double, service: Boolean) = quota(24.0).apply { add(team, Resources(0.0, used, 0.0), service) }
+        fun ledger(usedGpus: Double, service: Boolean) =
+            quota(24.0).apply { add(team, Resources(0.0, usedGpus, 0.0), service) }
         assertEquals(
             emptyList(),
             decide(machines, listOf(gang, array), ledger(12.0, service = false)).placed,
-            "it waits for four more",
+            "the gang waits for four more GPUs",
         )
         assertEquals(2 + 8, decide(machines, listOf(gang, array), ledger(0.0, service = false)).placed.size)
-        // Services end only when cancelled: nothing waits behind a gang that waits for that.
+        // Services end only when they are cancelled: no quota is reserved for a gang that would have to wait for that.
         assertEquals(12, decide(machines, listOf(gang, array), ledger(12.0, service = true)).placed.size)
     }
 }
--- a/src/test/kotlin/org/elderhitch/placement/JobOrderAndQuotaTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/JobOrderAndQuotaTest.kt
@@ -18,10 +18,10 @@
 import kotlin.test.assertTrue
 import kotlin.time.Duration.Companion.seconds
 
-/** The order in which a scheduling cycle places jobs, and the quota and reservations that it keeps. */
+/** The order in which a scheduling cycle places jobs, and the limits and reservations that it enforces. */
 class JobOrderAndQuotaTest {
     @Test
-    fun `capacity reserved for production is used by production alone when other jobs wait`() {
+    fun `capacity reserved for production is used only by production jobs`() {
         val service = productionService(1)
         fun placed(job: JobView) = SchedulingCycle(
             CycleInput(listOf(machine("m1")), listOf(job), quota(), listOf(CapacityReservation(service, 3))),
@@ -31,7 +31,7 @@
     }
 
     @Test
-    fun `quota is withheld when unresponsive workers may use it`() {
+    fun `quota that unresponsive workers may be using is not given to other tasks`() {
         val output = decide(
             listOf(machine("m1")),
             listOf(job(spec(1, tasks = 8))),
@@ -41,7 +41,7 @@
     }
 
     @Test
-    fun `the job that is due sooner is placed first when priorities are equal`() {
+    fun `of jobs with equal priority the one that is due sooner is placed first`() {
         val now = MonotonicInstant(0) + 1000.seconds
         val large = job(spec(1, tasks = 1000, resources = taskRequest), revision = 1, due = now + 400.seconds)
         val small = job(spec(2, tasks = 8), revision = 2, due = now + 180.seconds)
@@ -50,22 +50,23 @@
     }
 
     /**
-     * Seen (drawn day 103, simulated machines): a team that used 999 of 1,000 accelerators had one free and no machine;
-     * 414 machines were provisioned for all tasks that waited behind it, and terminated.
+     * Guards against provisioning machines that a team's limit lets nobody use. In simulated day 103 a team used 999 of
+     * its 1,000 GPUs; 414 machines were provisioned for all tasks that waited for the last one, and terminated unused.
      */
     @Test
-    fun `unplaced tasks are reported when the team's limit lets them run`() {
+    fun `only unplaced tasks that the team's limit allows are reported`() {
         val jobs = List(6) { job(spec(it, tasks = 50), revision = it + 1L) }
-        for (left in 1..9) {
-            val output = decide(listOf(machine("m1", free = Resources(48.0, 3.0, 384.0))), jobs, quota(left.toDouble()))
-            assertEquals(minOf(left, 3), output.placed.size)
-            assertEquals(left - minOf(left, 3), output.unplaced.sumOf { it.count }, "$left accelerators left")
+        for (freeGpus in 1..9) {
+            val output =
+                decide(listOf(machine("m1", free = Resources(48.0, 3.0, 384.0))), jobs, quota(freeGpus.toDouble()))
+            assertEquals(minOf(freeGpus, 3), output.placed.size)
+            assertEquals(freeGpus - minOf(freeGpus, 3), output.unplaced.sumOf { it.count }, "$freeGpus GPUs free")
         }
         val gangs = List(4) {
             job(spec(it, JobKind.GANG, tasks = 2, resources = Resources(40.0, 8.0, 300.0)), revision = it + 1L)
         }
         assertEquals(2, decide(emptyList(), gangs, quota(40.0)).unplaced.size)
-        // Tasks that wait for a zone without machines keep no others from being reported.
+        // Tasks that wait for a zone without machines do not prevent the report of others.
         val otherZone = job(spec(8, tasks = 50, zone = Zone("b")), revision = 1)
         assertEquals(
             mapOf("req-8" to 9, "req-9" to 5),
@@ -75,7 +76,7 @@
     }
 
     @Test
-    fun `the first task of a starved job is placed before others when they are not more important`() {
+    fun `the first task of a starved job is placed before other tasks of the same priority`() {
         val starved = job(spec(1, tasks = 40), revision = 9, due = MonotonicInstant(0) + 900.seconds)
             .withFirstTaskApart()
         assertEquals(listOf(1, 39), starved.map { it.pending.size })
--- a/src/test/kotlin/org/elderhitch/placement/MachineChoiceTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/MachineChoiceTest.kt
@@ -23,13 +23,13 @@
 /** Which machines a scheduling cycle places tasks on. */
 class MachineChoiceTest {
     @Test
-    fun `tasks that may run elsewhere count when spread and zone are checked`() {
+    fun `tasks of the job that are already placed count towards its zone constraints`() {
         val machines = listOf(machine("a1", "a"), machine("b1", "b"))
         val spread = JobView(
             spec(1, JobKind.SERVICE, 3, spread = true, spot = false),
             Revision(1),
             pending = listOf(2),
-            zones = mapOf(Zone("a") to 2),
+            tasksPerZone = mapOf(Zone("a") to 2),
             joinAttempt = null,
         )
         assertEquals(listOf(MachineId("b1")), decide(machines, listOf(spread)).placed.map { it.machine })
@@ -37,7 +37,7 @@
             spec(2, JobKind.GANG, 2, oneZone = true),
             Revision(1),
             pending = listOf(1),
-            zones = mapOf(Zone("b") to 1),
+            tasksPerZone = mapOf(Zone("b") to 1),
             joinAttempt = null,
         )
         assertEquals(listOf(MachineId("b1")), decide(machines, listOf(oneZone)).placed.map { it.machine })
@@ -53,25 +53,30 @@
             MachineId("m3"),
             decide(listOf(emptier(), fuller(), warm), listOf(job(spec(2)))).placed.single().machine,
         )
-        // A short fetch is no reason to open a machine that a gang could have whole.
+        // Avoiding a short fetch does not justify using an empty machine, which a gang could use as a whole.
         val emptyWarm = machine("m4", images = setOf(Image("img")))
         assertEquals(MachineId("m2"), decide(listOf(emptyWarm, fuller()), listOf(job(spec(3)))).placed.single().machine)
     }
 
     @Test
-    fun `services leave half a machine to preemptible work unless other jobs need whole machines`() {
-        fun half() = machine("m1", free = machineCapacity - Resources(16.0, 4.0, 120.0), serviceWeight = 26.0)
-        fun less() = machine("m2", free = machineCapacity - Resources(16.0, 4.0, 120.0), serviceWeight = 5.0)
+    fun `services leave half a machine to preemptible tasks unless other jobs need whole machines`() {
+        fun halfServices() = machine("m1", free = machineCapacity - Resources(16.0, 4.0, 120.0), serviceWeight = 26.0)
+        fun fewServices() = machine("m2", free = machineCapacity - Resources(16.0, 4.0, 120.0), serviceWeight = 5.0)
         val service = job(productionService(1))
-        fun chosen(whole: Boolean) = SchedulingCycle(
-            CycleInput(listOf(half(), less()), listOf(service), quota(), wholeMachinesNeeded = whole),
+        fun chosenMachine(wholeMachinesNeeded: Boolean) = SchedulingCycle(
+            CycleInput(
+                listOf(halfServices(), fewServices()),
+                listOf(service),
+                quota(),
+                wholeMachinesNeeded = wholeMachinesNeeded,
+            ),
         ).decide().placed.single().machine
-        assertEquals(MachineId("m2"), chosen(whole = false))
-        assertEquals(MachineId("m1"), chosen(whole = true))
+        assertEquals(MachineId("m2"), chosenMachine(wholeMachinesNeeded = false))
+        assertEquals(MachineId("m1"), chosenMachine(wholeMachinesNeeded = true))
     }
 
     @Test
-    fun `services go to machines with services when other machines are fuller`() {
+    fun `services are packed onto machines with services even if other machines are fuller`() {
         val fullOfTasks = machine("m1", free = machineCapacity - Resources(28.0, 7.0, 210.0))
         val someServices = machine("m2", free = machineCapacity - Resources(8.0, 2.0, 60.0), serviceWeight = 10.0)
         val service = job(productionService(1))
@@ -85,9 +90,12 @@
         )
     }
 
-    /** Seen: replicas of a dozen images, lost with a zone, on two machines that then fetched for four minutes. */
+    /**
+     * Guards against concentrating fetches: after a zone failed, replicas with a dozen images were placed on two
+     * machines, which then fetched for four minutes.
+     */
     @Test
-    fun `fetches are spread over machines when each would slow the others`() {
+    fun `services that must fetch different images are spread over machines`() {
         val part = machineCapacity - taskRequest
         val machines = List(6) { machine("m$it", free = part) }
         val jobs = List(6) {
@@ -109,37 +117,41 @@
     }
 
     /**
-     * Seen: 25,000 tasks of a quarter of a processor on all machines; the accelerators beside them could not be used.
+     * Guards against idle GPUs: 25,000 tasks that request a quarter of a CPU each used the CPUs of all machines, so no
+     * task could use the GPUs.
      */
     @Test
-    fun `small tasks leave the processors that free accelerators need when they use no accelerators`() {
+    fun `tasks that use no GPUs leave the CPUs that the free GPUs need`() {
         val hostResourcesPerGpu = Resources(5.0, 0.0, 36.0)
         val small = spec(1, tasks = 1000, resources = Resources(0.25, 0.0, 1.8))
-        val photos = spec(2, tasks = 8, resources = Resources(5.0, 1.0, 36.0))
+        val gpuTasks = spec(2, tasks = 8, resources = Resources(5.0, 1.0, 36.0))
         fun cycle(jobs: List<JobView>, machine: MachineView) =
             SchedulingCycle(CycleInput(listOf(machine), jobs, quota(), hostResourcesPerGpu = hostResourcesPerGpu))
                 .decide().placed
         val first = cycle(listOf(job(small)), machine("m"))
-        assertEquals(32, first.size, "8 of 48 processors are left beside eight accelerators")
+        assertEquals(32, first.size, "8 of 48 CPUs remain beside the 8 GPUs")
         val left = machineCapacity - small.resources * first.size
-        assertEquals(8, cycle(listOf(job(photos)), machine("m", free = left)).size)
+        assertEquals(8, cycle(listOf(job(gpuTasks)), machine("m", free = left)).size)
         val busy = machine("m", free = Resources(8.0, 0.0, 96.0))
-        assertEquals(32, cycle(listOf(job(small)), busy).size, "with all accelerators taken the rest is free for all")
+        assertEquals(32, cycle(listOf(job(small)), busy).size, "all CPUs may be used when no GPU is free")
         assertEquals(
             1,
             cycle(listOf(job(spec(3, resources = Resources(16.0, 0.0, 64.0)))), machine("m")).size,
-            "too large for what is left, ever",
+            "a task that never fits beside the GPUs is exempt",
         )
         assertEquals(
             192,
             SchedulingCycle(CycleInput(listOf(machine("m")), listOf(job(small)), quota())).decide().placed.size,
-            "nobody uses accelerators",
+            "no job uses GPUs",
         )
     }
 
-    /** Seen: whoever came later fetched 21 GB anew, since the machines that had them were full of services. */
+    /**
+     * Guards against slow cold starts: services that were placed later fetched 21 GB again elsewhere, since machines
+     * that had their images were full of services.
+     */
     @Test
-    fun `services use half of a machine, the longest fetch first, when most of the fleet boots`() {
+    fun `while most of the fleet boots, services use half of a machine and the largest images come first`() {
         val services = List(4) {
             val spec = spec(it, JobKind.SERVICE, 4, Priority.PRODUCTION, image = "img$it", imageGb = 5.0 + it)
             job(spec, revision = it + 1L)
@@ -151,16 +163,20 @@
         assertEquals(listOf(3, 2, 1).map { JobId("req-$it") }, output.placed.map { it.task.job }.distinct())
         assertTrue(
             output.placed.groupBy { it.machine }.values.all { it.size == 5 },
-            "five take 25 of 28, which is half",
+            "five services weigh 25, and half a machine weighs 28",
         )
         assertEquals(6, output.unplaced.sumOf { it.count })
-        assertEquals(16, decide(machines, services).placed.size, "later nothing is held back")
+        assertEquals(16, decide(machines, services).placed.size, "no capacity is held back after the cold start")
         val warm = machine(
             "m",
             free = machineCapacity - taskRequest * 4,
             images = setOf(Image("img0")),
             serviceWeight = 20.0,
         )
-        assertEquals(4, whileBooting(listOf(services[0]), listOf(warm)).placed.size, "where the image is, nobody waits")
+        assertEquals(
+            4,
+            whileBooting(listOf(services[0]), listOf(warm)).placed.size,
+            "a machine with the image is used at once",
+        )
     }
 }
--- a/src/test/kotlin/org/elderhitch/placement/PreemptionTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/PreemptionTest.kt
@@ -25,7 +25,7 @@
 /** Which tasks a scheduling cycle preempts, and for which jobs. */
 class PreemptionTest {
     @Test
-    fun `a task preempts only tasks of lower priority when no machine has capacity`() {
+    fun `a task that no machine has capacity for preempts only tasks of lower priority`() {
         fun full(priority: Priority) =
             machine("m1", free = Resources(0.0, 0.0, 0.0), preemptible = preemptible(8, priority))
         val urgent = job(productionService(1))
@@ -36,7 +36,7 @@
     }
 
     @Test
-    fun `a service preempts tasks on a machine with its image when the fetch to another takes long`() {
+    fun `a service preempts tasks on a machine with its image if fetching the image elsewhere takes longer`() {
         val victims = preemptible(8, Priority.LOW)
         fun warm(releasing: Resources = Resources.NONE) = machine(
             "m1",
@@ -48,32 +48,35 @@
         fun service(gb: Double) = job(productionService(1, imageGb = gb))
         val long = decide(listOf(warm(), machine("m2")), listOf(service(50.0)))
         assertEquals(0 to 1, long.placed.size to long.preempted.size)
-        assertTrue(long.unplaced.isEmpty(), "nothing is to be provisioned for it")
+        assertTrue(long.unplaced.isEmpty(), "no machine is provisioned for it")
         val short = decide(listOf(warm(), machine("m2")), listOf(service(5.0)))
         assertEquals(1 to 0, short.placed.size to short.preempted.size)
-        // Capacity that is already being released is waited for, and nothing more is preempted.
+        // If enough capacity is already being released, nothing more is preempted.
         val second = decide(listOf(warm(releasing = taskRequest), machine("m2")), listOf(service(50.0)))
         assertEquals(0 to 0, second.placed.size to second.preempted.size)
     }
 
     @Test
-    fun `a service joins a fetch that is nearly complete when another machine would begin one`() {
+    fun `a service joins a fetch of its image that is nearly complete, rather than start another`() {
         val service = job(productionService(1, imageGb = 20.0))
         val victims = preemptible(4, Priority.LOW)
-        fun joining(leftGb: Double) = machine(
+        fun fetchingMachine(remainingGb: Double) = machine(
             "joined",
             free = Resources.NONE,
             preemptible = victims,
-            fetching = mapOf(Image("img") to leftGb),
+            fetching = mapOf(Image("img") to remainingGb),
             fetchGbPerS = 0.25,
         )
         val empty = machine("empty", fetchGbPerS = 0.25)
-        assertEquals(1, decide(listOf(joining(5.0), empty), listOf(service)).preempted.size)
-        assertEquals("empty", decide(listOf(joining(19.0), empty), listOf(service)).placed.single().machine.text)
+        assertEquals(1, decide(listOf(fetchingMachine(5.0), empty), listOf(service)).preempted.size)
+        assertEquals(
+            "empty",
+            decide(listOf(fetchingMachine(19.0), empty), listOf(service)).placed.single().machine.text,
+        )
     }
 
     @Test
-    fun `nothing is preempted, reserved or provisioned for a job when it failed wherever it was tried`() {
+    fun `nothing is preempted, reserved or provisioned for a job that failed wherever it ran`() {
         val victims = preemptible(8, Priority.LOW)
         val machine = machine("m", free = Resources(16.0, 0.0, 100.0), preemptible = victims)
         for (kind in listOf(JobKind.ARRAY, JobKind.GANG)) {
@@ -84,9 +87,9 @@
         }
     }
 
-    /** Seen: eight of 800 small jobs were restarted again and again, each time after minutes without a checkpoint. */
+    /** Guards against restarting the same eight of 800 small jobs repeatedly, each after minutes of unsaved work. */
     @Test
-    fun `tasks that lose least are preempted, and small ones only when large ones do not suffice`() {
+    fun `tasks that lose least are preempted, and small ones only if large ones do not suffice`() {
         val now = MonotonicInstant(0) + 1000.seconds
         val gang = job(spec(1, JobKind.GANG, priority = Priority.HIGH, resources = wholeMachineRequest, spot = false))
         fun busy(id: String, since: MonotonicInstant?): MachineView {
@@ -106,23 +109,23 @@
         assertEquals(
             (0..11).toSet(),
             preempted.filter { it.job.text == "req-small2" }.map { it.index }.toSet(),
-            "those that ran for least",
+            "the small tasks with the least unsaved work",
         )
         assertEquals(19, preempted.size)
     }
 
     /**
-     * Seen: 102 starts for the 51 tasks of a job that had room from its first second; and 35 tasks of 32 CPUs stopped
-     * in a day for tasks of 4.
+     * Guards against costly victims: a job whose 51 tasks all had capacity from its first second needed 102 starts, and
+     * in one day 35 tasks of 32 CPUs were stopped for tasks of 4.
      */
     @Test
-    fun `preemption spares jobs in time and much larger tasks when others can be stopped`() {
+    fun `preemption spares jobs that are not late and much larger tasks if others can be stopped`() {
         val now = MonotonicInstant(0) + 1000.seconds
-        fun victim(job: String, request: Resources, since: Int) = PreemptionCandidate(
+        fun victim(job: String, request: Resources, unsavedSeconds: Int) = PreemptionCandidate(
             TaskId(JobId("req-$job"), 0),
             Priority.NORMAL,
             request,
-            now - since.seconds,
+            now - unsavedSeconds.seconds,
         )
         val small = Resources(4.0, 0.0, 6.0)
         val urgent = job(spec(1, priority = Priority.HIGH, resources = small))
@@ -136,7 +139,7 @@
         assertEquals(
             listOf("req-9"),
             preemptedJobs(full(victim("9", small, 1), victim("8", small, 45))),
-            "not at any price",
+            "a late job is spared if it would lose much more work",
         )
         val large = victim("7", Resources(32.0, 0.0, 56.0), 5)
         assertEquals(listOf("req-9"), preemptedJobs(full(large, victim("9", small, 60))))
--- a/src/test/kotlin/org/elderhitch/placement/ScarceCapacityTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/ScarceCapacityTest.kt
@@ -21,6 +21,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
+/** How a scheduling cycle reserves machines for jobs that are confined to certain machine types. */
 class ScarceCapacityTest {
     private val small = MachineType("small")
     private val large = MachineType("large")
@@ -52,7 +53,7 @@
                 Resources.NONE,
                 emptyList(),
                 serviceWeight = 0.0,
-                empty = occupants.isEmpty(),
+                isEmpty = occupants.isEmpty(),
                 occupants = occupants.toList(),
             ),
         )
@@ -76,15 +77,15 @@
         bootingMachines = booting,
     )
 
-    private fun flexibleTasks(count: Int, until: MonotonicInstant) =
-        Array(count) { Occupant(spec("small$it", smallRequest), until) }
+    private fun flexibleTasks(count: Int, expectedEnd: MonotonicInstant) =
+        Array(count) { Occupant(spec("small$it", smallRequest), expectedEnd) }
 
     /**
-     * Seen: each small task that ended on a large machine was followed by another, and a task of half the machine
-     * waited 243 s.
+     * Guards against starving large tasks: each small task that ended on a large machine was followed by another, and a
+     * task that needs half of such a machine waited 243 s.
      */
     @Test
-    fun `a large machine whose flexible tasks complete first is not filled again when a large task waits`() {
+    fun `the large machine whose flexible tasks complete first is not refilled with them while a large task waits`() {
         val soon = machine("l1", large, *flexibleTasks(16, now + 5.seconds).drop(1).toTypedArray())
         val later = machine("l2", large, *flexibleTasks(16, now + 90.seconds).drop(1).toTypedArray())
         val jobs = listOf(job(spec("small", smallRequest, 10)), job(spec("large", largeRequest), 2))
@@ -98,11 +99,11 @@
         val alone = SchedulingCycle(
             input(listOf(soon, later, machine("s1", small)), listOf(job(spec("small", smallRequest, 10)))),
         ).decide()
-        assertEquals(4, alone.placed.size, "with nothing large in sight the large machines are for all")
+        assertEquals(4, alone.placed.size, "without large tasks all jobs may use the large machines")
     }
 
     @Test
-    fun `small tasks go to empty machines without the image when large tasks fit only on the others`() {
+    fun `small tasks avoid the machine type that large tasks are confined to, even if the other machine is empty`() {
         val input =
             input(
                 listOf(
@@ -115,23 +116,23 @@
     }
 
     @Test
-    fun `capacity is reserved for large tasks when they are expected before flexible tasks complete`() {
+    fun `capacity is reserved for large tasks that are expected before flexible tasks complete`() {
         val idle = List(4) { machine("l$it", large) } + machine("s", small, *flexibleTasks(2, now + 9.seconds))
-        fun placed(perS: Double, booting: Int) = SchedulingCycle(
+        fun placedCount(tasksPerS: Double, booting: Int) = SchedulingCycle(
             input(
                 idle,
                 listOf(job(spec("small", smallRequest, 100))),
-                listOf(ExpectedArrivals(spec("large", largeRequest), perS)),
+                listOf(ExpectedArrivals(spec("large", largeRequest), tasksPerS)),
                 mapOf(large to booting),
             ),
         ).decide().placed.size
-        assertEquals(64, placed(0.0, 0))
-        assertEquals(48, placed(0.4, 0), "two tasks are expected within the least horizon")
-        assertEquals(64, placed(0.4, 1), "a machine that boots will take them")
+        assertEquals(64, placedCount(0.0, 0))
+        assertEquals(48, placedCount(0.4, 0), "two tasks are expected within the minimum horizon")
+        assertEquals(64, placedCount(0.4, 1), "the expected tasks fit on the booting machine")
     }
 
     @Test
-    fun `more important work uses reserved capacity last when nothing else is free`() {
+    fun `jobs of higher priority use reserved capacity only after all other capacity`() {
         val machines = listOf(machine("l1", large), machine("s1", small))
         val urgent = job(spec("truck", smallRequest, 4, Priority.HIGH))
         val output = SchedulingCycle(input(machines, listOf(urgent, job(spec("large", largeRequest, 2), 2)))).decide()
@@ -142,7 +143,7 @@
     }
 
     @Test
-    fun `nothing is reserved when all types take all work, or only one type is up`() {
+    fun `nothing is reserved if all jobs fit on all types, or only one type is up`() {
         val jobs = listOf(job(spec("small", smallRequest, 40)), job(spec("large", largeRequest), 2))
         assertEquals(
             emptyList(),
@@ -156,7 +157,7 @@
         )
     }
 
-    /** The tasks that run on the machines of the contested type while cycle follows cycle, by machine. */
+    /** Simulates consecutive scheduling cycles in which large and small tasks compete for the large machines. */
     private inner class ContestedMachines(private val random: Random) {
         val machineCount = random.nextInt(4, 20)
         val largeTasks = random.nextInt(machineCount * 2, machineCount * 8)
@@ -164,7 +165,7 @@
         private val running = HashMap<String, MutableList<Occupant>>()
 
         fun runCycle(at: MonotonicInstant) {
-            running.values.forEach { occupants -> occupants.removeAll { it.until <= at } }
+            running.values.forEach { occupants -> occupants.removeAll { it.expectedEnd <= at } }
             val contested =
                 List(machineCount) { machine("l$it", large, *running["l$it"].orEmpty().toTypedArray()) }
             val others = listOf(machine("s", small, *flexibleTasks(2, at + 1000.seconds)))
@@ -174,25 +175,25 @@
             )
             for (placed in SchedulingCycle(input(contested + others, jobs, at = at)).decide().placed) {
                 val spec = jobs.first { it.spec.id == placed.task.job }.spec
-                val until = at + (20 + random.nextInt(60)).seconds
-                running.getOrPut(placed.machine.text) { ArrayList() }.add(Occupant(spec, until))
+                val expectedEnd = at + (20 + random.nextInt(60)).seconds
+                running.getOrPut(placed.machine.text) { ArrayList() }.add(Occupant(spec, expectedEnd))
             }
         }
 
-        /** How many tasks with the request run. */
+        /** The number of running tasks with the given request. */
         fun runningTasks(request: Resources): Int =
             running.values.sumOf { occupants -> occupants.count { it.spec.resources == request } }
     }
 
     /**
-     * Both classes ask for more than there is, for ever. Of the contested machines each gets a part in proportion to
-     * what it asks for. Without the share of late flexible work that got none of them, and without reservations the
-     * confined work got none.
+     * Both job classes always request more than the machines have. Each must get a part in proportion to what it
+     * requests. Without a share for late flexible jobs those got nothing, and without reservations the confined
+     * jobs got nothing.
      */
     @Test
-    fun `confined and late flexible work each get half of their part when machines are contested`() {
+    fun `confined and late flexible jobs each get at least half of their share of contested machines`() {
         val random = Random(5)
-        repeat(40) { n ->
+        repeat(40) { round ->
             val machines = ContestedMachines(random)
             var largeHeld = 0.0
             var smallHeld = 0.0
@@ -201,17 +202,17 @@
                 largeHeld += machines.runningTasks(largeRequest)
                 smallHeld += machines.runningTasks(smallRequest)
             }
-            val all = machines.machineCount * 64.0 * STEPS
+            val capacity = machines.machineCount * 64.0 * STEPS
             val large = machines.largeTasks * 32
             val small = machines.smallTasks * 4
-            val asked = machines.largeTasks * 32.0 + machines.smallTasks * 4.0
+            val requested = machines.largeTasks * 32.0 + machines.smallTasks * 4.0
             assertTrue(
-                largeHeld * 32 > all * large / asked * HALF,
-                "$n: confined work held ${largeHeld * 32 / all} of the machines, and asked for ${large / asked}",
+                largeHeld * 32 > capacity * large / requested * HALF,
+                "$round: confined jobs held ${largeHeld * 32 / capacity} of capacity, requested ${large / requested}",
             )
             assertTrue(
-                smallHeld * 4 > all * small / asked * HALF,
-                "$n: flexible work held ${smallHeld * 4 / all} of the machines, and asked for ${small / asked}",
+                smallHeld * 4 > capacity * small / requested * HALF,
+                "$round: flexible jobs held ${smallHeld * 4 / capacity} of capacity, requested ${small / requested}",
             )
         }
     }
--- a/src/test/kotlin/org/elderhitch/placement/SchedulingCycleInvariantsTest.kt
+++ b/src/test/kotlin/org/elderhitch/placement/SchedulingCycleInvariantsTest.kt
@@ -21,10 +21,10 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
 
-/** Limits, placement constraints and capacities hold for large and for random inputs. */
+/** A scheduling cycle enforces limits, placement constraints and capacities for random and for large inputs. */
 class SchedulingCycleInvariantsTest {
     @Test
-    fun `a cycle keeps limits, placement constraints and capacities when its input is random`() {
+    fun `a cycle enforces limits, placement constraints and capacities for random input`() {
         val random = Random(6)
         repeat(400) { cycle ->
             val zones = listOf("a", "b", "c")
@@ -63,11 +63,11 @@
     }
 
     /**
-     * The cost of a cycle must follow the free capacity, not jobs x tasks x machines: that is 12 million looks at a
-     * machine here, and takes a small controller longer than a worker's lease.
+     * The cost of a cycle must grow with the free capacity, not with jobs x tasks x machines: here that would examine
+     * machines 12 million times, which takes a small controller longer than a worker's lease.
      */
     @Test
-    fun `a cycle keeps limits and looks at few machines when a large fleet is full and has a backlog`() {
+    fun `a cycle enforces limits and examines few machines when a large fleet is full and has a backlog`() {
         val random = Random(7)
         repeat(3) { cycle ->
             val task = Resources(5.0, 1.0, 27.0)
@@ -109,15 +109,15 @@
             }
             val output = decide(machines, jobs, quota(200.0))
             assertConstraintsHold("scheduling cycle $cycle", machines, jobs, output, 200.0)
-            assertTrue(output.placed.isNotEmpty(), "scheduling cycle $cycle: nothing placed")
-            // Seen: some 7,900.
+            assertTrue(output.placed.isNotEmpty(), "scheduling cycle $cycle: no task was placed")
+            // Typically about 7,900.
             val visits = output.machineVisits
-            assertTrue(visits < 20_000, "scheduling cycle $cycle: $visits looks at a machine")
+            assertTrue(visits < 20_000, "scheduling cycle $cycle: $visits machine visits")
         }
     }
 
     private fun assertConstraintsHold(
-        what: String,
+        context: String,
         machines: List<MachineView>,
         jobs: List<JobView>,
         output: CycleOutput,
@@ -125,24 +125,27 @@
     ) {
         val specs = jobs.associate { it.spec.id to it.spec }
         val byMachine = machines.associateBy { it.id }
-        assertEquals(output.placed.size, output.placed.map { it.task }.toSet().size, "$what: a task placed twice")
+        assertEquals(output.placed.size, output.placed.map { it.task }.toSet().size, "$context: task placed twice")
         assertTrue(
             output.placed.sumOf { specs.getValue(it.task.job).resources.gpus } <= limit + 1e-6,
-            "$what: over the limit",
+            "$context: the team's limit is exceeded",
         )
         for ((id, placed) in output.placed.groupBy { it.machine }) {
-            val taken = placed.fold(Resources.NONE) { sum, p -> sum + specs.getValue(p.task.job).resources }
-            assertTrue(taken.fitsIn(byMachine.getValue(id).load.free), "$what: $id overfull")
+            val requested = placed.fold(Resources.NONE) { sum, p -> sum + specs.getValue(p.task.job).resources }
+            assertTrue(requested.fitsIn(byMachine.getValue(id).load.free), "$context: the capacity of $id is exceeded")
         }
         for ((id, placed) in output.placed.groupBy { it.task.job }) {
             val spec = specs.getValue(id)
             val where = placed.map { byMachine.getValue(it.machine) }
-            assertTrue(where.all { spec.spotAllowed || !it.spot }, "$what: spot")
-            assertTrue(where.all { spec.zone == null || it.zone == spec.zone }, "$what: zone")
-            assertTrue(where.all { spec.types == null || it.type in spec.types }, "$what: type")
-            if (spec.oneZone) assertEquals(1, where.map { it.zone }.toSet().size, "$what: one zone")
-            assertTrue(where.groupBy { it.zone }.values.all { it.size <= spec.maxTasksPerZone }, "$what: spread")
-            if (spec.kind == JobKind.GANG) assertEquals(spec.tasks, placed.size, "$what: half a gang")
+            assertTrue(where.all { spec.spotAllowed || !it.spot }, "$context: spot machine not allowed")
+            assertTrue(where.all { spec.zone == null || it.zone == spec.zone }, "$context: zone not allowed")
+            assertTrue(where.all { spec.types == null || it.type in spec.types }, "$context: type not allowed")
+            if (spec.oneZone) assertEquals(1, where.map { it.zone }.toSet().size, "$context: several zones")
+            assertTrue(
+                where.groupBy { it.zone }.values.all { it.size <= spec.maxTasksPerZone },
+                "$context: too many tasks in a zone",
+            )
+            if (spec.kind == JobKind.GANG) assertEquals(spec.tasks, placed.size, "$context: gang placed incompletely")
         }
     }
 }
