--- a/src/main/kotlin/org/elderhitch/scheduler/Consolidation.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/Consolidation.kt
@@ -17,35 +17,35 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Drains a machine whose few services fit on other machines. Only services that have run for a while are moved, and
- * only where another machine has each one's image, so that it is away for a stop and a start and not for a fetch.
+ * Drains machines whose services fit on other machines that are in use. Only services that have run for [MIN_RUN_TIME]
+ * are moved, and only to machines that have their image cached, so that they are not interrupted for an image fetch.
  */
 internal class Consolidation(private val table: TaskTable) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
-    private val lastTriedAt = HashMap<MachineId, MonotonicInstant>()
+    private val lastAttemptAt = HashMap<MachineId, MonotonicInstant>()
     private var nextDrainAt = MonotonicInstant.NEVER
 
-    /** Drains the machine if all its tasks may be moved and fit on machines that are usable and already in use. */
+    /** Drains the machine if all its tasks can be moved and fit on usable machines that are already in use. */
     fun drain(machine: MachineId, catalog: Catalog, now: MonotonicInstant, isUsable: (WorkerState) -> Boolean) {
         val worker = table.workers[machine] ?: return
-        if (now < nextDrainAt || wasTriedLately(machine, now)) return
-        lastTriedAt[machine] = now
+        if (now < nextDrainAt || wasAttemptedRecently(machine, now)) return
+        lastAttemptAt[machine] = now
         val placements = worker.placements.values.toList()
         if (placements.isEmpty() || !placements.all { isMovable(it, now) }) return
         val targets = table.workers.values.filter {
             it !== worker && isUsable(it) && it.placements.isNotEmpty() && !it.spot
         }
-        if (!Fitting(targets, catalog).fitsAll(placements)) return
+        if (!TrialPlacement(targets, catalog).fitsAll(placements)) return
         nextDrainAt = now + DRAIN_INTERVAL
-        worker.drainingUntil = now + DRAIN_TIME
+        worker.drainingUntil = now + DRAIN_DURATION
         log.info("machine drained machine={} tasks={}", machine, placements.size)
         for (placement in placements) {
             table.jobs[placement.task.job]?.let { table.stop(it, placement, Duration.ZERO) }
         }
     }
 
-    private fun wasTriedLately(machine: MachineId, now: MonotonicInstant): Boolean =
-        lastTriedAt[machine].let { it != null && now - it < RETRY_INTERVAL }
+    private fun wasAttemptedRecently(machine: MachineId, now: MonotonicInstant): Boolean =
+        lastAttemptAt[machine].let { it != null && now - it < RETRY_INTERVAL }
 
     private fun isMovable(placement: Placement, now: MonotonicInstant): Boolean {
         val job = table.jobs[placement.task.job] ?: return false
@@ -55,24 +55,24 @@
         return isOpenService && isRunning && now - since > MIN_RUN_TIME
     }
 
-    /** A trial placement of services on the [targets], which changes nothing in the table. */
-    private inner class Fitting(private val targets: List<WorkerState>, private val catalog: Catalog) {
+    /** Places services on the [targets] on trial, without changing the task table. */
+    private inner class TrialPlacement(private val targets: List<WorkerState>, private val catalog: Catalog) {
         private val free = HashMap<MachineId, Resources>()
         private val zones = HashMap<JobState, MutableMap<Zone, Int>>()
 
-        fun fitsAll(placements: List<Placement>): Boolean = placements.all(::fits)
+        fun fitsAll(placements: List<Placement>): Boolean = placements.all(::tryPlace)
 
-        private fun fits(placement: Placement): Boolean {
+        private fun tryPlace(placement: Placement): Boolean {
             val job = table.jobs[placement.task.job] ?: return false
             val otherZones = zones.getOrPut(job) { HashMap(job.zones()) }
             otherZones.merge(placement.zone, -1, Int::plus)
-            val target = targets.firstOrNull { accepts(it, job, placement.zone, otherZones) } ?: return false
+            val target = targets.firstOrNull { isSuitable(it, job, placement.zone, otherZones) } ?: return false
             otherZones.merge(target.zone, 1, Int::plus)
             free[target.id] = free.getValue(target.id) - job.spec.resources
             return true
         }
 
-        private fun accepts(
+        private fun isSuitable(
             target: WorkerState,
             job: JobState,
             currentZone: Zone,
@@ -85,26 +85,26 @@
             return zoneAllows &&
                 spec.permitsMachine(target.type, target.zone, target.spot) &&
                 spec.image in target.cachedImages(type.cacheGb) &&
-                spec.resources.fitsIn(free.getOrPut(target.id) { freeOn(target, type) })
+                spec.resources.fitsIn(free.getOrPut(target.id) { freeResources(target, type) })
         }
 
-        private fun freeOn(worker: WorkerState, type: TypeInfo): Resources =
+        private fun freeResources(worker: WorkerState, type: TypeInfo): Resources =
             worker.placements.values.fold(type.resources) { left, placement ->
                 left - (table.jobs[placement.task.job]?.spec?.resources ?: type.resources)
             }
     }
 
     private companion object {
-        /** Starts count once a task has run for half a minute; and what has run for long mostly runs on for long. */
+        /** A start counts only once the task has run for 30 s, and a service that has run long mostly keeps running. */
         val MIN_RUN_TIME = 60.seconds
 
-        /** Between attempts to drain the same machine. */
+        /** The least time between attempts to drain the same machine. */
         val RETRY_INTERVAL = 10.seconds
 
-        /** One machine after the other: each takes some heartbeats to have its tasks started elsewhere. */
+        /** The least time between drains of any machines: restarting the tasks elsewhere takes several heartbeats. */
         val DRAIN_INTERVAL = 4.seconds
 
-        /** For how long no task is placed on a drained machine. */
-        val DRAIN_TIME = 20.seconds
+        /** How long no task is placed on a drained machine. */
+        val DRAIN_DURATION = 20.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/CycleContext.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleContext.kt
@@ -10,28 +10,28 @@
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.time.MonotonicInstant
 
-/** What the input of a scheduling cycle is built from, beside the task table. */
+/** What the input of a scheduling cycle is built from, in addition to the task table. */
 internal class CycleContext(
     val leader: LeadershipState.Leader,
     val now: MonotonicInstant,
     val cloud: CloudView,
-    /** Capacity that less important work leaves free. */
+    /** Capacity that lower-priority work must leave free. */
     val reservations: List<CapacityReservation>,
-    /** What machines that have not been heard from in this term may use of the teams' quotas. */
+    /** The quota that machines which have not reported in this term may be using. */
     val unreportedResources: Resources,
-    /** Whether an unreported task of a job may run on a machine that has not been heard from in this term. */
+    /** Whether an unreported task of a job may be running on a machine that has not reported in this term. */
     val mayRunUnreported: (JobSpec) -> Boolean,
     /** Whether new tasks may be placed on a worker. */
     val isUsable: (WorkerState) -> Boolean,
 )
 
-/** What the cloud offers, and which machines it is starting. */
+/** The machines that the cloud offers, and those that are booting. */
 internal class CloudView(
     val catalog: Catalog,
-    /** Where the cloud had no machine to offer when it was last asked. */
+    /** Markets that had no machine available at the last request. */
     val unavailableMarkets: Set<Market> = emptySet(),
-    /** Whether most of the fleet is still booting. */
+    /** Whether booting machines outnumber those on which tasks may be placed. */
     val mostlyBooting: Boolean = false,
-    /** How many machines boot, by type. */
+    /** The number of booting machines of each type. */
     val bootingMachines: Map<MachineType, Int> = emptyMap(),
 )
--- a/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleInputBuilder.kt
@@ -22,8 +22,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Builds the input of a scheduling cycle from the task table. The view of a machine is kept from one cycle to the next
- * for as long as nothing changes there.
+ * Builds the input of a scheduling cycle from the task table. The view of a machine is cached between cycles until
+ * something changes on the machine.
  */
 internal class CycleInputBuilder(
     private val table: TaskTable,
@@ -31,16 +31,16 @@
     private val teams: Map<TeamName, Team>,
     objectives: List<Objective>,
 ) {
-    private val runTimes = RunTimes()
+    private val runTimes = RunTimeEstimator()
     private val jobViews = JobViewBuilder(table, failureAttribution, StartDeadlines(objectives, runTimes))
     private val machineViews = MachineViewBuilder(table, runTimes)
     private val arrivals = Arrivals()
 
-    /** The catalog that the kept views of machines were made with. */
-    private var viewedCatalog: Catalog = Catalog.EMPTY
+    /** The catalog that the cached machine views were built with. */
+    private var cachedViewsCatalog: Catalog = Catalog.EMPTY
 
     fun build(context: CycleContext): CycleInput {
-        dropViewsOfOtherCatalog(context.cloud.catalog)
+        discardViewsOnCatalogChange(context.cloud.catalog)
         val quota = quotaInUse(context)
         val jobs = jobViews.build(context, quota)
         val machines = usableMachines(context)
@@ -58,21 +58,21 @@
         )
     }
 
-    /** A job was opened: its class is seen to arrive. */
-    fun opened(spec: JobSpec, now: MonotonicInstant) = arrivals.add(spec, now)
+    /** Counts an opened job towards the expected arrivals of its class. */
+    fun recordArrival(spec: JobSpec, now: MonotonicInstant) = arrivals.add(spec, now)
 
-    /** A task that this term started has completed. */
-    fun completed(job: JobState, placement: Placement, now: MonotonicInstant) {
+    /** Records the run time of a completed task that was started in this term. */
+    fun recordRunTime(job: JobState, placement: Placement, now: MonotonicInstant) {
         placement.runningSince?.let { runTimes.record(job.spec, now - it) }
     }
 
-    private fun dropViewsOfOtherCatalog(catalog: Catalog) {
-        if (catalog === viewedCatalog) return
-        viewedCatalog = catalog
+    private fun discardViewsOnCatalogChange(catalog: Catalog) {
+        if (catalog === cachedViewsCatalog) return
+        cachedViewsCatalog = catalog
         table.workers.values.forEach { it.changed() }
     }
 
-    /** What each team uses, unreported tasks and tasks of ended jobs included. */
+    /** The quota that each team uses, including unreported tasks and tasks of jobs that have ended. */
     private fun quotaInUse(context: CycleContext): QuotaLedger {
         val quota = QuotaLedger(teams, context.unreportedResources + unattributedResources(context.cloud.catalog))
         for (job in table.jobs.values) {
@@ -85,7 +85,7 @@
         return quota
     }
 
-    /** Tasks whose job is not known here may be any team's, and may take all that their machine has. */
+    /** Resources of tasks whose job is unknown: they may be any team's, and may use all resources of their machine. */
     private fun unattributedResources(catalog: Catalog): Resources {
         var sum = Resources.NONE
         for (worker in table.workers.values) {
@@ -110,29 +110,31 @@
     }
 
     /**
-     * During a takeover, capacity for tasks of earlier terms that no heartbeat has reported yet: they may run on a
-     * machine that has not been heard from, and if they don't they are started next. Less important work that was
-     * submitted since the claim would take that capacity, and be preempted by them seconds later.
+     * During a takeover, reserves capacity for tasks of earlier terms that no heartbeat has reported yet. They may be
+     * running on a machine that has not reported; if they are not, they are started next. Without the reservation,
+     * lower-priority work submitted since this term was claimed would take that capacity, and would be preempted by
+     * these tasks seconds later.
      */
     private fun reservationsForUnreported(context: CycleContext): List<CapacityReservation> {
         val sums = HashMap<Pair<String, Priority>, CapacityReservation>()
         for (job in table.jobs.values) {
             val spec = job.spec
-            if (!mayReserve(job) || job.version > context.leader.termRevision) continue
-            // Once the takeover is settled no task runs unreported, and none is counted.
+            if (!isEligibleForReservation(job) || job.version > context.leader.termRevision) continue
+            // After the takeover is settled no task can be running unreported, so none is counted.
             if (!context.mayRunUnreported(spec)) continue
-            val missing = spec.tasks - job.completed.count - job.placements.size
-            if (missing <= 0) continue
-            sums.merge(spec.jobClass to spec.priority, CapacityReservation(spec, missing)) { earlier, latest ->
+            val missingTasks = spec.tasks - job.completed.count - job.placements.size
+            if (missingTasks <= 0) continue
+            sums.merge(spec.jobClass to spec.priority, CapacityReservation(spec, missingTasks)) { earlier, latest ->
                 CapacityReservation(latest.spec, earlier.tasks + latest.tasks)
             }
         }
         return sums.values.toList()
     }
 
-    private fun mayReserve(job: JobState): Boolean = !job.isTerminal && !job.isGang && job.spec.priority != Priority.LOW
+    private fun isEligibleForReservation(job: JobState): Boolean =
+        !job.isTerminal && !job.isGang && job.spec.priority != Priority.LOW
 
-    /** The most that any open job's tasks use of CPUs and memory for each GPU. */
+    /** The highest CPU and memory requests per GPU among open jobs. */
     private fun hostResourcesPerGpu(): Resources {
         var cpus = 0.0
         var memoryGb = 0.0
@@ -146,7 +148,7 @@
     }
 
     private companion object {
-        /** How often the view of a machine that fetches an image is made anew. */
+        /** How often the view of a machine that is fetching an image is rebuilt. */
         val FETCH_REFRESH_INTERVAL = 2.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/CycleRunner.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/CycleRunner.kt
@@ -19,11 +19,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Runs scheduling cycles: builds the input from the task table, carries out the decisions, and tells the fleet what
- * found no machine. Cycles are kept apart by a multiple of what one takes, so that heartbeats never wait behind a row
- * of them.
+ * Runs scheduling cycles: builds the input from the task table, carries out the decisions, and reports unplaced tasks
+ * to the fleet. Each cycle is followed by a pause of a multiple of its duration, so that heartbeats never wait for
+ * several cycles in a row.
  *
- * [onCycle] is told how many machines the cycle looked at.
+ * [onCycle] is called after each cycle with the number of machines that it examined.
  */
 internal class CycleRunner(
     private val services: SchedulerServices,
@@ -37,37 +37,39 @@
     private val workerTimeouts = services.configuration.workerTimeouts
     private val demand = DemandReporter(table, services.failureDetector.suspectAfter)
 
-    /** How many times as long as a cycle took the pause after it lasts. */
+    /** The pause after a cycle, as a multiple of the cycle's duration. */
     private val pauseFactor = CYCLE_SHARE_DIVISOR / services.configuration.cpuShare - 1
     private var lastCycleAt = MonotonicInstant.NEVER
     private var pauseEndsAt = MonotonicInstant.NEVER
     private var demandReportedAt = MonotonicInstant.NEVER
 
     /** Whether the pause after the last cycle is over. */
-    fun isRested(now: MonotonicInstant): Boolean = now > pauseEndsAt
+    fun isPauseOver(now: MonotonicInstant): Boolean = now > pauseEndsAt
 
-    /** Whether a cycle should run now because something changed, or because the last one was long ago. */
-    fun isDue(now: MonotonicInstant): Boolean = isRested(now) && (table.dirty || now - lastCycleAt > MAX_CYCLE_INTERVAL)
+    /** Whether a cycle should run now, because something changed or because of the time since the last one. */
+    fun isDue(now: MonotonicInstant): Boolean =
+        isPauseOver(now) && (table.dirty || now - lastCycleAt > MAX_CYCLE_INTERVAL)
 
-    /** Runs one cycle. [responding]: the worker whose heartbeat is being answered, which needs no separate request. */
+    /** Runs one cycle. [responding]: the worker whose heartbeat is being answered; it needs no separate request. */
     fun run(term: LeadershipTerm, now: MonotonicInstant, responding: WorkerState? = null) {
         if (state.catalog.isEmpty) return
         table.dirty = false
         lastCycleAt = now
-        drainPreempted()
+        drainPreemptedMachines()
         val input = buildInput(term, now)
         val output = SchedulingCycle(input).decide()
         assignAll(term, output.placed, now)
         output.preempted.forEach(::preempt)
-        sendUrgent(term, now, responding)
+        sendUndeliveredCommands(term, now, responding)
         if (now - demandReportedAt > DEMAND_INTERVAL) reportDemand(term, output, now)
-        finish(input, output, now)
+        endCycle(input, output, now)
     }
 
     /**
-     * On machines that the cloud takes back, tasks that can save do so; those that can't run on as long as they may.
+     * On machines with a preemption notice, cancels unsent starts and stops tasks that can checkpoint in time. Other
+     * tasks keep running until the cloud preempts the machine.
      */
-    private fun drainPreempted() {
+    private fun drainPreemptedMachines() {
         for (worker in table.workers.values) {
             val notice = worker.preemptionNotice ?: continue
             for (placement in worker.placements.values.toList()) {
@@ -75,7 +77,7 @@
                 if (placement.stopGrace != null) continue
                 if (placement.state == PlacementState.ASSIGNED) table.remove(job, placement)
                 if (job.spec.takesCheckpoints && job.spec.checkpointDuration < notice) {
-                    table.stop(job, placement, saveGrace(job.spec))
+                    table.stop(job, placement, checkpointGrace(job.spec))
                 }
             }
         }
@@ -88,7 +90,7 @@
             catalog,
             state.unavailableMarkets,
             machines.mostlyBooting(catalog, now),
-            machines.booting(catalog, now),
+            machines.bootingByType(catalog, now),
         )
         val context = CycleContext(
             term.leader,
@@ -102,7 +104,7 @@
     }
 
     private fun assignAll(term: LeadershipTerm, decisions: List<PlacementDecision>, now: MonotonicInstant) {
-        val delays = GangStart(workerTimeouts.gangWait, table, state.catalog).startDelays(decisions)
+        val delays = GangStartDelays(workerTimeouts.gangWait, table, state.catalog).startDelays(decisions)
         for (decision in decisions) assign(term, decision, now, delays[decision.task] ?: Duration.ZERO)
     }
 
@@ -125,27 +127,27 @@
         }
     }
 
-    /** All members of a gang share one attempt. */
+    /** Returns a new attempt, or the attempt that all members of the gang share. */
     private fun attemptFor(term: LeadershipTerm, job: JobState, decision: PlacementDecision): Attempt? = when {
         !job.isGang -> term.newAttempt()
         decision.joinAttempt != null -> decision.joinAttempt
         else -> job.gang.attemptFor(job.placements.isNotEmpty(), term::newAttempt)
     }
 
-    /** Stops a task to make room for a more important one. */
+    /** Stops a task to free capacity for one of higher priority. */
     private fun preempt(task: TaskId) {
         val job = table.jobs[task.job] ?: return
         val placement = job.placements[task.index] ?: return
         services.events.info("task stopped for room", placement.worker.id) {
             "task stopped for room task=$task machine=${placement.worker.id}"
         }
-        table.stop(job, placement, if (job.spec.takesCheckpoints) saveGrace(job.spec) else Duration.ZERO)
+        table.stop(job, placement, if (job.spec.takesCheckpoints) checkpointGrace(job.spec) else Duration.ZERO)
     }
 
-    /** A cycle that took longer than its budget sends nothing, and neither does a leader whose window has closed. */
-    private fun sendUrgent(term: LeadershipTerm, began: MonotonicInstant, responding: WorkerState?) {
+    /** Sends nothing if the cycle exceeded its time budget or the leader's command window has ended. */
+    private fun sendUndeliveredCommands(term: LeadershipTerm, startedAt: MonotonicInstant, responding: WorkerState?) {
         val decidedAt = clock.now()
-        if (term.leader.maySendCommands(decidedAt) && decidedAt - began < leadershipTimeouts.cycleBudget) {
+        if (term.leader.maySendCommands(decidedAt) && decidedAt - startedAt < leadershipTimeouts.cycleBudget) {
             term.workerMessages.commands.sendUndelivered(term.leader, decidedAt, responding)
         }
     }
@@ -164,10 +166,10 @@
         )
     }
 
-    private fun finish(input: CycleInput, output: CycleOutput, began: MonotonicInstant) {
+    private fun endCycle(input: CycleInput, output: CycleOutput, startedAt: MonotonicInstant) {
         onCycle(output.machineVisits + input.machines.size)
-        val ended = clock.now()
-        pauseEndsAt = ended + minOf(maxOf(MIN_PAUSE, (ended - began) * pauseFactor), MAX_PAUSE)
+        val endedAt = clock.now()
+        pauseEndsAt = endedAt + minOf(maxOf(MIN_PAUSE, (endedAt - startedAt) * pauseFactor), MAX_PAUSE)
         if (!log.isDebugEnabled) return
         val freeCpus = input.machines.groupBy { it.type }.map { (type, machines) ->
             "$type:${machines.size}:${machines.sumOf { it.load.free.cpus }.toInt()}"
@@ -180,12 +182,12 @@
             output.unplaced.sumOf { it.count },
             output.machineVisits,
             output.reservedMachines,
-            (ended - began).inWholeMilliseconds,
+            (endedAt - startedAt).inWholeMilliseconds,
             freeCpus,
         )
     }
 
-    private fun saveGrace(spec: JobSpec): Duration = spec.checkpointDuration + SAVE_MARGIN
+    private fun checkpointGrace(spec: JobSpec): Duration = spec.checkpointDuration + SAVE_MARGIN
 
     private companion object {
         val MAX_CYCLE_INTERVAL = 1.seconds
@@ -193,14 +195,14 @@
         val MAX_PAUSE = 300.milliseconds
 
         /**
-         * Scheduling cycles get at most one part in so many of the processor time that the leader has. Measured by
-         * elapsed time instead, that part is nine tenths of 22% of a core: a new leader of 1,182 machines then took in
-         * heartbeats at 95 a second.
+         * The reciprocal of the share of the leader's processor time that scheduling cycles may use. A share of elapsed
+         * time instead would be nine tenths of the processor time of a leader with 22% of a core: with 1,182 machines,
+         * such a new leader processed only 95 heartbeats per second.
          */
         const val CYCLE_SHARE_DIVISOR = 5.0
         val DEMAND_INTERVAL = 400.milliseconds
 
-        /** Given to a task on top of the time that it takes to save. */
+        /** Added to the checkpoint duration of a task that is stopped with a checkpoint. */
         val SAVE_MARGIN = 1.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/DemandReporter.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/DemandReporter.kt
@@ -16,14 +16,14 @@
 import kotlin.time.Duration
 
 /**
- * Reports how machines are used, by the task table, for the decisions to provision and terminate machines.
- * [suspectAfter]: a worker silent for so long is suspected.
+ * Reports how machines are used according to the task table, as input for provisioning and terminating machines.
+ * [suspectAfter]: how long a worker can be silent before it is suspected to have failed.
  */
 internal class DemandReporter(private val table: TaskTable, private val suspectAfter: Duration) {
     /**
-     * Use of the machines that have reported and that may be given tasks ([cleared]). A machine that has just come up
-     * may not until that is recorded, and counts as booting: if it counted as an unused machine, others would be
-     * provisioned in its place.
+     * The use of machines that have reported and are [cleared]. A machine that has just come up is not cleared until
+     * that is recorded, and counts as booting: if it counted as an unused machine, others would be provisioned in its
+     * place.
      */
     fun uses(
         catalog: Catalog,
@@ -35,7 +35,7 @@
         return workers.map { use(it, catalog, now, isUsable(it)) }
     }
 
-    /** Services that are open and not held. */
+    /** The specifications of open services that are not held. */
     fun services(): List<JobSpec> {
         val services = table.jobs.values.filter { it.spec.kind == JobKind.SERVICE && !it.isTerminal && it.hold == null }
         return services.map { it.spec }
@@ -43,44 +43,45 @@
 
     private fun use(worker: WorkerState, catalog: Catalog, now: MonotonicInstant, isUsable: Boolean): MachineUse {
         var busy = Resources.NONE
-        var yielding = Resources.NONE
-        var ending = Resources.NONE
-        var serving = Resources.NONE
+        var preemptible = Resources.NONE
+        var endingSoon = Resources.NONE
+        var serviceResources = Resources.NONE
         val bootTime = catalog.types[worker.type]?.bootTime ?: Duration.ZERO
         for (placement in worker.placements.values) {
             val job = table.jobs[placement.task.job] ?: continue
             busy += job.spec.resources
-            if (job.spec.kind == JobKind.SERVICE) serving += job.spec.resources
-            if (job.spec.priority < Priority.PRODUCTION && !job.isGang) yielding += job.spec.resources
-            if (endsWithin(job, placement, bootTime * ENDING_SHARE, now)) ending += job.spec.resources
+            if (job.spec.kind == JobKind.SERVICE) serviceResources += job.spec.resources
+            if (job.spec.priority < Priority.PRODUCTION && !job.isGang) preemptible += job.spec.resources
+            if (endsWithin(job, placement, bootTime * ENDING_SOON_SHARE, now)) endingSoon += job.spec.resources
         }
-        // A silent machine isn't idle: it may be cut off, and its tasks count as lost only because its lease is over.
+        // A silent machine isn't idle: it may be partitioned, and its tasks count as lost only because its lease has
+        // expired.
         val isIdle = now - worker.lastHeartbeatAt <= suspectAfter && worker.isEmpty
         return MachineUse(
             worker.id,
             busy,
-            yielding,
-            ending,
-            serving,
+            preemptible,
+            endingSoon,
+            serviceResources,
             isUsable,
             idle = if (isIdle) now - worker.idleSince else null,
             faulty = worker.faulty,
         )
     }
 
-    /** By the owner's estimate, which is often wrong: a task is expected to run on for at least a share of it. */
-    private fun endsWithin(job: JobState, placement: Placement, span: Duration, now: MonotonicInstant): Boolean {
+    /** Uses the owner's estimate, which is often wrong: a task is expected to run on for at least a share of it. */
+    private fun endsWithin(job: JobState, placement: Placement, window: Duration, now: MonotonicInstant): Boolean {
         if (job.spec.kind == JobKind.SERVICE) return false
         val since = placement.runningSince ?: return false
         val left = job.spec.estimate - (now - since)
-        return maxOf(left, job.spec.estimate * OVERRUN_SHARE) < span
+        return maxOf(left, job.spec.estimate * OVERRUN_SHARE) < window
     }
 
     private companion object {
-        /** Of the time that a machine takes to boot: what ends within that is free sooner than a new machine. */
-        const val ENDING_SHARE = 0.5
+        /** The share of a machine's boot time within which capacity must become free to count as ending soon. */
+        const val ENDING_SOON_SHARE = 0.5
 
-        /** Of its estimate: for how much longer a task is expected to run that has exceeded it. */
+        /** The least remaining run time that is expected of a task, as a share of its estimate. */
         const val OVERRUN_SHARE = 0.3
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/EventLog.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/EventLog.kt
@@ -6,10 +6,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A rate-limited log of events that happen to many machines at once. Within [INTERVAL] each kind of event gets one line
- * for each machine, and [MAX_LINES] lines in all. The rest is counted, and reported in one line at the interval's end.
- * Without the limit, 33,424 lines of one kind on one simulated day cost processor time when it was scarcest, and hid
- * all others.
+ * Rate-limited log for events that occur on many machines at once. Within [INTERVAL], each kind of event is logged once
+ * per machine and at most [MAX_LINES_PER_INTERVAL] times in total. Further lines are suppressed, and their number is
+ * logged after the interval. Without the limit, 33,424 lines of one kind on one simulated day hid all other lines and
+ * cost processor time when it was scarcest.
  */
 internal class EventLog(
     private val clock: SteadyClock,
@@ -18,38 +18,39 @@
 ) {
     private class Interval(val startedAt: MonotonicInstant) {
         val machines = HashSet<MachineId>()
-        var withheld = 0
+        var suppressed = 0
     }
 
-    /** By kind of event. */
+    /** The current interval of each kind of event. */
     private val intervals = HashMap<String, Interval>()
 
-    /** Logs an event of the given [kind]; [line] is made only if it is logged. */
+    /** Logs an event of the given [kind]. [line] is called only if the event is logged. */
     fun info(kind: String, machine: MachineId, line: () -> String) {
-        if (mayLog(kind, machine)) info(line())
+        if (tryAdmit(kind, machine)) info(line())
     }
 
-    /** As [info], for what should never happen. */
+    /** Same as [info], but logs at the error level, for events that should never happen. */
     fun error(kind: String, machine: MachineId, line: () -> String) {
-        if (mayLog(kind, machine)) error(line())
+        if (tryAdmit(kind, machine)) error(line())
     }
 
-    private fun mayLog(kind: String, machine: MachineId): Boolean {
+    /** Counts the event in its interval, and returns whether it may be logged. */
+    private fun tryAdmit(kind: String, machine: MachineId): Boolean {
         val interval = intervals.getOrPut(kind) { Interval(clock.now()) }
-        val hasRoom = machine !in interval.machines && interval.machines.size < MAX_LINES
+        val hasRoom = machine !in interval.machines && interval.machines.size < MAX_LINES_PER_INTERVAL
         if (hasRoom && clock.now() - interval.startedAt <= INTERVAL) {
             interval.machines.add(machine)
             return true
         }
         if (clock.now() - interval.startedAt > INTERVAL) {
             close(kind, interval)
-            return mayLog(kind, machine)
+            return tryAdmit(kind, machine)
         }
-        interval.withheld++
+        interval.suppressed++
         return false
     }
 
-    /** Reports what was withheld in intervals that are over. */
+    /** Closes expired intervals and logs how many lines each suppressed. */
     fun tick() {
         val now = clock.now()
         intervals.filterValues { now - it.startedAt > INTERVAL }.forEach(::close)
@@ -57,12 +58,12 @@
 
     private fun close(kind: String, interval: Interval) {
         intervals.remove(kind)
-        if (interval.withheld == 0) return
-        info("more of the same event=\"$kind\" count=${interval.withheld} in_s=${INTERVAL.inWholeSeconds}")
+        if (interval.suppressed == 0) return
+        info("more of the same event=\"$kind\" count=${interval.suppressed} in_s=${INTERVAL.inWholeSeconds}")
     }
 
     internal companion object {
         val INTERVAL = 10.seconds
-        const val MAX_LINES = 100
+        const val MAX_LINES_PER_INTERVAL = 100
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/GangStart.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/GangStartDelays.kt
@@ -10,25 +10,26 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Delays the starts of members of a new gang. A member that has its image waits for the others no longer than the
- * workers' `gang_wait_s` ([memberWait]), and then the whole gang gives up, fetches included: where a fetch takes longer
- * than that, the gang would be placed again and again and never start. So members that have the image start later by as
- * much.
+ * Computes start delays for members of a new gang whose machine already has the image.
+ *
+ * A member that has its image waits for the others no longer than the workers' `gang_wait_s` ([maxMemberWait]); then
+ * the whole gang gives up, fetches included. With a fetch that takes longer than that, the gang would be placed again
+ * and again without ever starting. Members that have the image are therefore started later by as much.
  */
-internal class GangStart(
-    private val memberWait: Duration,
+internal class GangStartDelays(
+    private val maxMemberWait: Duration,
     private val table: TaskTable,
     private val catalog: Catalog,
 ) {
-    /** By how much later than the others' the start of a task is sent; tasks with no delay are left out. */
+    /** Returns the start delay of each task; tasks without a delay are omitted. */
     fun startDelays(placed: List<PlacementDecision>): Map<TaskId, Duration> {
         val delays = HashMap<TaskId, Duration>()
         for (members in newGangs(placed).values) {
             val fetchTimes = members.associate { it.task to fetchTime(it) }
-            val longest = fetchTimes.values.max() * SLOWEST_FETCH
-            for ((task, own) in fetchTimes) {
-                val delay = longest - own * FASTEST_FETCH - (memberWait - MARGIN)
-                if (own == Duration.ZERO && delay.isPositive()) delays[task] = delay
+            val longestFetchTime = fetchTimes.values.max() * SLOWEST_FETCH_FACTOR
+            for ((task, ownFetchTime) in fetchTimes) {
+                val delay = longestFetchTime - ownFetchTime * FASTEST_FETCH_FACTOR - (maxMemberWait - WAIT_MARGIN)
+                if (ownFetchTime == Duration.ZERO && delay.isPositive()) delays[task] = delay
             }
         }
         return delays
@@ -43,7 +44,7 @@
         return gangs
     }
 
-    /** How long the machine fetches the task's image at its stated rate; zero: it has the image. */
+    /** The time to fetch the task's image at the machine's nominal rate; zero if the machine has the image. */
     private fun fetchTime(decision: PlacementDecision): Duration {
         val worker = table.workers[decision.machine] ?: return Duration.ZERO
         val spec = table.jobs[decision.task.job]?.spec ?: return Duration.ZERO
@@ -53,11 +54,11 @@
     }
 
     private companion object {
-        /** Machines fetch at the stated rate, give or take a third: factors of the stated time. */
-        const val SLOWEST_FETCH = 1.5
-        const val FASTEST_FETCH = 0.75
+        /** Actual fetch rates are within a third of the nominal rate. These are factors of the nominal fetch time. */
+        const val SLOWEST_FETCH_FACTOR = 1.5
+        const val FASTEST_FETCH_FACTOR = 0.75
 
-        /** Some heartbeat intervals, and steps of the clocks. */
-        val MARGIN = 7.seconds
+        /** Allows for several heartbeat intervals and for clock adjustments. */
+        val WAIT_MARGIN = 7.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobHolds.kt
@@ -17,10 +17,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Holds of jobs. Only the leader knows whether any task of a job was started, so it alone decides on a hold. From that
- * moment no scheduling cycle starts a task of the job, and the hold is in force once it is recorded under this term. If
- * the write fails, the job goes on as before; if its outcome is unknown, the job stays held here for as long as the
- * write may still come through.
+ * Holds jobs, so that none of their tasks is started.
+ *
+ * Only the leader knows whether any task of a job was started, so only the leader decides on a hold. From the decision
+ * on, no scheduling cycle starts a task of the job. The hold takes effect once it is recorded under this term. If the
+ * write fails, the job continues as before; if the outcome is unknown, the leader keeps the job held for as long as the
+ * write may still take effect.
  */
 internal class JobHolds(
     private val table: TaskTable,
@@ -30,18 +32,18 @@
     private val log = LoggerFactory.getLogger("elderhitch.workers")
     private val pendingReplies = HashMap<JobId, CompletableDeferred<HoldResult>>()
 
-    /** Jobs whose recorded hold is a suspension; followed in every role. */
+    /** Jobs whose recorded hold is a suspension. Maintained by followers too. */
     private val suspended = HashSet<JobId>()
 
     fun newTerm() {
-        pendingReplies.values.forEach { it.complete(HoldResult.NotNow("another term begins")) }
+        pendingReplies.values.forEach { it.complete(HoldResult.NotNow("a new leadership term is starting")) }
         pendingReplies.clear()
         table.jobs.values.forEach { it.holdPending = false }
     }
 
     /**
-     * Decides on a requested hold and has it written. [mayRunUnreported]: whether an unreported task of the job may run
-     * on a machine that has not been heard from in this term.
+     * Decides on a requested hold and, if it is granted, writes it. [mayRunUnreported]: whether an unreported task of
+     * the job may be running on a machine that has not reported in this term.
      */
     fun request(
         leader: LeadershipState.Leader,
@@ -53,32 +55,32 @@
             message.reply.complete(HoldResult.NoSuchJob)
             return
         }
-        val answer = answerWithoutWrite(job, message.kind) {
+        val result = resultWithoutWrite(job, message.kind) {
             job.version <= leader.termRevision && mayRunUnreported(job.spec)
         }
-        if (answer != null) {
-            message.reply.complete(answer)
+        if (result != null) {
+            message.reply.complete(result)
             return
         }
         pendingReplies[message.id] = message.reply
         write(leader, job, JobHold.of(message.kind, message.reason))
     }
 
-    /** Null: the hold has to be written. */
-    private fun answerWithoutWrite(job: JobState, kind: HoldKind, mayRunUnreported: () -> Boolean): HoldResult? = when {
+    /** Returns the result if no write is needed, or null if the hold has to be written. */
+    private fun resultWithoutWrite(job: JobState, kind: HoldKind, mayRunUnreported: () -> Boolean): HoldResult? = when {
         job.hold != null -> HoldResult.Held
-        job.holdPending -> HoldResult.NotNow("a hold is being recorded")
-        mayRunUnreported() -> HoldResult.NotNow("a machine that may run it has not reported yet")
+        job.holdPending -> HoldResult.NotNow("a hold of this job is already being recorded")
+        mayRunUnreported() -> HoldResult.NotNow("a machine that may be running the job has not reported yet")
         kind == HoldKind.SUSPENDED -> suspensionRefusal(job)
         kind == HoldKind.USER && job.placements.isNotEmpty() ->
-            HoldResult.Inconsistent("something of it has been started")
+            HoldResult.Inconsistent("tasks of the job have already been started")
         else -> null
     }
 
     private fun suspensionRefusal(job: JobState): HoldResult? = when {
         !job.spec.takesCheckpoints ->
-            HoldResult.Inconsistent("its tasks can't save, so stopping them would lose their work")
-        job.placements.isEmpty() -> HoldResult.Inconsistent("nothing of it runs")
+            HoldResult.Inconsistent("the job's tasks can't checkpoint, so stopping them would lose their work")
+        job.placements.isEmpty() -> HoldResult.Inconsistent("no task of the job is running")
         else -> null
     }
 
@@ -87,11 +89,11 @@
         ports.writeHold(leader, job.id, job.version, job.storedHold?.version ?: Revision.ABSENT, hold)
     }
 
-    /** Takes the [outcome] of writing a hold. */
-    fun written(id: JobId, outcome: HoldWriteResult) {
+    /** Handles the [outcome] of writing a hold. */
+    fun onHoldWritten(id: JobId, outcome: HoldWriteResult) {
         val reply = pendingReplies.remove(id)
         val job = table.jobs[id]
-        // An unknown write may still come through: until it is seen, or the term ends, nothing is started.
+        // After an unknown outcome the write may still take effect: no task starts until it is seen or the term ends.
         if (outcome == HoldWriteResult.NOT_WRITTEN) job?.holdPending = false
         table.dirty = true
         reply?.complete(
@@ -104,8 +106,8 @@
         )
     }
 
-    /** Takes what the state service now [stored] as the job's hold; null: none. [leader]: null on a follower. */
-    fun changed(leader: LeadershipState.Leader?, id: JobId, stored: JobHold?) {
+    /** Applies a change of the job's [stored] hold; null if it was deleted. [leader] is null on a follower. */
+    fun onHoldChanged(leader: LeadershipState.Leader?, id: JobId, stored: JobHold?) {
         val hold = stored?.effective
         if (hold?.kind == HoldKind.SUSPENDED) suspended.add(id) else suspended.remove(id)
         val job = table.jobs[id]
@@ -113,14 +115,14 @@
             if (stored != null && leader != null) ports.deleteHold(leader, id)
             return
         }
-        if (hold == null) job.usage.forgetFailures()
+        if (hold == null) job.usage.resetFailures()
         job.storedHold = stored
         job.holdPending = false
         table.dirty = true
     }
 
-    /** Has the tasks of suspended jobs save and stop. Called at each tick, as a takeover may find such tasks later. */
-    fun stopSuspended() {
+    /** Stops tasks of suspended jobs with a checkpoint. Called on each tick: a takeover may find such tasks later. */
+    fun stopSuspendedJobs() {
         for (id in suspended) {
             val job = table.jobs[id]?.takeUnless { it.isTerminal } ?: continue
             for (placement in job.placements.values.toList()) {
@@ -129,8 +131,8 @@
         }
     }
 
-    /** Holds the job if its task [index] was started as often as the rule of its class allows. */
-    fun holdIfExhausted(leader: LeadershipState.Leader, job: JobState, index: Int) {
+    /** Holds the job if the failed attempts of its task [index] have reached the limit of its class. */
+    fun holdIfAttemptsExhausted(leader: LeadershipState.Leader, job: JobState, index: Int) {
         val maxAttempts = rules.of(job.spec.jobClass).maxAttempts ?: return
         val isHeld = job.hold != null || job.holdPending
         if (isHeld || job.isTerminal || job.usage.failuresOf(index) < maxAttempts) return
@@ -140,16 +142,16 @@
         write(leader, job, JobHold.of(HoldKind.ATTEMPTS, reason))
     }
 
-    /** The job has reached its terminal state. */
-    fun ended(id: JobId) {
+    /** Handles a job that has reached its terminal state. */
+    fun onJobEnded(id: JobId) {
         suspended.remove(id)
     }
 
-    /** Whether failures of the job's tasks are counted, because its class limits their attempts. */
+    /** Whether failed attempts of the job's tasks are counted, because its class limits them. */
     fun countsFailures(job: JobState): Boolean = rules.any && rules.of(job.spec.jobClass).maxAttempts != null
 
     private companion object {
-        /** Given to a task on top of the time that it takes to save. */
+        /** Added to the checkpoint duration of a task that is stopped with a checkpoint. */
         val SAVE_MARGIN: Duration = 1.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/JobUpdateHandler.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobUpdateHandler.kt
@@ -8,7 +8,7 @@
 import org.elderhitch.tasks.Placement
 import org.slf4j.LoggerFactory
 
-/** Handles [SchedulerMessage.JobUpdate] and what the task table tells of single tasks. */
+/** Handles [SchedulerMessage.JobUpdate] and the task table's callbacks about lost and completed tasks. */
 internal class JobUpdateHandler(private val services: SchedulerServices) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
     private val state = services.state
@@ -27,23 +27,23 @@
             is SchedulerMessage.HoldJob -> hold(message)
 
             is SchedulerMessage.HoldWritten ->
-                if (state.currentTerm(message.term) != null) holds.written(message.id, message.outcome)
+                if (state.currentTerm(message.term) != null) holds.onHoldWritten(message.id, message.outcome)
         }
     }
 
-    /** A task that was seen on a machine is gone from it without having completed. */
+    /** Handles a task that is gone from its worker without having completed. */
     fun onTaskLost(job: JobState, placement: Placement) {
         job.usage.recordLoss(job, placement, clock.now(), holds.countsFailures(job))
         val term = state.currentTerm ?: return
-        // A hold is recorded under its own key beside the job's record, and a provider-owned job has no record.
+        // A hold is recorded under its own key next to the job's record, and a provider-owned job has no such record.
         if (holds.countsFailures(job) && !job.providerOwned) {
-            holds.holdIfExhausted(term.leader, job, placement.task.index)
+            holds.holdIfAttemptsExhausted(term.leader, job, placement.task.index)
         }
     }
 
-    /** A task that this term started has completed. */
+    /** Handles the completion of a task that was started in this term. */
     fun onTaskCompleted(job: JobState, placement: Placement) =
-        services.cycleInputs.completed(job, placement, clock.now())
+        services.cycleInputs.recordRunTime(job, placement, clock.now())
 
     private fun apply(event: JobEvent) {
         if (event !is JobEvent.FreshAsOf) table.dirty = true
@@ -54,7 +54,7 @@
 
             is JobEvent.Ended -> table.jobs[event.id]?.let(::end)
 
-            is JobEvent.HoldChanged -> holds.changed(state.currentTerm?.leader, event.id, event.storedHold)
+            is JobEvent.HoldChanged -> holds.onHoldChanged(state.currentTerm?.leader, event.id, event.storedHold)
 
             is JobEvent.FreshAsOf -> {
                 table.freshAsOf = event.since
@@ -66,7 +66,7 @@
     private fun open(event: JobEvent.Opened) {
         val spec = event.spec
         log.debug("job opened job={} class={} tasks={} image={}", spec.id, spec.jobClass, spec.tasks, spec.image)
-        services.cycleInputs.opened(spec, clock.now())
+        services.cycleInputs.recordArrival(spec, clock.now())
         table.open(event)
     }
 
@@ -76,7 +76,7 @@
             val recorded = (0 until job.spec.tasks).filter { it in job.recorded }
             ports.deleteCompletions(leader, job.id, recorded.map(CompletedTasks::blockOf).toSet())
         }
-        holds.ended(job.id)
+        holds.onJobEnded(job.id)
         if (leader != null && job.storedHold != null) ports.deleteHold(leader, job.id)
         table.markTerminal(job)
     }
@@ -84,7 +84,7 @@
     private fun hold(message: SchedulerMessage.HoldJob) {
         val term = state.currentTerm?.takeIf { it.isTableComplete && it.leader.maySendCommands(clock.now()) }
         if (term == null) {
-            message.reply.complete(HoldResult.NotNow("no leader here that may command"))
+            message.reply.complete(HoldResult.NotNow("this node is not a leader that may send commands now"))
             return
         }
         holds.request(term.leader, message, term::mayRunUnreported)
--- a/src/main/kotlin/org/elderhitch/scheduler/JobViewBuilder.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobViewBuilder.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Makes the views of jobs with tasks to place, each with the time by which it should start. */
+/** Builds the scheduling views of jobs with pending tasks, each with the deadline for its start. */
 internal class JobViewBuilder(
     private val table: TaskTable,
     private val failureAttribution: FailureAttribution,
@@ -21,7 +21,7 @@
 ) {
     private class WaitingJob(val state: JobState, val view: JobView)
 
-    /** [quota]: what the teams use before anything is placed. */
+    /** [quota]: the quota in use before this cycle places anything. */
     fun build(context: CycleContext, quota: QuotaLedger): List<JobView> {
         val waiting = table.jobs.values.mapNotNull { job -> view(job, context)?.let { WaitingJob(job, it) } }
         val views = withDeadlines(waiting, context)
@@ -30,10 +30,11 @@
 
     private fun view(job: JobState, context: CycleContext): JobView? {
         if (isBlocked(job, context)) return null
-        val hasRoom = if (job.isGang) mayStartGang(job) else job.placements.size + job.completed.count < job.spec.tasks
-        if (!hasRoom) return null
-        val probes = failureAttribution.trialLimit(job)
-        val limit = if (job.isGang) job.spec.tasks else minOf(MAX_PENDING, probes ?: MAX_PENDING)
+        val mayPlaceTasks =
+            if (job.isGang) mayStartGang(job) else job.placements.size + job.completed.count < job.spec.tasks
+        if (!mayPlaceTasks) return null
+        val trialLimit = failureAttribution.trialLimit(job)
+        val limit = if (job.isGang) job.spec.tasks else minOf(MAX_PENDING_TASKS, trialLimit ?: MAX_PENDING_TASKS)
         val pending = pendingTasks(job, limit)
         if (pending.isEmpty()) return null
         return JobView(
@@ -42,7 +43,7 @@
             pending,
             job.zones(),
             joinAttempt = if (job.isGang && job.placements.isNotEmpty()) job.gang.attempt else null,
-            probe = probes != null,
+            probe = trialLimit != null,
             atFault = failureAttribution.isFaulty(job),
         )
     }
@@ -50,7 +51,7 @@
     private fun isBlocked(job: JobState, context: CycleContext): Boolean {
         if (job.isTerminal || context.now < job.notBefore || job.completed.all) return true
         if (job.hold != null || job.holdPending) return true
-        // A task that no heartbeat reports may still run on a silent worker, if its job is older than this term.
+        // If the job is older than this term, a task that no heartbeat has reported may still run on a silent worker.
         return job.version <= context.leader.termRevision && context.mayRunUnreported(job.spec)
     }
 
@@ -62,10 +63,10 @@
         return !job.gang.started && job.placements.values.none { it.stopGrace != null }
     }
 
-    /** Members of a broken gang that have not started yet would wait in vain. */
+    /** Stops members of a broken gang that are not running yet: the others that they wait for won't come. */
     private fun stopWaitingMembers(job: JobState) {
-        val waiting = job.placements.values.toList().filter { it.phase != TaskPhase.RUNNING }
-        waiting.forEach { table.stop(job, it, Duration.ZERO) }
+        val waitingMembers = job.placements.values.toList().filter { it.phase != TaskPhase.RUNNING }
+        waitingMembers.forEach { table.stop(job, it, Duration.ZERO) }
     }
 
     private fun pendingTasks(job: JobState, limit: Int): List<Int> {
@@ -79,19 +80,19 @@
     }
 
     private fun withDeadlines(waiting: List<WaitingJob>, context: CycleContext): List<JobView> {
-        val (arrays, whole) = waiting.partition { it.state.spec.kind == JobKind.ARRAY }
+        val (arrays, gangsAndServices) = waiting.partition { it.state.spec.kind == JobKind.ARRAY }
         val weightInUse = weightInUseByClass()
-        val dueTimes = HashMap<JobId, StartDeadline>()
+        val startDeadlines = HashMap<JobId, StartDeadline>()
         for ((jobClass, jobs) in arrays.groupBy { it.state.spec.jobClass }) {
             val weight = if (isExhausted(jobs, context.cloud)) weightInUse[jobClass] ?: 0.0 else 0.0
             val queue = jobs.map { deadlines.waitingArray(it.state.spec, it.state.openedAt, it.view.pending.size) }
-            dueTimes += StartDeadlines.schedule(queue, weight, context.now)
+            startDeadlines += StartDeadlines.schedule(queue, weight, context.now)
         }
-        for (job in whole) {
-            dueTimes[job.state.id] = deadlines.forWholeJob(job.state.spec, job.state.openedAt, context.now)
+        for (job in gangsAndServices) {
+            startDeadlines[job.state.id] = deadlines.forGangOrService(job.state.spec, job.state.openedAt, context.now)
         }
         return waiting.map { job ->
-            dueTimes.getValue(job.state.id).let { job.view.withDue(it.at, it.late) }
+            startDeadlines.getValue(job.state.id).let { job.view.withDue(it.at, it.isLate) }
         }
     }
 
@@ -105,33 +106,33 @@
     }
 
     /**
-     * Whether no more machines can be provisioned for any of the jobs. Only then is it known that not all of a class
-     * can start in time; otherwise jobs were put off that a booting machine would have taken (seen: the share of a
-     * class that completed within its objective fell from 0.82 to 0.70).
+     * Whether no more machines can be provisioned for any of the jobs. Only then is it certain that not all jobs of a
+     * class can start in time. Without this condition, jobs were postponed that a booting machine would have run, and
+     * the share of a class that completed within its objective fell from 0.82 to 0.70.
      */
     private fun isExhausted(jobs: List<WaitingJob>, cloud: CloudView): Boolean =
         cloud.unavailableMarkets.isNotEmpty() &&
             jobs.all { cloud.unavailableMarkets.containsAll(cloud.catalog.markets(it.state.spec)) }
 
     /**
-     * At a team's limit small jobs are placed before large ones for as long as there are any, so that large ones start
-     * last, or never: after a while, each is let start with one task. Where only machines are short, more of them are
-     * provisioned instead.
+     * Whether the job is a large array that small ones keep from starting. At a team's quota limit, small jobs are
+     * placed before large ones, so large ones start last or never; after [STARVATION_THRESHOLD], each may therefore
+     * start its first task. Jobs that lack only machines are not starved, as more machines are provisioned for them.
      */
     private fun isStarved(view: JobView, quota: QuotaLedger, now: MonotonicInstant): Boolean {
         val job = table.jobs[view.spec.id] ?: return false
         val isUnconstrained = job.spec.kind == JobKind.ARRAY && !job.spec.spread && !job.spec.oneZone && !view.probe
-        val hasNotBegun = job.placements.isEmpty() && job.completed.count == 0
+        val hasNotStarted = job.placements.isEmpty() && job.completed.count == 0
         return isUnconstrained &&
-            hasNotBegun &&
-            now - job.openedAt > STARVED_AFTER &&
+            hasNotStarted &&
+            now - job.openedAt > STARVATION_THRESHOLD &&
             !quota.allows(job.spec.team, job.spec.resources * view.pending.size)
     }
 
     private companion object {
-        val STARVED_AFTER = 30.seconds
+        val STARVATION_THRESHOLD = 30.seconds
 
-        /** A job of a hundred thousand tasks is placed in parts: no scheduling cycle could start more tasks. */
-        const val MAX_PENDING = 1000
+        /** Larger jobs, with up to a hundred thousand tasks, are placed in parts: no cycle could start more tasks. */
+        const val MAX_PENDING_TASKS = 1000
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/LeadershipTerm.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/LeadershipTerm.kt
@@ -12,9 +12,9 @@
 import org.elderhitch.tasks.WorkerState
 import org.elderhitch.time.MonotonicInstant
 
-/** All of the leader's state that lives for one term. Made anew when a term begins, so that nothing needs a reset. */
+/** The leader's state for one term. A new instance is created for each term, so that nothing has to be reset. */
 internal class LeadershipTerm(leader: LeadershipState.Leader, private val services: SchedulerServices) {
-    /** This term's leadership as it was last renewed. */
+    /** The leadership of this term, as of its latest renewal. */
     var leader: LeadershipState.Leader = leader
         private set
     val number: Term = leader.term
@@ -52,13 +52,13 @@
         services.configuration.teams,
     )
 
-    /** The task table holds all jobs that were recorded before this term was claimed. */
+    /** Whether the task table contains all jobs that were recorded before this term was claimed. */
     var isTableComplete = false
         private set
 
     private var nextAttempt = leader.term.number shl ATTEMPTS_PER_TERM_BITS
 
-    /** Takes the [renewed] leadership of this same term. */
+    /** Applies a renewal of the leadership in this term. */
     fun renew(renewed: LeadershipState.Leader) {
         leader = renewed
     }
@@ -67,17 +67,17 @@
         isTableComplete = true
     }
 
-    /** An attempt number that no other attempt has, of this term or another. */
+    /** Returns an attempt whose number is unique across all terms. */
     fun newAttempt(): Attempt = Attempt(nextAttempt++)
 
-    /** Ends the takeover if nothing of earlier terms is unclear any more. */
+    /** Ends the takeover if no task of earlier terms can be running unreported any more. */
     fun settleTakeover() {
         if (!takeover.trySettle()) return
         services.table.dirty = true
         statistics.settled()
     }
 
-    /** Whether an unreported task of the job may run on a machine that has not been heard from in this term. */
+    /** Whether an unreported task of the job may be running on a machine that has not reported in this term. */
     fun mayRunUnreported(spec: JobSpec): Boolean =
         takeover.mayRunUnreported(spec, machines.known, services.state.catalog)
 
@@ -94,7 +94,7 @@
         worker.releaseRequestedAt == MonotonicInstant.NEVER
 
     private companion object {
-        /** Attempt numbers of a term begin at its number times two to this power. */
+        /** The number of low bits in an attempt number; the remaining high bits are the number of the term. */
         const val ATTEMPTS_PER_TERM_BITS = 24
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/LeadershipUpdateHandler.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/LeadershipUpdateHandler.kt
@@ -2,7 +2,7 @@
 
 import org.elderhitch.leadership.LeadershipState
 
-/** Handles [SchedulerMessage.LeadershipUpdate]: who leads, the takeover of a new term, and lease delegates. */
+/** Handles [SchedulerMessage.LeadershipUpdate]: leadership changes, takeovers, and lease delegation. */
 internal class LeadershipUpdateHandler(private val services: SchedulerServices) {
     private val state = services.state
     private val table = services.table
@@ -37,13 +37,13 @@
             is LeadershipState.Leader -> if (previousTerm?.number == next.term) {
                 previousTerm.renew(next)
             } else {
-                begin(next)
+                beginTerm(next)
             }
         }
     }
 
-    /** Begins a term: the parts that outlive terms drop what holds for one of them only. */
-    private fun begin(leader: LeadershipState.Leader) {
+    /** Begins a term. Components that outlive terms discard the state that is valid for one term only. */
+    private fun beginTerm(leader: LeadershipState.Leader) {
         table.newTerm()
         delegates.newTerm()
         services.failureDetector.newTerm()
--- a/src/main/kotlin/org/elderhitch/scheduler/MachineUpdateHandler.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/MachineUpdateHandler.kt
@@ -4,7 +4,7 @@
 import org.elderhitch.fleet.MachineId
 import org.elderhitch.time.MonotonicInstant
 
-/** Handles [SchedulerMessage.MachineUpdate]: the life of machines, and what the cloud offers. */
+/** Handles [SchedulerMessage.MachineUpdate]: changes of machines and of the cloud's offers. */
 internal class MachineUpdateHandler(private val services: SchedulerServices) {
     private val state = services.state
     private val table = services.table
@@ -75,7 +75,7 @@
         term?.settleTakeover()
     }
 
-    /** Keeps machines that are to be terminated as idle from getting tasks, those of them that are still empty. */
+    /** Stops placing tasks on those of the machines that are still empty, so that they can be terminated as idle. */
     private fun cordon(machines: List<MachineId>) {
         val now = clock.now()
         val (empty, inUse) = machines.partition { table.workers[it]?.isEmpty != false }
--- a/src/main/kotlin/org/elderhitch/scheduler/MachineViewBuilder.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/MachineViewBuilder.kt
@@ -22,33 +22,33 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.time.DurationUnit
 
-/** Makes the views of machines that scheduling cycles decide from. */
-internal class MachineViewBuilder(private val table: TaskTable, private val runTimes: RunTimes) {
-    /** Null: no task can be placed there, as its type or what it runs is not known. */
+/** Builds the views of machines on which scheduling cycles base their decisions. */
+internal class MachineViewBuilder(private val table: TaskTable, private val runTimes: RunTimeEstimator) {
+    /** Returns null if no task can be placed on the machine, because its type or what it runs is unknown. */
     fun build(worker: WorkerState, catalog: Catalog, now: MonotonicInstant): MachineView? {
         worker.viewedAt = now
         val type = catalog.types[worker.type] ?: return null
-        // The size of a task whose job is no longer known can't be told: nothing is placed beside it.
+        // The resource request of a task whose job is unknown is unknown too, so nothing is placed next to it.
         if (worker.tasks.any { it.phase != TaskPhase.EXITED && it.task.job !in table.jobs }) return null
-        val contents = Contents(worker, type, now)
+        val summary = LoadSummary(worker, type, now)
         for (placement in worker.placements.values) {
-            table.jobs[placement.task.job]?.let { contents.add(it, placement) }
+            table.jobs[placement.task.job]?.let { summary.add(it, placement) }
         }
-        return contents.toView()
+        return summary.toView()
     }
 
     /** Sums up the placements on one machine. */
-    private inner class Contents(
+    private inner class LoadSummary(
         private val worker: WorkerState,
         private val type: TypeInfo,
         private val now: MonotonicInstant,
     ) {
         private var free = type.resources
-        private var leaving = Resources.NONE
+        private var releasing = Resources.NONE
         private val preemptible = ArrayList<PreemptionCandidate>()
         private val occupants = ArrayList<Occupant>()
         private val fetching = HashMap<Image, Double>()
-        private val cachedBefore = worker.cachedImages(type.cacheGb)
+        private val previouslyCachedImages = worker.cachedImages(type.cacheGb)
 
         fun add(job: JobState, placement: Placement) {
             val spec = job.spec
@@ -56,19 +56,19 @@
             occupants.add(Occupant(spec, (placement.runningSince ?: now) + runTimes.expected(spec)))
             addImage(spec, placement)
             if (placement.stopGrace != null) {
-                leaving += spec.resources
+                releasing += spec.resources
             } else if (mayBePreempted(job, placement)) {
                 val unsavedSince = placement.runningSince.takeUnless { spec.takesCheckpoints }
                 preemptible.add(PreemptionCandidate(placement.task, spec.priority, spec.resources, unsavedSince))
             }
         }
 
-        /** An image in use is not dropped from the cache; a fetch is given up when the task that needs it goes. */
+        /** An image in use is never evicted from the cache; a fetch is aborted when the task that needs it is gone. */
         private fun addImage(spec: JobSpec, placement: Placement) {
             val isPresent = placement.state == PlacementState.CONFIRMED && placement.phase != TaskPhase.FETCHING
             if (isPresent) {
                 worker.recordImageUse(spec.image, spec.imageGb)
-            } else if (spec.image !in cachedBefore) {
+            } else if (spec.image !in previouslyCachedImages) {
                 fetching.merge(spec.image, remainingFetchGb(placement, spec), ::minOf)
             }
         }
@@ -77,17 +77,17 @@
             placement.state == PlacementState.CONFIRMED &&
             job.spec.priority < Priority.PRODUCTION
 
-        /** How much of its image a task still waits for, if the machine fetches at the stated rate. */
+        /** The part of the task's image that is still to be fetched, assuming the machine's nominal fetch rate. */
         private fun remainingFetchGb(placement: Placement, spec: JobSpec): Double {
-            val since = placement.fetchingSince ?: return spec.imageGb
-            val fetched = (now - since).toDouble(DurationUnit.SECONDS) * type.fetchGbPerS
-            return (spec.imageGb - fetched).coerceAtLeast(spec.imageGb * MIN_REMAINING_FETCH)
+            val fetchingSince = placement.fetchingSince ?: return spec.imageGb
+            val fetchedGb = (now - fetchingSince).toDouble(DurationUnit.SECONDS) * type.fetchGbPerS
+            return (spec.imageGb - fetchedGb).coerceAtLeast(spec.imageGb * MIN_REMAINING_FETCH_SHARE)
         }
 
         fun toView(): MachineView {
             val images = MachineImages(worker.cachedImages(type.cacheGb), type.fetchGbPerS, fetching)
             val isEmpty = worker.placements.isEmpty()
-            val load = MachineLoad(free, leaving, preemptible, serviceWeight(), isEmpty, occupants)
+            val load = MachineLoad(free, releasing, preemptible, serviceWeight(), isEmpty, occupants)
             return MachineView(
                 worker.id,
                 worker.type,
@@ -107,7 +107,7 @@
     }
 
     private companion object {
-        /** The share of an image that still counts as to be fetched when the fetch should be over. */
-        const val MIN_REMAINING_FETCH = 0.1
+        /** The least share of an image that counts as still to be fetched, until the fetch is reported as done. */
+        const val MIN_REMAINING_FETCH_SHARE = 0.1
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/QueryHandler.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/QueryHandler.kt
@@ -4,7 +4,7 @@
 import org.elderhitch.jobs.JobAccount
 import org.elderhitch.jobs.JobId
 
-/** Answers [SchedulerMessage.Query] from the leader's state, and changes nothing. */
+/** Answers [SchedulerMessage.Query] from the leader's state, without changing it. */
 internal class QueryHandler(private val services: SchedulerServices) {
     private val state = services.state
     private val table = services.table
@@ -13,13 +13,13 @@
         when (message) {
             is SchedulerMessage.GetAccount -> message.reply.complete(account(message.id))
             is SchedulerMessage.ExplainJob -> message.reply.complete(explain(message.id))
-            is SchedulerMessage.GetPlacements -> message.reply.complete(completeTerm()?.let { table.locations() })
-            is SchedulerMessage.GetFaultyJobs -> message.reply.complete(completeTerm()?.let { faultyJobs() })
+            is SchedulerMessage.GetPlacements -> message.reply.complete(loadedTerm()?.let { table.locations() })
+            is SchedulerMessage.GetFaultyJobs -> message.reply.complete(loadedTerm()?.let { faultyJobs() })
         }
     }
 
-    /** The term that this node leads, if its task table is complete. */
-    private fun completeTerm(): LeadershipTerm? = state.currentTerm?.takeIf { it.isTableComplete }
+    /** The term that this node leads; null if it doesn't lead or its task table is incomplete. */
+    private fun loadedTerm(): LeadershipTerm? = state.currentTerm?.takeIf { it.isTableComplete }
 
     private fun account(id: JobId): JobAccount? {
         val term = state.currentTerm ?: return null
--- a/src/main/kotlin/org/elderhitch/scheduler/RunTimes.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/RunTimeEstimator.kt
@@ -4,14 +4,14 @@
 import kotlin.time.Duration
 
 /**
- * How long tasks run, by their owners' estimates and by what was seen of their class: on some days estimates are mostly
- * too high or mostly too low (PROTOCOL, `POST /work`).
+ * Predicts the run times of tasks from their owners' estimates, corrected by the observed run times of their class.
+ * Estimates can be consistently too high or too low for a whole day.
  */
-internal class RunTimes {
-    /** By class: the actual run time over the estimated one, as a moving average. */
+internal class RunTimeEstimator {
+    /** Moving average of the ratio of actual to estimated run time, by job class. */
     private val ratios = HashMap<String, Double>()
 
-    /** A task of the job completed after it ran for [runTime]. */
+    /** Records that a task of the job completed after a run time of [runTime]. */
     fun record(spec: JobSpec, runTime: Duration) {
         if (!spec.estimate.isPositive()) return
         val ratio = (runTime / spec.estimate).coerceIn(MIN_RATIO, MAX_RATIO)
@@ -21,7 +21,7 @@
     fun expected(spec: JobSpec): Duration = spec.estimate * (ratios[spec.jobClass] ?: 1.0)
 
     private companion object {
-        /** The tasks of one job share the error of its estimate, so a class is known by some hundred tasks. */
+        /** The tasks of one job share the error of its estimate, so the average covers some hundred tasks. */
         const val SMOOTHING = 0.02
         const val MIN_RATIO = 0.3
         const val MAX_RATIO = 4.0
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerActor.kt
@@ -10,13 +10,14 @@
 import org.elderhitch.time.WallClock
 
 /**
- * The leader's view of workers and tasks, which heartbeats and scheduling cycles change and each term rebuilds from
- * heartbeats. It follows the jobs in every role, so that a new term begins with a complete table.
+ * Owns the scheduler's state of jobs, workers and tasks. On the leader, heartbeats and scheduling cycles update workers
+ * and tasks, which each term rebuilds from heartbeats. Jobs are tracked on followers too, so that a new term starts
+ * with a complete table.
  *
- * Each group of messages has a handler of its own. All of them run inside [receive], so none needs a lock.
+ * Each group of messages has its own handler. All handlers run within [receive], so they need no locks.
  *
- * [onCycle] is told, after each scheduling cycle, how many machines it looked at. [openProviderJob] opens a job that a
- * provider keeps itself, for a task of it that a worker reports; null: there is no such open job.
+ * [onCycle] is called after each scheduling cycle with the number of machines that it examined. [openProviderJob] looks
+ * up a provider-owned job when a worker reports a task of it, and returns null if there is no such open job.
  */
 public class SchedulerActor(
     scope: CoroutineScope,
@@ -42,13 +43,13 @@
         services.table.onTaskCompleted = jobUpdates::onTaskCompleted
         scope.launch {
             while (true) {
-                delay(SchedulerConfiguration.TICK)
+                delay(SchedulerConfiguration.TICK_INTERVAL)
                 tell(SchedulerMessage.Tick)
             }
         }
     }
 
-    override fun isUrgent(message: SchedulerMessage): Boolean = message is SchedulerMessage.Knowledge
+    override fun isUrgent(message: SchedulerMessage): Boolean = message is SchedulerMessage.Urgent
 
     override fun receive(message: SchedulerMessage) {
         when (message) {
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerConfiguration.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerConfiguration.kt
@@ -12,23 +12,23 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** The settings of a node that its scheduler depends on; they never change while it runs. */
+/** The settings of a node that the scheduler uses. They don't change at run time. */
 public class SchedulerConfiguration(
     public val node: NodeName,
-    /** Every controller node with its zone. */
+    /** The zone of each controller node. */
     public val nodeZones: Map<NodeName, Zone>,
     public val leadershipTimeouts: LeadershipTimeouts,
     public val workerTimeouts: WorkerTimeouts,
     public val teams: Map<TeamName, Team>,
     public val objectives: List<Objective>,
     public val classRules: ClassRules = ClassRules.NONE,
-    /** The share of a zone's machines that may be terminated at once on suspicion alone. */
+    /** The share of a zone's machines that may be terminated at the same time on suspicion of failure alone. */
     public val suspectedTerminationShare: Double = FleetPolicy().suspectedTerminationShare,
-    /** The share of a processor core that this node has. */
+    /** The share of a CPU core available to this node. */
     public val cpuShare: Double = 1.0,
 ) {
     internal companion object {
         /** The interval of [SchedulerMessage.Tick]. */
-        val TICK: Duration = 100.milliseconds
+        val TICK_INTERVAL: Duration = 100.milliseconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerMessage.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerMessage.kt
@@ -26,52 +26,52 @@
 import org.elderhitch.placement.CapacityReservation
 import org.elderhitch.settings.NodeName
 
-/** A message to the [SchedulerActor]; one sealed sub-interface for each part that handles messages. */
+/** A message to the [SchedulerActor], with a sealed subinterface for each message handler. */
 public sealed interface SchedulerMessage {
     /**
-     * What is known of jobs and of the term. Received before all messages that wait: heartbeats ahead of it in the
-     * queue would otherwise be judged by older knowledge than this node has.
+     * Changes of jobs and of the leadership, which are received ahead of all queued messages. Otherwise heartbeats
+     * earlier in the queue would be evaluated against older state than this node already has.
      */
-    public sealed interface Knowledge : SchedulerMessage
+    public sealed interface Urgent : SchedulerMessage
 
-    /** Who leads, and the progress of a new term's takeover. */
+    /** Leadership changes, and the progress of the takeover in a new term. */
     public sealed interface LeadershipUpdate : SchedulerMessage
 
-    /** Heartbeats, and the outcomes of requests to workers. */
+    /** Heartbeats from workers, and outcomes of requests to workers. */
     public sealed interface WorkerUpdate : SchedulerMessage
 
-    /** What becomes of machines, and what the cloud offers. */
+    /** Changes of machines and of the cloud's offers. */
     public sealed interface MachineUpdate : SchedulerMessage
 
-    /** Changes of jobs and their holds, and outcomes of writes about them. */
+    /** Changes of jobs and their holds, and outcomes of the related writes. */
     public sealed interface JobUpdate : SchedulerMessage
 
-    /** Questions about the leader's state; each is answered through its `reply` and changes nothing. */
+    /** Read-only queries of the leader's state, answered through their `reply`. */
     public sealed interface Query : SchedulerMessage
 
-    /** The regular tick: timeouts, probes, periodic figures and scheduling cycles. */
+    /** The periodic tick, which triggers timeouts, probes, statistics and scheduling cycles. */
     public data object Tick : SchedulerMessage
 
     // ---- leadership
 
     public data class LeadershipChanged(val leadershipState: LeadershipState) :
         LeadershipUpdate,
-        Knowledge
+        Urgent
 
-    /** The task table holds all jobs that were recorded before [term] was claimed. */
+    /** The task table contains all jobs that were recorded before [term] was claimed. */
     public data class JobsLoaded(val term: Term) :
         LeadershipUpdate,
-        Knowledge
+        Urgent
 
-    /** The process that led before has ended, so its workers come to the new leader by themselves. */
+    /** The previous leader's process has ended, so its workers look for the new leader by themselves. */
     public data class PreviousLeaderEnded(val term: Term) : LeadershipUpdate
 
-    /** The previous leader has certainly stopped answering heartbeats by now. */
+    /** All previous leaders have certainly stopped answering heartbeats. */
     public data class PreviousLeadersStopped(val term: Term) : LeadershipUpdate
 
     /**
-     * Another controller, just heard from, asks to be the lease delegate of its zone. Answered with null if it can't
-     * be now, or if this node doesn't lead.
+     * Controller [node], which was just heard from, asks to become the lease delegate of its zone. Answered with null
+     * if that is not possible now, or if this node doesn't lead.
      */
     public data class RequestDelegation(val node: NodeName, val reply: CompletableDeferred<DelegationOffer?>) :
         LeadershipUpdate
@@ -84,7 +84,7 @@
     public data class HeartbeatReceived(val heartbeat: Heartbeat, val reply: CompletableDeferred<HeartbeatResponse>) :
         WorkerUpdate
 
-    /** The outcome of commands that were sent to a worker's own address; [starts]: the starts among them. */
+    /** The outcome of commands that were sent directly to a worker's address. [starts]: the starts among them. */
     public data class CommandsDelivered(
         val term: Term,
         val machine: MachineId,
@@ -93,16 +93,16 @@
         val outcome: CommandOutcome,
     ) : WorkerUpdate
 
-    /** The outcome of asking a worker at its own address. */
+    /** The outcome of a probe that was sent directly to a worker's address. */
     public data class ProbeCompleted(val term: Term, val machine: MachineId, val outcome: CommandOutcome) :
         WorkerUpdate
 
-    /** The cloud's list of machines, with their addresses where it knows them. */
+    /** The machines listed by the cloud; the address is null where the cloud doesn't know it. */
     public data class MachinesListed(val addresses: Map<MachineId, Address?>) : WorkerUpdate
 
     // ---- machines
 
-    /** At the start of [term]: machines that may run tasks of an earlier term, and machines that were never used. */
+    /** The machines at the start of [term]: those that may run tasks of an earlier term, and those never used. */
     public data class InventoryLoaded(
         val term: Term,
         val possiblyBusy: Collection<Machine>,
@@ -112,20 +112,20 @@
     /** A machine was provisioned, and its provisioning intent is recorded. */
     public data class MachineProvisioned(val machine: Machine) : MachineUpdate
 
-    /** It is recorded that the machine may be given tasks, so that a later term waits to hear from it. */
+    /** It is recorded that tasks may be placed on the machine, so that a later term waits for its report. */
     public data class MachineUsable(val machine: MachineId) : MachineUpdate
 
-    /** The machine is certainly gone, with all tasks on it; [proof] says how that is known. */
+    /** The machine and all tasks on it are certainly gone. [proof]: how that is known, for the log. */
     public data class MachineTerminated(val machine: MachineId, val proof: String) : MachineUpdate
 
     public data class CatalogChanged(val catalog: Catalog) : MachineUpdate
 
-    /** Which images an earlier leader knew to be on which machines (in GB). */
+    /** The images that an earlier leader recorded for each machine, with their sizes in GB. */
     public data class ImageHintsLoaded(val images: Map<MachineId, Map<Image, Double>>) : MachineUpdate
 
     /**
-     * Capacity that less important work leaves free. [unavailableMarkets]: where the cloud had no machine to offer
-     * lately.
+     * Capacity that lower-priority work must leave free. [unavailableMarkets]: markets that recently had no machine
+     * available.
      */
     public data class CapacityReserved(
         val reservations: List<CapacityReservation>,
@@ -133,27 +133,27 @@
     ) : MachineUpdate
 
     /**
-     * Machines that are to be terminated as idle: those that are still empty are given no more tasks. Answered by
-     * [FleetMessage.MachinesCordoned].
+     * Stops placing tasks on those of the [machines] that are still empty, so that they can be terminated as idle.
+     * Answered with [FleetMessage.MachinesCordoned].
      */
     public data class CordonMachines(val machines: List<MachineId>) : MachineUpdate
 
-    /** A machine was heard from before its termination went out, and stays in use. */
+    /** The machine reported before its termination was requested from the cloud, and remains in use. */
     public data class TerminationCancelled(val machine: MachineId) : MachineUpdate
 
-    /** A machine that the fleet could do without, to be emptied if its tasks fit elsewhere. */
+    /** Drains a machine that the fleet doesn't need, if its tasks fit on other machines. */
     public data class DrainMachine(val machine: MachineId) : MachineUpdate
 
     // ---- jobs
 
     public data class JobChanged(val event: JobEvent) :
         JobUpdate,
-        Knowledge
+        Urgent
 
-    /** A write of completed tasks is over; [completedTasks]: what was recorded, by job. */
+    /** The end of a write of completed tasks. [completedTasks]: the tasks that it recorded, by job. */
     public data class CompletionsRecorded(val term: Term, val completedTasks: Map<JobId, List<Int>>) : JobUpdate
 
-    /** A request to hold a job: only the leader knows whether any of its tasks was started. */
+    /** A request to hold a job. The leader decides, as only it knows whether any of the job's tasks was started. */
     public data class HoldJob(
         val id: JobId,
         val kind: HoldKind,
@@ -166,18 +166,18 @@
 
     // ---- queries
 
-    /** What this term has seen of a job's work. Null: this node doesn't lead, or doesn't know the job. */
+    /** Gets a job's resource usage in this term. Null if this node doesn't lead or doesn't know the job. */
     public data class GetAccount(val id: JobId, val reply: CompletableDeferred<JobAccount?>) : Query
 
-    /** Why a job is in its present state. Null: this node doesn't lead, or doesn't know the job. */
+    /** Explains the current state of a job. Null if this node doesn't lead or doesn't know the job. */
     public data class ExplainJob(val id: JobId, val reply: CompletableDeferred<List<String>?>) : Query
 
     /**
-     * Which machine each task is on or was sent to, by the leader's table. Null: this node doesn't lead, or its table
-     * isn't complete.
+     * Gets the machine of each task that was sent to one, according to the task table. Null if this node doesn't lead
+     * or its table is incomplete.
      */
     public data class GetPlacements(val reply: CompletableDeferred<Map<TaskId, MachineId>?>) : Query
 
-    /** Open jobs that failed on every machine where they were tried. Null: as for [GetPlacements]. */
+    /** Gets the open jobs whose failures are attributed to the job itself. Null as for [GetPlacements]. */
     public data class GetFaultyJobs(val reply: CompletableDeferred<Set<JobId>?>) : Query
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerPorts.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerPorts.kt
@@ -14,8 +14,8 @@
 import org.elderhitch.store.Revision
 
 /**
- * Everything outside the scheduler that it depends on, grouped by concern. No call waits: what takes time runs in the
- * background, and its result comes back as a [SchedulerMessage].
+ * The scheduler's external dependencies, grouped by concern. No call blocks: operations that take time run in the
+ * background, and their results are delivered as [SchedulerMessage]s.
  */
 public interface SchedulerPorts :
     PeerActorPort,
@@ -31,9 +31,9 @@
     public fun leadership(message: LeadershipMessage)
 }
 
-/** Requests to workers at their own addresses. */
+/** Requests sent directly to workers' addresses. */
 public interface WorkerPort {
-    /** Sends commands to a worker. The outcome comes back as [SchedulerMessage.CommandsDelivered]. */
+    /** Sends commands to a worker. The outcome is delivered as [SchedulerMessage.CommandsDelivered]. */
     public fun sendCommands(
         leader: LeadershipState.Leader,
         address: Address,
@@ -43,23 +43,23 @@
     )
 
     /**
-     * Asks a worker for its state and tells it the current term. The outcome comes back as
+     * Asks a worker for its state and announces the current term to it. The outcome is delivered as
      * [SchedulerMessage.ProbeCompleted].
      */
     public fun probe(leader: LeadershipState.Leader, address: Address, machine: MachineId)
 }
 
-/** What the scheduler writes to the state service about jobs, each write on condition of the leader's term. */
+/** Writes of job records to the state service. Each is conditional on the leader's term. */
 public interface JobRecordPort {
-    /** Records completed tasks. The outcome comes back as [SchedulerMessage.CompletionsRecorded]. */
+    /** Records completed tasks. The outcome is delivered as [SchedulerMessage.CompletionsRecorded]. */
     public fun recordCompletions(leader: LeadershipState.Leader, batches: List<CompletionBatch>)
 
     /** Deletes the completion [blocks] of a job that has reached its terminal state. */
     public fun deleteCompletions(leader: LeadershipState.Leader, job: JobId, blocks: Set<Int>)
 
     /**
-     * Records [hold] for a job of version [version], replacing what its key holds at revision [replaces]. The outcome
-     * comes back as [SchedulerMessage.HoldWritten].
+     * Records [hold] for a job of version [version], replacing the stored value of revision [replaces]. The outcome is
+     * delivered as [SchedulerMessage.HoldWritten].
      */
     public fun writeHold(
         leader: LeadershipState.Leader,
@@ -72,20 +72,20 @@
     /** Deletes the hold of a job that has reached its terminal state. */
     public fun deleteHold(leader: LeadershipState.Leader, job: JobId)
 
-    /** Stores which images are on which machines (in GB), as hints for a later term. */
+    /** Stores the images on each machine, with their sizes in GB, as hints for a later term. */
     public fun saveImageHints(leader: LeadershipState.Leader, images: Map<MachineId, Map<Image, Double>>)
 }
 
-/** Figures for `/status` and for clients that watch jobs. */
+/** Statistics for `/status` and for clients that watch jobs. */
 public interface StatusPort {
-    /** Publishes how many tasks of each job run. */
+    /** Publishes the number of running tasks of each job. */
     public fun publishRunningCounts(counts: Map<JobId, Int>)
 
     /** Publishes this term's reconciliation statistics and action counts. */
     public fun publishStatistics(counts: Map<String, Any?>)
 }
 
-/** What this node knows about its own connections. */
+/** The state of this node's own connections. */
 public interface ConnectivityPort {
     /** Whether this node reaches neither [leader] nor the state service. */
     public fun isCutOffFrom(leader: NodeName): Boolean
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerServices.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerServices.kt
@@ -15,9 +15,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The parts of the scheduler that outlive a term: those that follow the jobs in every role, and those with state that a
- * new term keeps (such as the failure detector's view of each zone). What lives for one term only is in
- * [LeadershipTerm].
+ * The components of the scheduler that outlive a term: those that track jobs on followers too, and those whose state is
+ * kept across terms, such as the failure detector's view of each zone. [LeadershipTerm] has the components of a single
+ * term.
  */
 internal class SchedulerServices(
     val configuration: SchedulerConfiguration,
@@ -32,7 +32,7 @@
     val events = EventLog(clock, log::info, log::error)
     val leaseTimeouts = LeaseTimeouts(configuration.workerTimeouts.lease)
     val failureAttribution = FailureAttribution(table)
-    val pauseDetector = PauseDetector(SchedulerConfiguration.TICK)
+    val pauseDetector = PauseDetector(SchedulerConfiguration.TICK_INTERVAL)
     val delegates = ZoneDelegates(
         configuration.node,
         configuration.nodeZones,
@@ -46,7 +46,7 @@
         FailureDetectionSettings(
             configuration.workerTimeouts,
             leaseTimeouts,
-            SchedulerConfiguration.TICK,
+            SchedulerConfiguration.TICK_INTERVAL,
             configuration.nodeZones.values.toSet(),
             configuration.suspectedTerminationShare,
         ),
@@ -62,6 +62,6 @@
     val completions = CompletionReporter(table, clock, wallClock, ports)
     val cycleInputs = CycleInputBuilder(table, failureAttribution, configuration.teams, configuration.objectives)
 
-    /** For parts that are called only while this node leads, when there is a term. */
-    private fun requireTerm(): LeadershipTerm = checkNotNull(state.lastTerm) { "this node has not led yet" }
+    /** For components that are called only while this node leads, and so when there is a term. */
+    private fun requireTerm(): LeadershipTerm = checkNotNull(state.lastTerm) { "this node has not led any term yet" }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/SchedulerState.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/SchedulerState.kt
@@ -9,32 +9,32 @@
 import org.elderhitch.placement.CapacityReservation
 
 /**
- * The state that the parts of the scheduler share and that outlives a term. Read and written only while the
+ * State that is shared by the components of the scheduler and that outlives a term. Accessed only while the
  * [SchedulerActor] handles a message.
  */
 internal class SchedulerState {
     var leadershipState: LeadershipState = LeadershipState.Follower(null, Term.NONE)
 
     /**
-     * The term that this node led last, kept after its end until the next one begins: some of it is still logged and
-     * counted. Null: this node has not led yet.
+     * The term that this node led last; null if it has never led. Kept after the term ends until the next one begins,
+     * because some of its state is still logged and counted.
      */
     var lastTerm: LeadershipTerm? = null
 
-    /** The term that this node leads now; null: it doesn't lead. */
+    /** The term that this node leads now; null if it doesn't lead. */
     val currentTerm: LeadershipTerm? get() = if (leadershipState is LeadershipState.Leader) lastTerm else null
 
     var catalog: Catalog = Catalog.EMPTY
 
-    /** Capacity that less important work leaves free. */
+    /** Capacity that lower-priority work must leave free. */
     var reservations: List<CapacityReservation> = emptyList()
 
-    /** Where the cloud had no machine to offer when it was last asked. */
+    /** Markets that had no machine available at the last request. */
     var unavailableMarkets: Set<Market> = emptySet()
 
-    /** Which images an earlier leader knew to be on which machines (in GB). */
+    /** The images that an earlier leader recorded for each machine, with their sizes in GB. */
     var imageHints: Map<MachineId, Map<Image, Double>> = emptyMap()
 
-    /** The term that this node leads, if that is [term]; null: the message is of another term, and is dropped. */
+    /** The current term if its number is [term]; null if not, in which case the message is stale and is ignored. */
     fun currentTerm(term: Term): LeadershipTerm? = currentTerm?.takeIf { it.number == term }
 }
--- a/src/main/kotlin/org/elderhitch/scheduler/WorkerMessageHandlers.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/WorkerMessageHandlers.kt
@@ -13,7 +13,7 @@
 import org.elderhitch.recovery.TaskReconciler
 import org.elderhitch.tasks.MachineRegistry
 
-/** The handlers of workers' messages in one term: heartbeats, and replies to commands and to probes. */
+/** The handlers of worker messages in one term: heartbeats, and responses to commands and probes. */
 internal class WorkerMessageHandlers(
     services: SchedulerServices,
     takeover: Takeover,
--- a/src/main/kotlin/org/elderhitch/scheduler/WorkerUpdateHandler.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/WorkerUpdateHandler.kt
@@ -5,7 +5,7 @@
 import org.elderhitch.heartbeat.ReceivedHeartbeat
 import org.elderhitch.leadership.LeadershipState
 
-/** Handles [SchedulerMessage.WorkerUpdate]: heartbeats, and the outcomes of commands and probes. */
+/** Handles [SchedulerMessage.WorkerUpdate]: heartbeats, and outcomes of commands and probes. */
 internal class WorkerUpdateHandler(private val services: SchedulerServices, private val cycles: CycleRunner) {
     private val state = services.state
     private val clock = services.clock
@@ -38,7 +38,7 @@
                 ?: HeartbeatResponse.Redirect((state.leadershipState as? LeadershipState.Follower)?.leader)
         val received = ReceivedHeartbeat(heartbeat, term.leader, term.isTableComplete, now)
         return term.workerMessages.heartbeats.handle(received) { worker ->
-            if (services.table.dirty && term.leader.maySendCommands(now) && cycles.isRested(now)) {
+            if (services.table.dirty && term.leader.maySendCommands(now) && cycles.isPauseOver(now)) {
                 cycles.run(term, now, responding = worker)
             }
         }
--- a/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/CompletionReporter.kt
@@ -10,7 +10,7 @@
 import org.elderhitch.time.WallClock
 import kotlin.time.Duration.Companion.seconds
 
-/** Sends completed tasks that are not recorded yet to the state service, one group of batches at a time. */
+/** Records completed tasks in the state service. At most one write, of one batch per job, is in progress at a time. */
 internal class CompletionReporter(
     private val table: TaskTable,
     private val clock: SteadyClock,
@@ -18,13 +18,13 @@
     private val ports: SchedulerPorts,
 ) {
     private var writeInProgress = false
-    private var lastPartialWrite = MonotonicInstant.NEVER
+    private var lastPartialWriteAt = MonotonicInstant.NEVER
 
     fun newTerm() {
         writeInProgress = false
     }
 
-    /** The account of [job]; a lower bound if an earlier term may have run some of it. */
+    /** The resource usage account of [job]; a lower bound if tasks of it may have run in an earlier term. */
     fun account(leadership: LeadershipState.Leader, job: JobState): JobAccount =
         job.usage.account(job, clock.now(), wallClock.now(), lowerBound = job.version <= leadership.termRevision)
 
@@ -32,28 +32,28 @@
     fun record(leadership: LeadershipState.Leader) {
         if (writeInProgress) return
         val now = clock.now()
-        // Completed tasks of jobs that go on are recorded at intervals, because each write replaces whole blocks. The
-        // last task of a job is recorded at once.
-        val includePartial = now - lastPartialWrite > PARTIAL_WRITE_INTERVAL
-        val batches = dueJobs(includePartial).map { batch(leadership, it) }
+        // Partial progress is recorded only at intervals, because each write replaces whole blocks. A job whose last
+        // task has completed is recorded immediately.
+        val includePartialProgress = now - lastPartialWriteAt > PARTIAL_WRITE_INTERVAL
+        val batches = jobsToRecord(includePartialProgress).map { toBatch(leadership, it) }
         if (batches.isEmpty()) return
         writeInProgress = true
-        if (includePartial) lastPartialWrite = now
+        if (includePartialProgress) lastPartialWriteAt = now
         ports.recordCompletions(leadership, batches)
     }
 
-    private fun dueJobs(includePartial: Boolean): List<JobState> {
+    private fun jobsToRecord(includePartialProgress: Boolean): List<JobState> {
         val unrecorded = table.jobs.values.filter {
-            !it.isTerminal && it.completed.count > it.recorded.count && (includePartial || it.completed.all)
+            !it.isTerminal && it.completed.count > it.recorded.count && (includePartialProgress || it.completed.all)
         }
-        // The provider of a job packs many completions into one write, so its jobs are not limited in number, but are
-        // recorded only when complete.
+        // A provider packs the completions of many jobs into one write, so the limit on batches doesn't apply to its
+        // jobs. They are recorded only once all their tasks have completed.
         val providerOwned =
-            if (includePartial) unrecorded.filter { it.providerOwned && it.completed.all } else emptyList()
-        return unrecorded.filter { !it.providerOwned }.take(MAX_BATCHES) + providerOwned
+            if (includePartialProgress) unrecorded.filter { it.providerOwned && it.completed.all } else emptyList()
+        return unrecorded.filter { !it.providerOwned }.take(MAX_BATCHES_PER_WRITE) + providerOwned
     }
 
-    private fun batch(leadership: LeadershipState.Leader, job: JobState) = CompletionBatch(
+    private fun toBatch(leadership: LeadershipState.Leader, job: JobState) = CompletionBatch(
         job.id,
         job.version,
         job.completed,
@@ -64,7 +64,7 @@
         job.providerOwned,
     )
 
-    /** The write ended; [recorded] are the tasks that it recorded, by job. */
+    /** Handles the end of a write. [recorded]: the tasks that it recorded, by job. */
     fun onRecorded(recorded: Map<JobId, List<Int>>) {
         writeInProgress = false
         for ((id, tasks) in recorded) {
@@ -74,7 +74,7 @@
     }
 
     private companion object {
-        const val MAX_BATCHES = 64
+        const val MAX_BATCHES_PER_WRITE = 64
         val PARTIAL_WRITE_INTERVAL = 1.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/tasks/GangState.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/GangState.kt
@@ -5,55 +5,58 @@
 import org.elderhitch.jobs.JobKind
 
 /**
- * Progress of a gang, a job whose tasks run all at once.
+ * Progress of a gang: a job whose tasks (its members) all run at the same time, as one attempt.
  *
- * A gang collects members of one attempt, starts when a member is first seen running, and is broken when it can no
- * longer become or stay whole. A broken gang is reset once its last member is gone; then the next attempt begins.
+ * A gang has started once a worker reports one of its members as running. It is broken once the current attempt can no
+ * longer have all its members. A broken gang is reset when its last member is gone, and a new attempt begins.
  */
 internal class GangState {
-    /** The attempt that the members belong to; null: there are no members. */
+    /** The attempt shared by all members; null if the gang has no members. */
     var attempt: Attempt? = null
         private set
 
-    /** Whether a member has been seen running. */
+    /** Whether a worker has reported a member as running. */
     var started = false
         private set
 
-    /** Whether all members must go before the next attempt: one was lost after the start, or waited for too long. */
+    /**
+     * Whether the attempt has failed, because a member was lost after the start or timed out waiting for the others.
+     * The next attempt begins only after all members are gone.
+     */
     var broken = false
         private set
 
-    /** The gang has no members. */
+    /** Returns to the initial state, without members. */
     fun reset() {
         attempt = null
         started = false
         broken = false
     }
 
-    /** The attempt that new members join: the current one if [membersPlaced], else a [fresh] one. */
-    fun attemptFor(membersPlaced: Boolean, fresh: () -> Attempt): Attempt? {
-        if (!membersPlaced) attempt = fresh()
+    /** Returns the attempt for new members: the current one if [membersPlaced], otherwise one from [newAttempt]. */
+    fun attemptFor(membersPlaced: Boolean, newAttempt: () -> Attempt): Attempt? {
+        if (!membersPlaced) attempt = newAttempt()
         return attempt
     }
 
-    /** A worker reports a member that the table did not have. */
+    /** Handles a member that a worker reports and that is not in the task table. */
     fun memberFound(member: Attempt) {
         val known = attempt
         if (known != null && known != member) broken = true
         attempt = member
     }
 
-    /** A worker reports a member in [phase]. */
+    /** Handles a worker's report that a member is in [phase]. */
     fun observe(phase: TaskPhase) {
         if (phase == TaskPhase.RUNNING || phase == TaskPhase.SAVING) started = true
     }
 
-    /** A member stopped waiting for the others. */
+    /** Handles a member that timed out waiting for the others. */
     fun abandon() {
         broken = true
     }
 
-    /** A member is gone. It is replaced before the start; after the start the others must go too. */
+    /** Handles the loss of a member. Before the start it is replaced; after the start the whole attempt fails. */
     fun memberLost(membersLeft: Boolean) {
         if (!membersLeft) {
             reset()
@@ -63,5 +66,5 @@
     }
 }
 
-/** Whether the tasks of the job run all at once. */
+/** Whether all tasks of the job run at the same time. */
 internal val JobState.isGang: Boolean get() = spec.kind == JobKind.GANG
--- a/src/main/kotlin/org/elderhitch/tasks/ImageHints.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/ImageHints.kt
@@ -9,14 +9,14 @@
 import java.util.BitSet
 
 /**
- * Codec of the stored hint about which machines have which images.
+ * Codec for the stored hints about which machines have which images cached.
  *
- * The leader writes the hint for its successor, which otherwise knows only the images of running tasks and would fetch
- * the others again. A wrong or missing hint costs a fetch and nothing else.
+ * The leader stores the hints for its successor, which otherwise knows only the images of running tasks and would have
+ * the others fetched again. A wrong or missing hint only costs an unnecessary fetch.
  *
- * Machine ids are a common prefix and a number. The value names the prefix once and takes one bit for each machine and
- * image, because a list of ids would exceed the size of a value with fewer than three hundred machines. Machines whose
- * id has another form are left out.
+ * Most machine ids consist of a common prefix and a number. The encoding stores the prefix once and a bitmap of machine
+ * numbers for each image, because lists of ids would exceed the size limit of a stored value with fewer than three
+ * hundred machines. Machines whose id has another format are left out.
  */
 public object ImageHints {
     private data class IdFormat(val prefix: String, val digits: Int)
@@ -24,19 +24,20 @@
     private class NumberedId(val format: IdFormat, val number: Int)
 
     /**
-     * Encodes the images of each machine with their sizes in gigabytes. If not all images fit into [valueBytes], those
-     * on the fewest machines are left out.
+     * Encodes the images of each machine, given with their sizes in gigabytes. If the result would exceed
+     * [maxValueBytes], the images on the fewest machines are left out.
      */
-    public fun encode(used: Map<MachineId, Map<Image, Double>>, valueBytes: Int): Map<String, Any?> {
-        val machines = used.filterValues { it.isNotEmpty() }.keys.mapNotNull { id -> numbered(id)?.let { id to it } }
+    public fun encode(imagesByMachine: Map<MachineId, Map<Image, Double>>, maxValueBytes: Int): Map<String, Any?> {
+        val machines =
+            imagesByMachine.filterValues { it.isNotEmpty() }.keys.mapNotNull { id -> parseId(id)?.let { id to it } }
         val (format, members) = machines.groupBy { it.second.format }.maxByOrNull { it.value.size } ?: return emptyMap()
         val firstNumber = members.minOf { it.second.number }
-        val sizes = HashMap<Image, Double>()
-        val holders = HashMap<Image, BitSet>()
+        val gigabytesByImage = HashMap<Image, Double>()
+        val machinesByImage = HashMap<Image, BitSet>()
         for ((id, numbered) in members) {
-            for ((image, gigabytes) in used.getValue(id)) {
-                sizes[image] = gigabytes
-                holders.getOrPut(image) { BitSet() }.set(numbered.number - firstNumber)
+            for ((image, gigabytes) in imagesByMachine.getValue(id)) {
+                gigabytesByImage[image] = gigabytes
+                machinesByImage.getOrPut(image) { BitSet() }.set(numbered.number - firstNumber)
             }
         }
         val header = linkedMapOf<String, Any?>(
@@ -44,34 +45,44 @@
             WIDTH to format.digits,
             FIRST to firstNumber,
         )
-        return fitting(header, imageEntries(sizes, holders), valueBytes)
+        return truncateToSize(header, imageEntries(gigabytesByImage, machinesByImage), maxValueBytes)
     }
 
-    /** One entry for each image, the most widespread first. */
-    private fun imageEntries(sizes: Map<Image, Double>, holders: Map<Image, BitSet>): List<List<Any?>> {
+    /** Returns one entry for each image, in descending order of the number of machines that have it. */
+    private fun imageEntries(
+        gigabytesByImage: Map<Image, Double>,
+        machinesByImage: Map<Image, BitSet>,
+    ): List<List<Any?>> {
         val mostWidespreadFirst =
             compareByDescending<Map.Entry<Image, BitSet>> { it.value.cardinality() }.thenBy { it.key.name }
-        return holders.entries.sortedWith(mostWidespreadFirst).map { (image, bits) ->
-            listOf(image.name, sizes[image], Base64.getEncoder().encodeToString(bits.toByteArray()))
+        return machinesByImage.entries.sortedWith(mostWidespreadFirst).map { (image, bits) ->
+            listOf(image.name, gigabytesByImage[image], Base64.getEncoder().encodeToString(bits.toByteArray()))
         }
     }
 
-    private fun fitting(header: Map<String, Any?>, images: List<List<Any?>>, valueBytes: Int): Map<String, Any?> {
+    private fun truncateToSize(
+        header: Map<String, Any?>,
+        images: List<List<Any?>>,
+        maxValueBytes: Int,
+    ): Map<String, Any?> {
         var count = images.size
         while (true) {
             val value = header + (IMAGES to images.take(count))
-            if (count == 0 || Json.bytes(value).size <= valueBytes) return value
+            if (count == 0 || Json.bytes(value).size <= maxValueBytes) return value
             count--
         }
     }
 
-    private fun numbered(id: MachineId): NumberedId? {
+    private fun parseId(id: MachineId): NumberedId? {
         val digits = id.text.takeLastWhile { it in '0'..'9' }
         val number = digits.toIntOrNull() ?: return null
         return NumberedId(IdFormat(id.text.dropLast(digits.length), digits.length), number)
     }
 
-    /** The images of each machine, least widespread first; empty if [value] was not written by [encode]. */
+    /**
+     * Decodes the images of each machine, in ascending order of the number of machines that have them. Returns an empty
+     * map if [value] was not written by [encode].
+     */
     public fun decode(value: JsonObject): Map<MachineId, Map<Image, Double>> = try {
         decodeMachines(value).orEmpty()
     } catch (_: MalformedJson) {
@@ -87,7 +98,8 @@
         val digits = value.count(WIDTH).toInt()
         val firstNumber = value.count(FIRST).toInt()
         val machines = HashMap<MachineId, MutableMap<Image, Double>>()
-        // A machine most likely used last what many machines have, and the last image counts as the latest used.
+        // The images on most machines come last, which marks them as the most recently used: that is the likeliest
+        // order of use.
         for (entry in (value.raw(IMAGES) as? List<*>).orEmpty().reversed()) {
             val (name, gigabytes, bits) = entry as? List<*> ?: return null
             if (name !is String || gigabytes !is Number || bits !is String) return null
--- a/src/main/kotlin/org/elderhitch/tasks/JobState.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/JobState.kt
@@ -11,10 +11,10 @@
 import org.elderhitch.time.MonotonicInstant
 
 /**
- * A job in the leader's table: an open one, or one with a terminal state whose tasks are not all gone yet.
+ * A job in the task table: an open job, or one in a terminal state that still has placements.
  *
- * [version] is the revision at which the job was recorded. A [providerOwned] job is recorded by a
- * [org.elderhitch.jobs.JobProvider] as a whole, not task by task.
+ * [version] is the store revision at which the job was recorded. A [providerOwned] job is recorded as a whole by its
+ * [org.elderhitch.jobs.JobProvider], not task by task.
  */
 internal class JobState(
     val spec: JobSpec,
@@ -22,18 +22,19 @@
     val openedAt: MonotonicInstant = MonotonicInstant.NEVER,
     val providerOwned: Boolean = false,
 ) {
-    /** Tasks whose completion is recorded in the state service. */
+    /** Tasks whose completion the state service has recorded. */
     val recorded = CompletedTasks(spec.tasks)
 
-    /** Tasks that workers reported as completed, recorded or not. */
+    /** Tasks that workers reported as completed, whether recorded or not. */
     val completed = CompletedTasks(spec.tasks)
 
-    /** The placement of each task that is on a worker or on its way to one, by task index. */
+    /** The primary placement of each task that is assigned or sent to a worker, or reported by one, by task index. */
     val placements = HashMap<Int, Placement>()
 
     /**
-     * Further copies of tasks in [placements], by task index; null: there are none, as it should be. They are being
-     * stopped. Until they are gone they count towards capacity, zones and quota, and the task is not started again.
+     * Surplus copies of tasks in [placements], by task index; null in the normal case that there are none. They are
+     * being stopped. Until a copy is gone, it counts towards capacity, zones and quota, and its task is not started
+     * again.
      */
     var surplus: HashMap<Int, MutableList<Placement>>? = null
 
@@ -47,30 +48,30 @@
     var isTerminal = false
 
     /**
-     * A time at which the job's terminal state was not recorded yet. No user learnt of it earlier.
+     * A time at which the job's terminal state was not recorded yet, and so no user can have been told of it.
      * [MonotonicInstant.FOREVER] while the job is open.
      */
     var knownOpenAt: MonotonicInstant = MonotonicInstant.FOREVER
     val gang = GangState()
 
-    /** Machines on which tasks of the job failed. */
+    /** Machines on which a task of the job failed. */
     val failedOn = HashSet<MachineId>()
 
-    /** Nothing of the job is started before this time. */
+    /** No task of the job is started before this time. */
     var notBefore: MonotonicInstant = MonotonicInstant.NEVER
     var usage = JobUsage()
 
-    /** The value stored under the key of the job's hold; null: there is none. */
+    /** The stored hold record of the job, also after its release; null if there is none. */
     var storedHold: JobHold? = null
 
-    /** The hold in effect, during which nothing of the job is started; null: the job is not held. */
+    /** The hold in effect, during which no task of the job is started; null if the job is not held. */
     val hold: JobHold? get() = storedHold?.effective
 
-    /** Whether a hold is being recorded, or may have been: nothing of the job is started then either. */
+    /** Whether a write of a hold is in progress or its outcome is unknown. No task of the job is started meanwhile. */
     var holdPending = false
     val id: JobId get() = spec.id
 
-    /** The number of copies in each zone. */
+    /** The number of placements in each zone, surplus copies included. */
     fun zones(): Map<Zone, Int> {
         val counts = HashMap<Zone, Int>()
         for (placement in placements.values) counts.merge(placement.zone, 1, Int::plus)
--- a/src/main/kotlin/org/elderhitch/tasks/JobUsage.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/JobUsage.kt
@@ -8,36 +8,36 @@
 import kotlin.time.DurationUnit
 
 /**
- * Run time and attempts of a job, as seen in this term.
+ * Run time and attempts of a job, as observed by the leader in this term.
  *
- * An attempt counts from when it was first to when it was last seen running. Its time is useful if the task completed,
- * belongs to a service, or was saved; otherwise it is wasted. What earlier terms saw is unknown and not estimated:
- * [JobAccount.lowerBound] is set then.
+ * The run time of an attempt lasts from the first report of it as running until the leader learns of its end. It is
+ * useful if the task completed, was checkpointed or belongs to a service, and wasted otherwise. What ran in earlier
+ * terms is not known and not estimated; [JobAccount.lowerBound] is set if anything may have.
  */
 internal class JobUsage {
-    /** Attempts that workers confirmed. */
+    /** The number of attempts confirmed by a worker. */
     var attempts = 0L
         private set
 
-    /** Attempts that ended without completing and without being stopped. */
+    /** The number of attempts that ended neither by completion nor by a stop. */
     var lost = 0L
         private set
     private var useful = Duration.ZERO
     private var wasted = Duration.ZERO
     private var firstStart = MonotonicInstant.FOREVER
 
-    /** Failed attempts by task index; null: none were counted. Filled only for jobs with a rule about them. */
+    /** Failed attempts by task index; null if there are none. Counted only if the job's class limits attempts. */
     private var failures: HashMap<Int, Int>? = null
 
-    /** A worker confirmed an attempt. */
+    /** Records that a worker confirmed an attempt. */
     fun recordStart(now: MonotonicInstant) {
         attempts++
         if (now < firstStart) firstStart = now
     }
 
     /**
-     * The task of [placement] completed. If it was never seen running, [peerRunningSince] tells when a task that ran
-     * together with it was; null: none was.
+     * Records that the task of [placement] completed. If it was never reported as running, its run time counts from
+     * [peerRunningSince]: when a task that ran together with it was first reported as running, or null if none was.
      */
     fun recordCompletion(placement: Placement, now: MonotonicInstant, peerRunningSince: MonotonicInstant?) {
         if (placement.state != PlacementState.CONFIRMED) recordStart(now)
@@ -46,48 +46,51 @@
     }
 
     /**
-     * The task of [placement] is gone from its worker. No effect on placements that are accounted for already.
-     * [countsFailures]: whether a failed attempt counts towards [failuresOf].
+     * Records that the task of [placement] is gone from its worker without having completed. Placements that are
+     * already accounted for are ignored. [countsFailures]: whether a failed attempt is included in [failuresOf].
      */
     fun recordLoss(job: JobState, placement: Placement, now: MonotonicInstant, countsFailures: Boolean) {
         if (placement.accounted || placement.state != PlacementState.CONFIRMED) return
         placement.accounted = true
-        val ran = runTime(placement, now)
-        val saved = placement.stopGrace.let {
+        val attemptRunTime = runTime(placement, now)
+        val isCheckpointed = placement.stopGrace.let {
             it != null && job.spec.takesCheckpoints && it >= job.spec.checkpointDuration
         }
-        if (saved || job.spec.kind == JobKind.SERVICE) useful += ran else wasted += ran
+        if (isCheckpointed || job.spec.kind == JobKind.SERVICE) useful += attemptRunTime else wasted += attemptRunTime
         if (placement.stopGrace != null) return
         lost++
-        if (countsFailures && blamesTask(placement)) addFailure(placement.task.index)
+        if (countsFailures && isTaskFailure(placement)) countFailure(placement.task.index)
     }
 
-    /** A gang member that waited in vain for the others, or a fetch that was cut short, is no failure of the task. */
-    private fun blamesTask(placement: Placement): Boolean = placement.failed || placement.runningSince != null
+    /**
+     * Whether the lost attempt is a failure of its task. A gang member that timed out waiting for the others, or an
+     * image fetch that was interrupted, is not.
+     */
+    private fun isTaskFailure(placement: Placement): Boolean = placement.failed || placement.runningSince != null
 
-    private fun addFailure(index: Int) {
+    private fun countFailure(index: Int) {
         val counts = failures ?: HashMap<Int, Int>().also { failures = it }
         counts.merge(index, 1, Int::plus)
     }
 
-    /** The number of failed attempts of the task with this index since the last [forgetFailures]. */
+    /** The number of failed attempts of the task at [index] since the last [resetFailures]. */
     fun failuresOf(index: Int): Int = failures?.get(index) ?: 0
 
-    fun forgetFailures() {
+    fun resetFailures() {
         failures = null
     }
 
     private fun runTime(placement: Placement, now: MonotonicInstant): Duration =
         placement.runningSince?.let { now - it } ?: Duration.ZERO
 
-    /** The account of [job] up to [now], which is [wallTime] by the calendar. Run times are in seconds. */
+    /** Returns the account of [job] up to [now], which corresponds to [wallTime]. Run times in it are in seconds. */
     fun account(job: JobState, now: MonotonicInstant, wallTime: WallTime, lowerBound: Boolean): JobAccount {
         var usefulSoFar = useful
         var wastedSoFar = wasted
         for (placement in job.placements.values) {
             if (placement.accounted) continue
-            val ran = runTime(placement, now)
-            if (job.spec.kind == JobKind.SERVICE) usefulSoFar += ran else wastedSoFar += ran
+            val attemptRunTime = runTime(placement, now)
+            if (job.spec.kind == JobKind.SERVICE) usefulSoFar += attemptRunTime else wastedSoFar += attemptRunTime
         }
         val start = if (firstStart == MonotonicInstant.FOREVER) null else wallTime - (now - firstStart)
         return JobAccount(
@@ -103,5 +106,5 @@
         )
     }
 
-    private fun seconds(span: Duration): Double = span.toDouble(DurationUnit.SECONDS)
+    private fun seconds(duration: Duration): Double = duration.toDouble(DurationUnit.SECONDS)
 }
--- a/src/main/kotlin/org/elderhitch/tasks/MachineRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/MachineRegistry.kt
@@ -7,11 +7,10 @@
 import org.elderhitch.time.MonotonicInstant
 
 /**
- * The fleet's machines as the leader knows them in its term.
+ * The machines of the fleet that the leader knows of in its term.
  *
- * A machine is booting from its provisioning until it is cleared, and known until it is gone. A machine is cleared,
- * that is, it may be given tasks, once the state service records that it is up. A machine is gone when the cloud
- * confirms its end; it never returns under the same id.
+ * A provisioned machine is booting until it is cleared. It is cleared, and tasks may be placed on it, once the state
+ * service has recorded that it is up. It is gone once the cloud confirms its termination; machine ids are never reused.
  */
 internal class MachineRegistry {
     private val machines = HashMap<MachineId, Machine>()
@@ -19,16 +18,16 @@
     private val clearedMachines = HashSet<MachineId>()
     private val goneMachines = HashSet<MachineId>()
 
-    /** Machines that are provisioned and not gone. */
+    /** Machines that are provisioned and not gone, by id. */
     val known: Map<MachineId, Machine> get() = machines
 
-    /** Machines that may be given tasks. */
+    /** Machines on which tasks may be placed. */
     val cleared: Set<MachineId> get() = clearedMachines
 
     /** Machines that were confirmed gone in this term. */
     val gone: Set<MachineId> get() = goneMachines
 
-    /** Forgets all machines. */
+    /** Removes all machines. */
     fun newTerm() {
         machines.clear()
         provisionedAt.clear()
@@ -36,7 +35,7 @@
         goneMachines.clear()
     }
 
-    /** Takes over the machines that earlier terms recorded: [cleared] ones and those still [booting]. */
+    /** Adds the machines that earlier terms recorded: [cleared] ones, and [booting] ones that are not cleared yet. */
     fun load(cleared: Collection<Machine>, booting: Collection<Machine>, now: MonotonicInstant) {
         cleared.forEach {
             machines[it.id] = it
@@ -45,18 +44,18 @@
         booting.forEach { provisioned(it, now) }
     }
 
-    /** The cloud has provisioned [machine]. */
+    /** Adds a [machine] that the cloud has provisioned. */
     fun provisioned(machine: Machine, now: MonotonicInstant) {
         machines[machine.id] = machine
         provisionedAt[machine.id] = now
     }
 
-    /** It is recorded that [machine] is up. */
+    /** Marks [machine] as cleared: the state service has recorded that it is up. */
     fun markCleared(machine: MachineId) {
         clearedMachines.add(machine)
     }
 
-    /** The cloud confirmed that [machine] has ended. */
+    /** Marks [machine] as gone: its termination is confirmed. */
     fun markGone(machine: MachineId) {
         machines.remove(machine)
         provisionedAt.remove(machine)
@@ -64,15 +63,15 @@
         goneMachines.add(machine)
     }
 
-    /** Whether more machines are booting than are cleared. */
+    /** Whether booting machines outnumber cleared ones. */
     fun mostlyBooting(catalog: Catalog, now: MonotonicInstant): Boolean =
         clearedMachines.size < machines.values.count { isBooting(it, catalog, now) }
 
-    /** The number of booting machines by type. */
-    fun booting(catalog: Catalog, now: MonotonicInstant): Map<MachineType, Int> =
+    /** The number of booting machines of each type. */
+    fun bootingByType(catalog: Catalog, now: MonotonicInstant): Map<MachineType, Int> =
         machines.values.filter { isBooting(it, catalog, now) }.groupingBy { it.type }.eachCount()
 
-    /** A machine that is overdue doesn't count as booting: it may never come up, so nothing should wait for it. */
+    /** An overdue machine doesn't count as booting: it may never come up, so the scheduler must not wait for it. */
     private fun isBooting(machine: Machine, catalog: Catalog, now: MonotonicInstant): Boolean {
         val since = provisionedAt[machine.id]
         return machine.id !in clearedMachines &&
@@ -81,9 +80,7 @@
     }
 
     private companion object {
-        /**
-         * The longest usual boot, as a multiple of the type's boot time (wire protocol, "Controller nodes -> cloud").
-         */
+        /** Usual boots take at most this multiple of the machine type's boot time; longer ones are overdue. */
         const val MAX_BOOT_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/org/elderhitch/tasks/Placement.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/Placement.kt
@@ -7,22 +7,22 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
-/** How certain the leader is that a placed task is on its worker. */
+/** What the leader knows about whether a placed task is on its worker. */
 internal enum class PlacementState {
-    /** Decided by a scheduling cycle, not sent: it can be cancelled. */
+    /** Decided by a scheduling cycle and not sent yet; can still be cancelled. */
     ASSIGNED,
 
-    /** Sent to the worker: the task may be there until a newer heartbeat tells. */
+    /** Sent to the worker. The task may be there until a later heartbeat shows whether it is. */
     SENT,
 
-    /** Listed by the worker. */
+    /** Listed by the worker as one of its tasks. */
     CONFIRMED,
 }
 
 /**
- * A task on a worker, as the leader's table has it.
+ * The placement of a task on a worker, in the leader's task table.
  *
- * The life of a placement:
+ * Life cycle:
  * ```
  *   scheduling cycle --> ASSIGNED --sent--> SENT --listed by the worker--> CONFIRMED --> removed
  *                           |                 |
@@ -41,21 +41,21 @@
     /** The latest time at which the start may be sent for the first time. */
     val sendBy: MonotonicInstant,
     /**
-     * The earliest time at which the start may be sent. Gang members whose worker has the image are sent later, so that
-     * they don't exhaust their waiting time while the others fetch it.
+     * The earliest time at which the start may be sent. Starts of gang members whose worker has the image may be
+     * delayed, so that these members don't time out while the others fetch it.
      */
     val sendFrom: MonotonicInstant,
 ) {
     var state: PlacementState = state
         private set
 
-    /** The phase that the worker last reported. */
+    /** The phase in the worker's latest report. */
     var phase: TaskPhase = TaskPhase.FETCHING
 
-    /** The grace of the stop that was decided; null: the task is not being stopped. It may only become shorter. */
+    /** The grace period of the requested stop, which can only be shortened; null if no stop is requested. */
     var stopGrace: Duration? = null
 
-    /** Whether a start sent to the worker's own address is unanswered: the worker may execute it at any time. */
+    /** Whether a start sent directly to the worker's address is unacknowledged. The worker may still execute it. */
     var directStartPending: Boolean = false
 
     /** Whether the start was sent in a heartbeat response. */
@@ -65,33 +65,33 @@
     /** Whether the stop has been sent at least once. */
     var stopSent: Boolean = false
 
-    /** When the task was first seen fetching its image; null: it never was. */
+    /** When the task was first reported as fetching its image; null if it never was. */
     var fetchingSince: MonotonicInstant? = null
 
     /** Whether the task exited with an error. */
     var failed: Boolean = false
 
-    /** Whether the attempt is part of the job's [JobUsage] already. */
+    /** Whether the attempt is already included in the job's [JobUsage]. */
     var accounted: Boolean = false
 
-    /** When the task was first seen running; null: it never was. */
+    /** When the task was first reported as running; null if it never was. */
     var runningSince: MonotonicInstant? = null
 
     val zone: Zone get() = worker.zone
 
-    /** The start goes out in a heartbeat response, for the first time or again. */
+    /** Marks the start as sent in a heartbeat response, for the first time or again. */
     fun markSentInResponse() {
         state = PlacementState.SENT
         sentInResponse = true
     }
 
-    /** The start goes out to the worker's own address. */
+    /** Marks the start as sent directly to the worker's address, not acknowledged yet. */
     fun markSentDirectly() {
         state = PlacementState.SENT
         directStartPending = true
     }
 
-    /** The worker lists the task. */
+    /** Marks the task as listed by its worker. */
     fun confirm() {
         state = PlacementState.CONFIRMED
     }
--- a/src/main/kotlin/org/elderhitch/tasks/WorkerState.kt
+++ b/src/main/kotlin/org/elderhitch/tasks/WorkerState.kt
@@ -18,7 +18,7 @@
 import org.elderhitch.time.MonotonicInstant
 import kotlin.time.Duration
 
-/** A worker, the agent on a machine, as the leader knows it from the worker's messages in this term. */
+/** The leader's state of a worker, the agent on a machine, built from the worker's messages in this term. */
 internal class WorkerState(
     val id: MachineId,
     val type: MachineType,
@@ -28,41 +28,41 @@
 ) {
     // ---- messages and lease ----
 
-    /** The worker's own address, for probes and urgent commands; null: unknown. */
+    /** The worker's address, for probes and urgent commands; null if unknown. */
     var address: Address? = null
 
-    /** The position of the latest heartbeat that was accepted; null: none was. */
+    /** The sequence of the latest accepted heartbeat; null if none was accepted. */
     var heartbeatSequence: HeartbeatSequence? = null
 
-    /** Whether a heartbeat that knows this term has been accepted: [tasks] is all that runs there. */
+    /** Whether a heartbeat that acknowledges this term was accepted, so that [tasks] lists all that runs there. */
     var reconciled: Boolean = false
 
-    /** When the latest message of any kind arrived: a heartbeat, or an answer to a probe or a command. */
+    /** When the latest message of any kind arrived: a heartbeat, or a response to a probe or a command. */
     var lastSeenAt: MonotonicInstant = since
 
     /**
-     * When a heartbeat was last answered. Only that renews the worker's lease: one that answers probes but sends no
-     * heartbeats loses all that it runs.
+     * When a heartbeat was last answered. Only heartbeats renew the worker's lease: a worker that responds to probes
+     * but sends no heartbeats loses all its tasks.
      */
     var lastHeartbeatAt: MonotonicInstant = since
 
-    /** What is known of the worker's lease; null: no message has arrived. */
+    /** What is known of the worker's lease; null until the first message arrives. */
     var lease: LeaseView? = null
         private set
 
-    /** How long until the machine is preempted, as of the latest heartbeat; null: no preemption is announced. */
+    /** Time left until the cloud preempts the machine, as of the latest heartbeat; null if no notice was given. */
     var preemptionNotice: Duration? = null
 
-    /** Whether a command to the worker's own address is unanswered. */
+    /** Whether a request with commands, sent directly to the worker's address, is in progress. */
     var commandInFlight: Boolean = false
 
-    /** When the latest command to the worker's own address ended. */
+    /** When the latest direct request with commands ended. */
     var lastCommandAt: MonotonicInstant = MonotonicInstant.NEVER
 
-    /** Whether no connection to the worker was possible since its latest heartbeat. */
+    /** Whether connecting to the worker has failed since its latest heartbeat. */
     var unreachable: Boolean = false
 
-    /** Starts sent to the worker's own address without an answer: each may be executed yet, or once more. */
+    /** Directly sent starts that were not acknowledged. The worker may still execute each of them, even again. */
     val unacknowledgedStarts: HashSet<Command.Start> = HashSet()
 
     // ---- tasks ----
@@ -70,13 +70,13 @@
     /** The tasks in the latest heartbeat. */
     var tasks: List<TaskStatus> = emptyList()
 
-    /** What the table has on this worker. */
+    /** The placements on this worker in the task table, surplus copies included. */
     val placements: HashMap<TaskId, Placement> = HashMap()
 
-    /** The job of each live task here whose job is not open. These tasks are stopped, and use capacity until then. */
+    /** The job of each live task here whose job is not open. These tasks are stopped; until then they use capacity. */
     var unknownTaskJobs: List<JobId> = emptyList()
 
-    /** Since when the worker has had no placements. */
+    /** When the worker last became free of placements. */
     var idleSince: MonotonicInstant = since
 
     /** Whether nothing is placed here and no reported task is live. */
@@ -87,37 +87,37 @@
     /** The number of task failures here, by job. */
     val failuresByJob: HashMap<JobId, Int> = HashMap()
 
-    /** Nothing is placed here before this time, because the worker's services are being moved away. */
+    /** No task is placed here before this time, because the machine is being drained. */
     var drainingUntil: MonotonicInstant = MonotonicInstant.NEVER
 
-    /** Nothing is placed here before this time, because a task failed here. */
+    /** No task is placed here before this time, because a task failed here. */
     var quarantinedUntil: MonotonicInstant = MonotonicInstant.NEVER
 
-    /** Whether the machine was found to make tasks fail. */
+    /** Whether task failures were attributed to the machine. */
     var faulty: Boolean = false
 
-    /** When the fleet was asked to terminate the machine; [MonotonicInstant.NEVER]: it was not. */
+    /** When the fleet was asked to terminate the machine; [MonotonicInstant.NEVER] if it was not. */
     var releaseRequestedAt: MonotonicInstant = MonotonicInstant.NEVER
 
     /** When the fleet was last asked to record that the machine is up. */
     var clearanceRequestedAt: MonotonicInstant = MonotonicInstant.NEVER
 
-    /** Until when each job avoids this worker, because it failed or was refused here. */
+    /** Until when tasks of each job are not placed here, because one failed or was refused here. */
     private val avoidedUntil = HashMap<JobId, MonotonicInstant>()
 
-    /** Jobs that avoid this worker. */
+    /** Jobs whose tasks are not placed here at present. */
     val avoidedBy: Set<JobId> get() = if (avoidedUntil.isEmpty()) emptySet() else HashSet(avoidedUntil.keys)
 
-    /** The worker as scheduling cycles see it; null: it changed since the last one. */
+    /** The cached view for scheduling cycles; null if the worker changed since it was built. */
     var view: MachineView? = null
 
-    /** When [view] was made. */
+    /** When [view] was built. */
     var viewedAt: MonotonicInstant = MonotonicInstant.NEVER
 
-    /** Images that were used here with their sizes in gigabytes, least recently used first. */
+    /** Images used on this machine with their sizes in gigabytes, least recently used first. */
     private val images = LinkedHashMap<Image, Double>()
 
-    /** Records a message of [agentEpoch] that is not [MessageFreshness.STALE] and was sent at [at] at the latest. */
+    /** Records a message of [agentEpoch] that is not [MessageFreshness.STALE] and was sent no later than [at]. */
     fun recordMessage(agentEpoch: Long, at: MonotonicInstant, acknowledgesTerm: Boolean): MessageFreshness {
         val before = lease
         lease = before?.afterMessage(agentEpoch, at, acknowledgesTerm)
@@ -125,15 +125,15 @@
         return before?.freshnessOf(agentEpoch) ?: MessageFreshness.CURRENT_EPOCH
     }
 
-    /** A heartbeat of the known agent epoch, which arrived at [at], is being answered. */
+    /** Records that a heartbeat of the current agent epoch, which arrived at [at], is being answered. */
     fun heartbeatAnswered(at: MonotonicInstant) {
         lease = lease?.afterResponse(at)
     }
 
     /**
-     * Marks the lease as expired if it surely is, and tells whether it is: then no task of the agent epoch is on the
-     * worker any more, and no message of that epoch counts. [lastDelegateResponse]: by when a lease delegate of the
-     * worker's zone may have renewed the lease.
+     * Marks the lease as expired if it certainly is, and returns whether it is. After that no task of the agent epoch
+     * is on the worker any more, and messages of that epoch are ignored. [lastDelegateResponse]: the latest time at
+     * which a lease delegate of the worker's zone may have renewed the lease.
      */
     fun expireLease(now: MonotonicInstant, timeouts: LeaseTimeouts, lastDelegateResponse: MonotonicInstant): Boolean {
         val current = lease ?: return false
@@ -142,32 +142,32 @@
         return true
     }
 
-    /** Discards [view]: something changed that a scheduling cycle has to see. */
+    /** Discards the cached [view] after a change that is relevant to scheduling cycles. */
     fun changed() {
         view = null
     }
 
-    /** Keeps [job] away from this worker for a while. */
+    /** Keeps tasks of [job] from being placed here [until] the given time. */
     fun avoid(job: JobId, until: MonotonicInstant) {
         avoidedUntil[job] = until
         changed()
     }
 
-    /** Readmits jobs whose time of avoidance is over. */
+    /** Lets jobs whose avoidance has expired use this worker again. */
     fun expireAvoidance(now: MonotonicInstant) {
         if (avoidedUntil.isNotEmpty() && avoidedUntil.values.removeAll { it < now }) changed()
     }
 
-    /** Makes [image] the most recently used one. */
+    /** Marks [image] as the most recently used one. */
     fun recordImageUse(image: Image, gigabytes: Double) {
         images.remove(image)
         images[image] = gigabytes
     }
 
-    /** All images ever used here with their sizes in gigabytes, least recently used first. */
+    /** All images recorded by [recordImageUse] with their sizes in gigabytes, least recently used first. */
     fun usedImages(): Map<Image, Double> = images
 
-    /** The images that a cache of this size most likely holds: the most recently used ones that fit. */
+    /** The images most likely in a cache of [cacheGigabytes]: the most recently used ones that fit into it. */
     fun cachedImages(cacheGigabytes: Double): Set<Image> {
         var free = cacheGigabytes
         val cached = HashSet<Image>()
--- a/src/test/kotlin/org/elderhitch/scheduler/CycleInputBuilderTest.kt
+++ b/src/test/kotlin/org/elderhitch/scheduler/CycleInputBuilderTest.kt
@@ -48,9 +48,9 @@
         return table.open(JobEvent.Opened(spec, Revision(7)))
     }
 
-    /** Of each view of the job: how many tasks are pending, and whether it is starved. */
-    private fun views(id: String, mostGpus: Double?): List<Pair<Int, Boolean>> {
-        val teams = TeamName("team").let { mapOf(it to Team(it, 0.0, 0.0, null, mostGpus)) }
+    /** Returns the number of pending tasks and whether the job is starved, for each view of the job. */
+    private fun pendingAndStarved(id: String, gpuLimit: Double?): List<Pair<Int, Boolean>> {
+        val teams = TeamName("team").let { mapOf(it to Team(it, 0.0, 0.0, null, gpuLimit)) }
         val context = CycleContext(
             leadership,
             now,
@@ -65,11 +65,11 @@
     }
 
     /**
-     * Seen (drawn day 103, simulated machines): at a team's limit, small jobs came before large ones for as long as
-     * there were any, and the large ones started after ten minutes.
+     * Regression: at a team's limit, small jobs were placed before large ones for as long as there were any, and the
+     * large ones started only after ten minutes (on simulated day 103).
      */
     @Test
-    fun `build puts the first task of an array apart when it has waited long at its team's limit`() {
+    fun `build splits off the first task of an array that is starved at its team's limit`() {
         val small = open("req-1", 30)
         repeat(9) {
             table.place(
@@ -83,17 +83,17 @@
         }
         val large = open("req-2", 50)
         now += 20.seconds
-        assertEquals(listOf(50 to false), views("req-2", mostGpus = 10.0), "not at once")
+        assertEquals(listOf(50 to false), pendingAndStarved("req-2", gpuLimit = 10.0), "before the threshold")
         now += 20.seconds
-        assertEquals(listOf(1 to true, 49 to false), views("req-2", mostGpus = 10.0))
+        assertEquals(listOf(1 to true, 49 to false), pendingAndStarved("req-2", gpuLimit = 10.0))
         assertEquals(
             listOf(50 to false),
-            views("req-2", mostGpus = null),
-            "where nothing but machines is short more are rented",
+            pendingAndStarved("req-2", gpuLimit = null),
+            "only machines are short, and more are provisioned",
         )
-        assertEquals(listOf(50 to false), views("req-2", mostGpus = 100.0))
-        assertEquals(listOf(21 to false), views("req-1", mostGpus = 10.0), "it has begun")
+        assertEquals(listOf(50 to false), pendingAndStarved("req-2", gpuLimit = 100.0))
+        assertEquals(listOf(21 to false), pendingAndStarved("req-1", gpuLimit = 10.0), "tasks have started")
         table.place(large, TaskId(large.id, 0), Attempt(90), worker, PlacementState.ASSIGNED, MonotonicInstant.FOREVER)
-        assertEquals(listOf(49 to false), views("req-2", mostGpus = 10.0))
+        assertEquals(listOf(49 to false), pendingAndStarved("req-2", gpuLimit = 10.0))
     }
 }
--- a/src/test/kotlin/org/elderhitch/scheduler/EventLogTest.kt
+++ b/src/test/kotlin/org/elderhitch/scheduler/EventLogTest.kt
@@ -13,9 +13,9 @@
     private val lines = ArrayList<String>()
     private val events = EventLog({ now }, lines::add, lines::add)
 
-    /** Seen: 33,424 lines of one kind in two minutes, each tick for each task of each machine. */
+    /** Regression: an event logged on each tick for each task of each machine caused 33,424 lines in two minutes. */
     @Test
-    fun `log withholds and counts lines when an event happens to 1500 machines a hundred times`() {
+    fun `log suppresses and counts lines when an event occurs 100 times on 1500 machines`() {
         repeat(100) {
             repeat(1500) { machine ->
                 events.error("task on two machines", MachineId("m$machine")) {
@@ -25,17 +25,17 @@
             now += 300.milliseconds
             events.tick()
         }
-        assertTrue(lines.size <= 3 * (EventLog.MAX_LINES + 1), "${lines.size} lines in 30 s")
+        assertTrue(lines.size <= 3 * (EventLog.MAX_LINES_PER_INTERVAL + 1), "${lines.size} lines in 30 s")
         now += 11.seconds
         events.tick()
         val logged = lines.count { it.startsWith("task") }
-        val withheld = lines.filter { it.startsWith("more of the same") }
+        val suppressed = lines.filter { it.startsWith("more of the same") }
             .sumOf { it.substringAfter("count=").substringBefore(' ').toInt() }
-        assertEquals(150_000, logged + withheld)
+        assertEquals(150_000, logged + suppressed)
     }
 
     @Test
-    fun `log writes one line per machine and kind when the interval is not over`() {
+    fun `log writes one line per machine and kind within an interval`() {
         repeat(5) { events.info("start refused", MachineId("m1")) { "refused" } }
         events.info("start refused", MachineId("m2")) { "refused" }
         events.info("worker silent", MachineId("m1")) { "silent" }
--- a/src/test/kotlin/org/elderhitch/scheduler/GangStartTest.kt
+++ b/src/test/kotlin/org/elderhitch/scheduler/GangStartDelaysTest.kt
@@ -26,7 +26,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-class GangStartTest {
+class GangStartDelaysTest {
     private val type =
         TypeInfo(MachineType("g8"), Resources(48.0, 8.0, 288.0), 120.0, 0.5, 15.0, 6.0, 60.seconds, listOf(Zone("a")))
     private val table = TaskTable(SteadyClock { MonotonicInstant(0) }, 120.seconds)
@@ -58,18 +58,19 @@
                 WorkerState(MachineId("m$n"), type.name, Zone("a"), false, MonotonicInstant(0))
         }
         table.workers.getValue(MachineId("m0")).recordImageUse(spec.image, imageGb)
-        val placed = List(3) { PlacementDecision(TaskId(spec.id, it), MachineId("m$it"), null) }
-        return GangStart(30.seconds, table, Catalog(mapOf(type.name to type))).startDelays(placed)
+        val decisions = List(3) { PlacementDecision(TaskId(spec.id, it), MachineId("m$it"), null) }
+        return GangStartDelays(30.seconds, table, Catalog(mapOf(type.name to type))).startDelays(decisions)
     }
 
     /**
-     * Seen: a gang of two, placed six times in 190 s: one machine had the image, the other fetched it for over 30 s.
+     * Regression: a gang of two was placed six times in 190 s, because one machine had the image and the other took
+     * over 30 s to fetch it.
      */
     @Test
-    fun `a member that has its image starts later when the others fetch for longer than it may wait`() {
+    fun `the start of a member that has its image is delayed when the others fetch for longer than it may wait`() {
         val delay = delays(20.0).getValue(TaskId(JobId("req-1"), 0))
-        assertTrue(delay + 30.seconds > 60.seconds, "the gang gives up before the slowest has fetched: $delay")
-        assertTrue(delay <= 40.seconds, "the member starts later than the others mostly do: $delay")
+        assertTrue(delay + 30.seconds > 60.seconds, "the gang gives up before the slowest fetch is done: $delay")
+        assertTrue(delay <= 40.seconds, "the member starts later than the others usually do: $delay")
         assertEquals(1, delays(20.0).size)
     }
 
--- a/src/test/kotlin/org/elderhitch/scheduler/StartDeadlinesTest.kt
+++ b/src/test/kotlin/org/elderhitch/scheduler/StartDeadlinesTest.kt
@@ -17,7 +17,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 class StartDeadlinesTest {
-    private val runTimes = RunTimes()
+    private val runTimes = RunTimeEstimator()
     private val objectives =
         listOf(
             Objective("wait", "truck", 5.seconds),
@@ -54,82 +54,82 @@
         deadline,
     )
 
-    private fun startsWithinS(spec: JobSpec): List<Long> {
+    private fun startLimitsSeconds(spec: JobSpec): List<Long> {
         val array = deadlines.waitingArray(spec, opened, 10)
         return array.deadlines.map { (it - opened).inWholeSeconds }
     }
 
     @Test
-    fun `an array gets a deadline for each objective when its class has objectives to start or to finish`() {
-        assertEquals(listOf(60L, 140L, 280L, 560L), startsWithinS(spec(1, "sack")))
+    fun `an array gets a deadline for each start or finish objective of its class`() {
+        assertEquals(listOf(60L, 140L, 280L, 560L), startLimitsSeconds(spec(1, "sack")))
         assertEquals(
             listOf(5L, 20L, 40L, 80L),
-            startsWithinS(spec(2, "truck", estimate = 15.seconds, deadline = 35.seconds)),
+            startLimitsSeconds(spec(2, "truck", estimate = 15.seconds, deadline = 35.seconds)),
         )
         assertEquals(
             listOf(10L, 30L, 60L, 120L),
-            startsWithinS(spec(3, "sack", estimate = 150.seconds)),
-            "a tenth of its objective where the run time exceeds it",
+            startLimitsSeconds(spec(3, "sack", estimate = 150.seconds)),
+            "a tenth of the objective if the run time exceeds it",
         )
         assertEquals(
             listOf(180L, 360L, 720L),
-            startsWithinS(spec(4, "other")),
-            "the longest objective where its class has none",
+            startLimitsSeconds(spec(4, "other")),
+            "the longest objective if the class has none",
         )
         repeat(500) { runTimes.record(spec(5, "sack"), 60.seconds) }
         assertEquals(
             listOf(40L, 120L, 240L, 480L),
-            startsWithinS(spec(6, "sack")),
-            "a class whose estimates are mostly too low",
+            startLimitsSeconds(spec(6, "sack")),
+            "earlier deadlines if the estimates of the class are too low",
         )
     }
 
     @Test
     fun `a gang keeps its first objective when it misses it`() {
         assertEquals(
-            StartDeadline(opened + 100.seconds, late = false),
-            deadlines.forWholeJob(spec(1, "sack", JobKind.GANG), opened, opened + 99.seconds),
+            StartDeadline(opened + 100.seconds, isLate = false),
+            deadlines.forGangOrService(spec(1, "sack", JobKind.GANG), opened, opened + 99.seconds),
         )
         assertEquals(
-            StartDeadline(opened + 100.seconds, late = true),
-            deadlines.forWholeJob(spec(1, "sack", JobKind.GANG), opened, opened + 300.seconds),
+            StartDeadline(opened + 100.seconds, isLate = true),
+            deadlines.forGangOrService(spec(1, "sack", JobKind.GANG), opened, opened + 300.seconds),
         )
     }
 
     private fun waiting(id: Int, deadlines: List<Duration>, work: Duration) =
         WaitingArray(JobId("req-%03d".format(id)), deadlines.map { opened + it }, work)
 
-    private val startsWithin = listOf(60.seconds, 140.seconds, 280.seconds, 560.seconds)
+    private val startLimits = listOf(60.seconds, 140.seconds, 280.seconds, 560.seconds)
 
     /**
-     * Seen: of 42 jobs that arrived within 40 s all were late by seconds or minutes; had the few largest waited, the
-     * others would have been in time.
+     * Regression: 42 jobs arrived within 40 s, and all were late by seconds or minutes. Postponing the few largest
+     * would have let the others be in time.
      */
     @Test
-    fun `schedule delays the fewest and largest arrays when not all can be in time`() {
-        val jobs = List(9) { waiting(it, startsWithin, 10.seconds) } + waiting(9, startsWithin, 500.seconds)
-        val late = StartDeadlines.schedule(jobs, weightInUse = 2.0, opened).filterValues { it.late }
-        assertEquals(setOf("req-009"), late.keys.map { it.text }.toSet())
-        assertEquals(0, lateJobs(jobs, weightInUse = 100.0), "all can be in time")
-        assertEquals(0, lateJobs(jobs, weightInUse = 0.0), "nothing is known yet")
+    fun `schedule postpones the fewest and largest arrays when not all can be in time`() {
+        val jobs = List(9) { waiting(it, startLimits, 10.seconds) } + waiting(9, startLimits, 500.seconds)
+        val lateArrays = StartDeadlines.schedule(jobs, weightInUse = 2.0, opened).filterValues { it.isLate }
+        assertEquals(setOf("req-009"), lateArrays.keys.map { it.text }.toSet())
+        assertEquals(0, countLateJobs(jobs, weightInUse = 100.0), "all can be in time")
+        assertEquals(0, countLateJobs(jobs, weightInUse = 0.0), "the class may still get more capacity")
     }
 
-    private fun lateJobs(jobs: List<WaitingArray>, weightInUse: Double): Int =
-        StartDeadlines.schedule(jobs, weightInUse, opened).values.count { it.late }
+    private fun countLateJobs(jobs: List<WaitingArray>, weightInUse: Double): Int =
+        StartDeadlines.schedule(jobs, weightInUse, opened).values.count { it.isLate }
 
     @Test
-    fun `schedule finds a largest set of arrays in time when arrays are drawn at random`() {
+    fun `schedule finds a largest set of arrays in time when arrays are random`() {
         val random = Random(11)
         repeat(300) { round ->
-            val jobs = List(random.nextInt(1, 30)) { drawn(it, random) }
+            val jobs = List(random.nextInt(1, 30)) { randomArray(it, random) }
             val weightInUse = 1 + random.nextDouble() * 20
             val scheduled = StartDeadlines.schedule(jobs, weightInUse, opened)
             assertEquals(jobs.size, scheduled.size)
-            val inTime = jobs.filter { !scheduled.getValue(it.id).late }.sortedBy { it.deadlines.first() }
-            assertTrue(allInTime(inTime, weightInUse), "round $round")
+            val inTime = jobs.filter { !scheduled.getValue(it.id).isLate }.sortedBy { it.deadlines.first() }
+            assertTrue(canAllBeInTime(inTime, weightInUse), "round $round")
             for (other in jobs - inTime.toSet()) {
-                if (!allInTime(inTime + other, weightInUse)) continue
-                // An array that was left out fits only if it is no larger than what it would displace.
+                if (!canAllBeInTime(inTime + other, weightInUse)) continue
+                // A late array fits only if no array in time is larger, or if the late one was given a later deadline.
                 assertTrue(
                     inTime.none { it.work > other.work } ||
                         scheduled.getValue(other.id).at > other.deadlines.first(),
@@ -139,13 +139,13 @@
         }
     }
 
-    private fun drawn(id: Int, random: Random): WaitingArray {
-        val deadlines = startsWithin.map { it * (0.5 + random.nextDouble()) }.sorted()
+    private fun randomArray(id: Int, random: Random): WaitingArray {
+        val deadlines = startLimits.map { it * (0.5 + random.nextDouble()) }.sorted()
         return waiting(id, deadlines, (1 + random.nextInt(100)).seconds)
     }
 
-    /** Whether all arrays meet their first deadlines when they are worked off one after the other. */
-    private fun allInTime(arrays: List<WaitingArray>, weightInUse: Double): Boolean {
+    /** Whether all arrays meet their first deadlines if processed one after the other in deadline order. */
+    private fun canAllBeInTime(arrays: List<WaitingArray>, weightInUse: Double): Boolean {
         var scheduledUntil = opened
         return arrays.sortedBy { it.deadlines.first() }.all { array ->
             scheduledUntil += array.work / weightInUse
@@ -154,55 +154,55 @@
     }
 
     /**
-     * The bound on waiting: younger work of its class passes an array for at most four times its last objective (here
-     * a start within 140 s). More arrives here than can ever be done. Without the last deadline, large jobs were passed
-     * for as long as the test ran.
+     * Starvation bound: later arrays of its class can overtake an array for at most four times its last objective, here
+     * a start within 140 s. The queue is overloaded for the whole test. Without the last deadline, large jobs were
+     * overtaken until the test ended.
      */
     @Test
-    fun `schedule lets younger work pass an array no longer than four times its last objective`() {
+    fun `schedule lets later arrays overtake an array for at most four times its last objective`() {
         val random = Random(3)
         repeat(20) { round ->
             val queue = OverloadedQueue(random)
             for (second in 0 until 2000) {
                 val now = opened + second.seconds
-                // One and a half times as much as can be done.
-                if (second % 3 == 0) queue.arrive(now)
-                val order = queue.inOrder(now)
+                // The load is one and a half times the capacity.
+                if (second % 3 == 0) queue.submitArray(now)
+                val order = queue.inStartOrder(now)
                 for (job in queue.open) {
                     val waited = now - job.submittedAt
-                    if (waited <= startsWithin.last()) continue
+                    if (waited <= startLimits.last()) continue
                     val before = order.takeWhile { it.array.id != job.array.id }
                     assertTrue(
                         before.none { it.submittedAt > job.submittedAt },
-                        "round $round: ${job.array.id} waits for $waited and is passed by younger ones",
+                        "round $round: ${job.array.id} has waited for $waited and is overtaken by later arrays",
                     )
                 }
-                queue.work(order)
+                queue.processOneSecond(order)
             }
         }
     }
 
-    private class Submitted(val submittedAt: MonotonicInstant, val array: WaitingArray)
+    private class SubmittedArray(val submittedAt: MonotonicInstant, val array: WaitingArray)
 
-    /** Arrays that arrive faster than capacity of weight [WEIGHT] works them off. */
+    /** Arrays that are submitted faster than capacity of weight [CAPACITY_WEIGHT] can process them. */
     private inner class OverloadedQueue(private val random: Random) {
-        val open = ArrayList<Submitted>()
+        val open = ArrayList<SubmittedArray>()
         private var nextId = 0
 
-        fun arrive(now: MonotonicInstant) {
+        fun submitArray(now: MonotonicInstant) {
             val id = JobId("req-%05d".format(nextId++))
             val work = ((0.1 + random.nextDouble()) * 75).seconds
-            open.add(Submitted(now, WaitingArray(id, startsWithin.map { now + it }, work)))
+            open.add(SubmittedArray(now, WaitingArray(id, startLimits.map { now + it }, work)))
         }
 
-        fun inOrder(now: MonotonicInstant): List<Submitted> {
-            val scheduled = StartDeadlines.schedule(open.map { it.array }, WEIGHT, now)
+        fun inStartOrder(now: MonotonicInstant): List<SubmittedArray> {
+            val scheduled = StartDeadlines.schedule(open.map { it.array }, CAPACITY_WEIGHT, now)
             return open.sortedWith(compareBy({ scheduled.getValue(it.array.id).at }, { it.submittedAt }))
         }
 
-        /** Does one second's work in the given order. */
-        fun work(order: List<Submitted>) {
-            var capacity = WEIGHT
+        /** Processes the arrays in the given order for one second. */
+        fun processOneSecond(order: List<SubmittedArray>) {
+            var capacity = CAPACITY_WEIGHT
             for (job in order) {
                 if (capacity <= 0) break
                 val done = minOf(capacity, job.array.work.inWholeMilliseconds / 1000.0)
@@ -210,13 +210,13 @@
                 open.removeAll { it.array.id == job.array.id }
                 val left = job.array.work - done.seconds
                 if (left.inWholeMilliseconds > 0) {
-                    open.add(Submitted(job.submittedAt, WaitingArray(job.array.id, job.array.deadlines, left)))
+                    open.add(SubmittedArray(job.submittedAt, WaitingArray(job.array.id, job.array.deadlines, left)))
                 }
             }
         }
     }
 
     private companion object {
-        const val WEIGHT = 10.0
+        const val CAPACITY_WEIGHT = 10.0
     }
 }
--- a/src/test/kotlin/org/elderhitch/tasks/EndedJobRetentionTest.kt
+++ b/src/test/kotlin/org/elderhitch/tasks/EndedJobRetentionTest.kt
@@ -14,17 +14,17 @@
 import kotlin.test.assertNull
 import kotlin.time.Duration.Companion.seconds
 
-/** How long the task table knows the resource requests of jobs that have ended. */
+/** How long the task table retains the specifications of jobs that have ended. */
 class EndedJobRetentionTest {
     /**
-     * Regression: the retention was a constant of 120 s, although deployments choose their time to cancel. Where that
-     * was longer, a task that was found late counted as a whole machine in its team's quota.
+     * Regression: the retention was fixed at 120 s, although the time to cancel is configurable. If that was longer, a
+     * task that was found late counted as a whole machine towards the quota.
      */
     @Test
-    fun `the table knows an ended job for as long as its tasks may be on a machine`() {
+    fun `the table retains an ended job for as long as its tasks may be on a machine`() {
         var now = MonotonicInstant(0) + 100.seconds
-        val times = WorkerTimeouts(5.seconds, 31.seconds, 30.seconds, 4.seconds, cancel = 240.seconds)
-        val table = TaskTable(SteadyClock { now }, times.taskRetention)
+        val timeouts = WorkerTimeouts(5.seconds, 31.seconds, 30.seconds, 4.seconds, cancel = 240.seconds)
+        val table = TaskTable(SteadyClock { now }, timeouts.taskRetention)
         fun open(id: String) = table.open(
             JobEvent.Opened(
                 JobCodec.decode(Json.parseObject(Json.bytes(ClassArchiveTraining.exampleJob(id, "array")))),
@@ -32,10 +32,10 @@
             ),
         )
         table.markTerminal(open("req-1"))
-        now += times.cancel + times.lease
+        now += timeouts.cancel + timeouts.lease
         table.markTerminal(open("req-2"))
         assertNotNull(table.recentlyEnded(JobId("req-1")))
-        now += times.lease + 1.seconds
+        now += timeouts.lease + 1.seconds
         table.markTerminal(open("req-3"))
         assertNull(table.recentlyEnded(JobId("req-1")), "kept beyond its retention")
         assertNotNull(table.recentlyEnded(JobId("req-2")))
--- a/src/test/kotlin/org/elderhitch/tasks/ImageHintsTest.kt
+++ b/src/test/kotlin/org/elderhitch/tasks/ImageHintsTest.kt
@@ -9,39 +9,41 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertTrue
 
-/** The codec of the stored hint about images on machines. */
 class ImageHintsTest {
     @Test
-    fun `hints are decoded as encoded and never exceed the size of a value`() {
+    fun `hints survive an encoding round trip and never exceed the size limit`() {
         val random = Random(8)
         repeat(100) {
             val images = List(random.nextInt(1, 9)) { n -> Image("image-$n") to random.nextInt(1, 100) / 4.0 }
-            val used = List(random.nextInt(0, 120)) { n ->
+            val imagesByMachine = List(random.nextInt(0, 120)) { n ->
                 MachineId("host-%06d".format(n)) to images.shuffled(random).take(random.nextInt(1, 9)).toMap()
             }.toMap()
-            val limit = random.nextInt(400, 9000)
-            val value = ImageHints.encode(used, limit)
-            assertTrue(Json.bytes(value).size <= limit)
-            val read = ImageHints.decode(Json.parseObject(Json.bytes(value)))
-            for ((machine, known) in read) {
-                assertTrue(used.getValue(machine).entries.containsAll(known.entries), "$machine")
+            val maxValueBytes = random.nextInt(400, 9000)
+            val value = ImageHints.encode(imagesByMachine, maxValueBytes)
+            assertTrue(Json.bytes(value).size <= maxValueBytes)
+            val decoded = ImageHints.decode(Json.parseObject(Json.bytes(value)))
+            for ((machine, known) in decoded) {
+                assertTrue(imagesByMachine.getValue(machine).entries.containsAll(known.entries), "$machine")
             }
-            if (limit > 2000) assertEquals(used, read)
+            if (maxValueBytes > 2000) assertEquals(imagesByMachine, decoded)
         }
     }
 
     @Test
-    fun `thirteen hundred machines fit into a value`() {
+    fun `hints of 1300 machines fit into a stored value`() {
         val random = Random(9)
         val images = List(30) { n -> Image("route-train-%02d".format(n)) to n + 0.5 }
-        val used = List(1300) { n ->
+        val imagesByMachine = List(1300) { n ->
             MachineId("host-%06d".format(n)) to images.shuffled(random).take(8).toMap()
         }.toMap()
-        assertEquals(used, ImageHints.decode(Json.parseObject(Json.bytes(ImageHints.encode(used, 8192)))))
+        assertEquals(
+            imagesByMachine,
+            ImageHints.decode(Json.parseObject(Json.bytes(ImageHints.encode(imagesByMachine, 8192)))),
+        )
     }
 
     @Test
-    fun `a value of another form decodes to no hints`() {
+    fun `a malformed value decodes to no hints`() {
         for (text in listOf(
             "{}",
             "{\"images\":[1]}",
--- a/src/test/kotlin/org/elderhitch/tasks/MachineRegistryTest.kt
+++ b/src/test/kotlin/org/elderhitch/tasks/MachineRegistryTest.kt
@@ -24,21 +24,21 @@
     private fun machine(n: Int) = Machine(MachineId("m$n"), type.name, Zone("a"), false)
 
     @Test
-    fun `machines are no longer mostly booting when half are up or the rest are overdue`() {
+    fun `machines are not mostly booting once half are cleared or the rest are overdue`() {
         repeat(4) { registry.provisioned(machine(it), start) }
         assertTrue(registry.mostlyBooting(catalog, start + 30.seconds))
         registry.markCleared(MachineId("m0"))
         assertTrue(registry.mostlyBooting(catalog, start + 30.seconds))
         assertFalse(
             registry.mostlyBooting(catalog, start + 90.seconds),
-            "a cloud that never delivers must not hold back what is there",
+            "machines that never come up must not hold back the others",
         )
         registry.markCleared(MachineId("m1"))
         assertFalse(registry.mostlyBooting(catalog, start + 30.seconds))
     }
 
     @Test
-    fun `machines cleared in an earlier term are not booting, and gone machines stay gone in the term`() {
+    fun `machines cleared in an earlier term are not booting, and gone machines stay gone within the term`() {
         registry.load(cleared = List(2) { machine(it) }, booting = List(3) { machine(10 + it) }, start)
         assertEquals(5, registry.known.size)
         assertEquals(setOf(MachineId("m0"), MachineId("m1")), registry.cleared)
