--- a/src/main/kotlin/org/elderhitch/scheduler/Consolidation.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/Consolidation.kt
@@ -18,7 +18,7 @@
 
 /**
  * Drains machines whose services fit on other machines that are in use. Only services that have run for [MIN_RUN_TIME]
- * are moved, and only to machines that have their image cached, so that they are not interrupted for an image fetch.
+ * are moved, and only to machines that have their image cached, so that a move needs no image fetch.
  */
 internal class Consolidation(private val table: TaskTable) {
     private val log = LoggerFactory.getLogger("elderhitch.workers")
--- a/src/main/kotlin/org/elderhitch/scheduler/JobViewBuilder.kt
+++ b/src/main/kotlin/org/elderhitch/scheduler/JobViewBuilder.kt
@@ -63,7 +63,7 @@
         return !job.gang.started && job.placements.values.none { it.stopGrace != null }
     }
 
-    /** Stops members of a broken gang that are not running yet: the others that they wait for won't come. */
+    /** Stops members of a broken gang that are not running yet: the others that they wait for will not start. */
     private fun stopWaitingMembers(job: JobState) {
         val waitingMembers = job.placements.values.toList().filter { it.phase != TaskPhase.RUNNING }
         waitingMembers.forEach { table.stop(job, it, Duration.ZERO) }
