--- a/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/Leadership.kt
@@ -23,9 +23,9 @@
  * Claims leadership whenever the leader key is absent, renews the leader's lease, and publishes the resulting
  * [leadershipState].
  *
- * A leader's windows are counted from when a renewal was *sent*, so they end here before its lease ends in the state
- * service. They are also counted from when the last successful freshness check was sent, if that is older: the lease
- * says who leads, and not that the leader knows all that was recorded.
+ * The command and answer windows of a leader start when a renewal is *sent*, so they end on this node before the lease
+ * expires in the state service. If the last successful freshness check was sent earlier than the renewal, they start
+ * with that check: the lease shows only who leads, not that the leader has read everything that was recorded.
  */
 public class Leadership(
     scope: CoroutineScope,
@@ -40,20 +40,20 @@
     private val stateMachine = LeadershipStateMachine(node, timeouts, clock)
     private val claim = LeadershipClaim(node, incarnation, client, timeouts.commandWindow, clock, random)
 
-    /** Whether the leader key has been read at all: nothing is claimed before. */
-    private var leaderKeyKnown = false
-    private var claiming = false
+    /** Whether the leader key has been read at least once; this node makes no claim before. */
+    private var hasReadLeaderKey = false
+    private var isClaiming = false
 
-    /** After a resignation other nodes get a chance first. */
-    private var noClaimBefore = MonotonicInstant.NEVER
+    /** Set on resignation, so that other nodes can claim leadership first. */
+    private var earliestClaimAt = MonotonicInstant.NEVER
 
     public val leadershipState: StateFlow<LeadershipState> = stateMachine.state
 
     override fun receive(message: LeadershipMessage) {
         when (message) {
             is LeadershipMessage.LeaderObserved -> {
-                leaderKeyKnown = true
-                stateMachine.observeLeader(message.entry?.let(::storedLeader))
+                hasReadLeaderKey = true
+                stateMachine.observeLeader(message.entry?.let(::decodeStoredLeader))
             }
 
             is LeadershipMessage.TermObserved -> stateMachine.observeTerm(message.term)
@@ -64,10 +64,10 @@
 
             LeadershipMessage.RetryClaim -> Unit
         }
-        claimIfFree()
+        claimIfVacant()
     }
 
-    private fun storedLeader(entry: Entry): StoredLeader? = try {
+    private fun decodeStoredLeader(entry: Entry): StoredLeader? = try {
         StoredLeader(LeadershipCodec.decodeLeader(entry.value), entry.version)
     } catch (e: MalformedJson) {
         log.error("leader key malformed reason=\"{}\"", e.message)
@@ -76,43 +76,43 @@
 
     private fun resign(reason: String) {
         val leader = stateMachine.leader ?: return
-        noClaimBefore = clock.now() + RESIGN_PAUSE
+        earliestClaimAt = clock.now() + RESIGNATION_PAUSE
         stateMachine.endTerm(reason)
         scope.launch {
             client.revokeLease(leader.lease)
-            delay(RESIGN_PAUSE)
+            delay(RESIGNATION_PAUSE)
             tell(LeadershipMessage.RetryClaim)
         }
     }
 
-    private fun claimIfFree() {
-        if (!mayClaim() || !isFree(stateMachine.storedLeader)) return
-        claiming = true
+    private fun claimIfVacant() {
+        if (!mayClaim() || !isVacant(stateMachine.storedLeader)) return
+        isClaiming = true
         scope.launch {
             try {
-                claimAfterSpread()
+                claimAfterJitter()
             } finally {
-                claiming = false
-                if (stateMachine.leader == null) retryClaimLater()
+                isClaiming = false
+                if (stateMachine.leader == null) scheduleClaimRetry()
             }
         }
     }
 
     private fun mayClaim(): Boolean {
-        val idle = !claiming && stateMachine.leader == null
-        return leaderKeyKnown && idle && clock.now() >= noClaimBefore
+        val isIdle = !isClaiming && stateMachine.leader == null
+        return hasReadLeaderKey && isIdle && clock.now() >= earliestClaimAt
     }
 
-    /** The leader key is absent, or an earlier incarnation or claim of this very node left it behind. */
-    private fun isFree(stored: StoredLeader?): Boolean = stored == null || stored.record.node == node
+    /** Whether the leader key is absent, or was left behind by an earlier incarnation or claim of this node. */
+    private fun isVacant(stored: StoredLeader?): Boolean = stored == null || stored.record.node == node
 
-    /** All nodes notice at the same moment that the leader key is gone: a random pause spreads their claims. */
-    private suspend fun claimAfterSpread() {
+    /** All nodes see the leader key disappear at about the same time; a random delay spreads their claims. */
+    private suspend fun claimAfterJitter() {
         if (stateMachine.storedLeader == null) {
-            delay(random.nextLong(CLAIM_SPREAD.inWholeMilliseconds).milliseconds)
+            delay(random.nextLong(MAX_CLAIM_JITTER.inWholeMilliseconds).milliseconds)
         }
         val stored = stateMachine.storedLeader
-        if (!isFree(stored)) return
+        if (!isVacant(stored)) return
         when (val outcome = claim.claim(stored?.revision ?: Revision.ABSENT)) {
             is ClaimOutcome.Won -> startTerm(outcome)
             is ClaimOutcome.Lost -> log.info("claim lost term={}", outcome.term)
@@ -120,9 +120,9 @@
         }
     }
 
-    private fun retryClaimLater() {
+    private fun scheduleClaimRetry() {
         scope.launch {
-            delay(CLAIM_RETRY)
+            delay(CLAIM_RETRY_DELAY)
             tell(LeadershipMessage.RetryClaim)
         }
     }
@@ -133,16 +133,16 @@
     }
 
     private suspend fun renewWhileLeading(term: Term, lease: LeaseId) {
-        var pause = timeouts.renewInterval
+        var nextDelay = timeouts.renewInterval
         while (true) {
-            delay(pause)
+            delay(nextDelay)
             if (stateMachine.leaderOf(term) == null) return
             val sentAt = clock.now()
             val outcome = client.renewLease(lease)
             val leader = stateMachine.leaderOf(term) ?: return
-            pause = when (outcome) {
+            nextDelay = when (outcome) {
                 is LeaseOutcome.Held -> {
-                    renewed(leader, sentAt)
+                    recordRenewal(leader, sentAt)
                     timeouts.renewInterval
                 }
 
@@ -154,16 +154,16 @@
 
                 LeaseOutcome.Unavailable -> {
                     logFailedRenewal(leader)
-                    RENEW_RETRY
+                    RENEWAL_RETRY_DELAY
                 }
             }
         }
     }
 
-    private fun renewed(leader: LeadershipState.Leader, sentAt: MonotonicInstant) {
+    private fun recordRenewal(leader: LeadershipState.Leader, sentAt: MonotonicInstant) {
         if (clock.now() > leader.commandWindowEnd) log.info("command window renewed late term={}", leader.term)
-        stateMachine.renewed(sentAt)
-        // While it holds the lease nobody else can lead, and without a freshness check it may not act itself.
+        stateMachine.recordRenewal(sentAt)
+        // No other node can lead while this one holds the lease, and without freshness checks this one may not act.
         if (stateMachine.staleness(leader, sentAt) > timeouts.commandWindow * MAX_STALE_WINDOWS) {
             tell(LeadershipMessage.Resign("freshness checks fail"))
         }
@@ -175,14 +175,14 @@
     }
 
     private companion object {
-        val CLAIM_SPREAD = 120.milliseconds
-        val CLAIM_RETRY = 400.milliseconds
-        val RENEW_RETRY = 300.milliseconds
-        val RESIGN_PAUSE = 12.seconds
+        val MAX_CLAIM_JITTER = 120.milliseconds
+        val CLAIM_RETRY_DELAY = 400.milliseconds
+        val RENEWAL_RETRY_DELAY = 300.milliseconds
+        val RESIGNATION_PAUSE = 12.seconds
 
         /**
-         * A leader whose renewals succeed while no freshness check does resigns after so many command windows: that is
-         * no chance loss of a few answers.
+         * A leader whose renewals succeed resigns after this many command windows without a successful freshness check.
+         * That is too long to be explained by the random loss of a few responses.
          */
         const val MAX_STALE_WINDOWS = 2
     }
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipClaim.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipClaim.kt
@@ -18,13 +18,13 @@
 import kotlin.random.Random
 import kotlin.time.Duration
 
-/** What became of a claim of leadership. */
+/** The result of a claim of leadership. */
 internal sealed interface ClaimOutcome {
     /**
      * The claim was applied.
      *
-     * @property termRevision the revision that the claim gave the term counter.
-     * @property sentAt when the lease was asked for: its time to live is counted from then.
+     * @property termRevision the revision of the term counter after the claim.
+     * @property sentAt when the lease was requested. This node measures the lease's time to live from then.
      */
     data class Won(
         val term: Term,
@@ -34,16 +34,16 @@
         val previousLeader: PreviousLeader?,
     ) : ClaimOutcome
 
-    /** The counter or the leader key has changed since they were read: another node was faster. */
+    /** The term counter or the leader key has changed since they were read: another node claimed first. */
     data class Lost(val term: Term) : ClaimOutcome
 
-    /** The state service did not answer, or its answer to the claim was lost and the claim was not applied so far. */
+    /** The state service did not respond, or its response was lost and the claim has not been found applied. */
     data object Unavailable : ClaimOutcome
 }
 
 /**
- * Claims leadership in one conditional transaction, which raises the permanent term counter and puts the leader key
- * with a new lease. It succeeds only if neither key has changed since they were read.
+ * Claims leadership in one conditional transaction, which increments the persistent term counter and writes the leader
+ * key under a new lease. It succeeds only if neither key has changed since it was read.
  */
 internal class LeadershipClaim(
     private val node: NodeName,
@@ -53,16 +53,16 @@
     private val clock: SteadyClock,
     private val random: Random,
 ) {
-    /** The term counter as it was read before the claim. */
-    private class Counter(val revision: Revision, val term: Term, val claimant: PreviousLeader?)
+    /** The term counter as read before the claim. */
+    private class TermCounter(val revision: Revision, val term: Term, val claimant: PreviousLeader?)
 
     /**
-     * Claims the next term over the leader key at [leaderRevision].
+     * Claims the next term, provided that the leader key is still at [leaderRevision].
      *
-     * @throws MalformedJson if the stored term counter can't be read.
+     * @throws MalformedJson if the stored term counter is malformed.
      */
     suspend fun claim(leaderRevision: Revision): ClaimOutcome {
-        val counter = readCounter() ?: return ClaimOutcome.Unavailable
+        val counter = readTermCounter() ?: return ClaimOutcome.Unavailable
         val sentAt = clock.now()
         val lease = grantLease() ?: return ClaimOutcome.Unavailable
         val record = TermRecord(Term(counter.term.number + 1), node, incarnation, newClaimId())
@@ -70,7 +70,7 @@
             is CommitOutcome.Committed ->
                 ClaimOutcome.Won(record.term, outcome.revision, lease, sentAt, counter.claimant)
 
-            CommitOutcome.Unknown -> revisionOfClaim(record.claimId)
+            CommitOutcome.Unknown -> findRevisionOfClaim(record.claimId)
                 ?.let { ClaimOutcome.Won(record.term, it, lease, sentAt, counter.claimant) }
                 ?: ClaimOutcome.Unavailable
 
@@ -78,13 +78,14 @@
         }
     }
 
-    private suspend fun readCounter(): Counter? = when (val read = client.read(Keys.TERM, RequestPriority.LEADERSHIP)) {
-        is ReadOutcome.Found -> counterOf(read.entry)
-        ReadOutcome.Absent -> Counter(Revision.ABSENT, Term.NONE, null)
-        ReadOutcome.Unavailable -> null
-    }
+    private suspend fun readTermCounter(): TermCounter? =
+        when (val read = client.read(Keys.TERM, RequestPriority.LEADERSHIP)) {
+            is ReadOutcome.Found -> decodeTermCounter(read.entry)
+            ReadOutcome.Absent -> TermCounter(Revision.ABSENT, Term.NONE, null)
+            ReadOutcome.Unavailable -> null
+        }
 
-    private fun counterOf(entry: Entry) = Counter(
+    private fun decodeTermCounter(entry: Entry) = TermCounter(
         entry.version,
         LeadershipCodec.decodeTerm(entry.value),
         LeadershipCodec.decodeClaimant(entry.value),
@@ -115,10 +116,11 @@
     }
 
     /**
-     * The counter's revision if the claim whose answer was lost has been applied; null: it was not, or that can't be
-     * read now. The counter alone tells, since it is permanent and names its claim.
+     * Returns the revision of the term counter if the claim whose response was lost has been applied, or null if it has
+     * not or the counter can't be read now. The counter is sufficient evidence: it is persistent and holds the ID of
+     * the claim that wrote it.
      */
-    private suspend fun revisionOfClaim(claimId: String): Revision? {
+    private suspend fun findRevisionOfClaim(claimId: String): Revision? {
         val read = client.read(Keys.TERM, RequestPriority.LEADERSHIP) as? ReadOutcome.Found ?: return null
         return read.entry.version.takeIf { LeadershipCodec.isWrittenBy(read.entry.value, claimId) }
     }
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipRecords.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipRecords.kt
@@ -6,19 +6,19 @@
 import org.elderhitch.store.Revision
 
 /**
- * The permanent term counter, stored under `Keys.TERM`, as a claim writes it.
+ * The persistent term counter as written by a claim, stored under `Keys.TERM`.
  *
- * @property claimId drawn anew for each claim. A claim whose outcome is unknown finds out by it whether it was applied.
+ * @property claimId a random ID, unique to each claim. It shows whether a claim whose response was lost was applied.
  */
 internal class TermRecord(val term: Term, val node: NodeName, val incarnation: Incarnation, val claimId: String)
 
-/** Who leads, stored under `Keys.LEADER` and attached to the leader's lease. */
+/** The current leader, stored under `Keys.LEADER` and attached to the leader's lease. */
 internal data class LeaderRecord(val node: NodeName, val incarnation: Incarnation, val term: Term)
 
 /** A [LeaderRecord] with the revision of its key. */
 internal class StoredLeader(val record: LeaderRecord, val revision: Revision)
 
-/** The stored form of [TermRecord] and [LeaderRecord]. Field names and their order never change. */
+/** Encodes and decodes [TermRecord] and [LeaderRecord]. The field names and their order must not change. */
 internal object LeadershipCodec {
     private const val COUNTER = "n"
     private const val TERM = "term"
@@ -39,7 +39,7 @@
         TERM to record.term.number,
     )
 
-    /** @throws MalformedJson if a field is missing or of a wrong type. */
+    /** @throws MalformedJson if a field is missing or of the wrong type. */
     fun decodeLeader(value: JsonObject): LeaderRecord = LeaderRecord(
         NodeName(value.string(NODE)),
         Incarnation(value.string(INCARNATION)),
@@ -47,16 +47,17 @@
     )
 
     /**
-     * The last claimed term.
+     * Returns the last claimed term.
      *
-     * @throws MalformedJson if the counter is no integer in range.
+     * @throws MalformedJson if the counter is not an integer in range.
      */
     fun decodeTerm(value: JsonObject): Term = Term(value.longOrNull(COUNTER) ?: 0)
 
     /**
-     * Who claimed the stored term; null: a version wrote it that didn't store its leader.
+     * Returns the leader that claimed the stored term, or null if the record was written by a version that did not
+     * store it.
      *
-     * @throws MalformedJson if a field is of a wrong type.
+     * @throws MalformedJson if a field is of the wrong type.
      */
     fun decodeClaimant(value: JsonObject): PreviousLeader? {
         val node = value.stringOrNull(NODE) ?: return null
@@ -64,6 +65,6 @@
         return PreviousLeader(NodeName(node), Incarnation(incarnation))
     }
 
-    /** Whether the stored counter was written by the claim with [claimId]. */
+    /** Whether the claim with [claimId] wrote the stored counter. */
     fun isWrittenBy(value: JsonObject, claimId: String): Boolean = value.raw(CLAIM_ID) == claimId
 }
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipState.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipState.kt
@@ -5,26 +5,27 @@
 import org.elderhitch.store.Revision
 import org.elderhitch.time.MonotonicInstant
 
-/** This node's role, as far as it knows. Immutable: each change replaces the whole value. */
+/** The role of this node, as far as it knows. Immutable: each change replaces the whole value. */
 public sealed interface LeadershipState {
-    /** Of a leader its own term; of a follower the leader's term, or else the highest term seen. */
+    /** For a leader its own term. For a follower the leader's term, or the highest term seen if no leader is known. */
     public val term: Term
 
     /**
-     * Another node leads, or nobody does.
+     * Another node leads, or none does.
      *
-     * @property leader the leader as stored in the state service; null: none is known.
+     * @property leader the leader as stored in the state service, or null if none is known.
      */
     public data class Follower(val leader: NodeName?, override val term: Term) : LeadershipState
 
     /**
      * This node holds the leader's lease.
      *
-     * @property termRevision the term counter's revision at the claim: the condition of each of the leader's writes,
-     * so that none succeeds once another node has claimed.
-     * @property commandWindowEnd until then commands may be sent.
-     * @property answerWindowEnd until then heartbeats may be answered.
-     * @property previousLeader who led before this term; null: nobody, or a version that didn't store it.
+     * @property termRevision the revision of the term counter after the claim. Each write of the leader is conditional
+     * on it, so that none succeeds once another node has claimed a term.
+     * @property commandWindowEnd the instant until which commands may be sent.
+     * @property answerWindowEnd the instant until which heartbeats may be answered.
+     * @property previousLeader the leader of the preceding term, or null if there was none or if the term was claimed
+     * by a version that did not store it.
      * @property claimedAt when this node learned that its claim had succeeded.
      */
     public data class Leader(
@@ -42,5 +43,5 @@
     }
 }
 
-/** The leader of the term before, which may still be answering workers. */
+/** The leader of the preceding term, which may still be answering workers. */
 public data class PreviousLeader(val node: NodeName, val incarnation: Incarnation)
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipStateMachine.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipStateMachine.kt
@@ -9,8 +9,8 @@
 import kotlin.time.Duration
 
 /**
- * The transitions between [LeadershipState.Follower] and [LeadershipState.Leader], and what they are decided by: the
- * highest term seen, the last renewal and the last freshness check. It makes no requests. Not safe for concurrent use.
+ * Implements the transitions between [LeadershipState.Follower] and [LeadershipState.Leader], based on the highest term
+ * seen, the last renewal and the last freshness check. Performs no I/O. Not thread-safe.
  */
 internal class LeadershipStateMachine(
     private val node: NodeName,
@@ -20,46 +20,49 @@
     private val log = LoggerFactory.getLogger("elderhitch.leadership")
     private val current = MutableStateFlow<LeadershipState>(LeadershipState.Follower(null, Term.NONE))
 
-    /** The leader key as last seen; null: it is absent, can't be read, or was this node's own of a term that ended. */
+    /**
+     * The leader key as last read. Null if it is absent or malformed, or if it was this node's own and its term has
+     * ended.
+     */
     var storedLeader: StoredLeader? = null
         private set
     private var highestTerm = Term.NONE
 
-    /** When the last successful freshness check was sent, in whatever role. */
+    /** When the last successful freshness check was sent, as leader or follower. */
     private var freshAsOf = MonotonicInstant.NEVER
 
-    /** When the last successful renewal of the present term was sent. */
+    /** When the last successful renewal of the current term was sent. */
     private var renewedAt = MonotonicInstant.NEVER
 
     val state: StateFlow<LeadershipState> = current
 
     val leader: LeadershipState.Leader? get() = current.value as? LeadershipState.Leader
 
-    /** The present leadership if it is that of [term]; null: that term is over. */
+    /** Returns the state of this node's leadership in [term], or null if that term has ended. */
     fun leaderOf(term: Term): LeadershipState.Leader? = leader?.takeIf { it.term == term }
 
-    /** The leader key has this value now; null: it is absent or can't be read. */
+    /** Records the value of the leader key, which is null if the key is absent or malformed. */
     fun observeLeader(stored: StoredLeader?) {
         storedLeader = stored
         stored?.let { observeTerm(it.record.term) }
-        follow()
+        updateFollower()
     }
 
-    /** A term above this leader's own ends its term, even if its lease has not run out by its clock. */
+    /** Records that [term] exists. A leader of a lower term steps down, even if its lease has not expired. */
     fun observeTerm(term: Term) {
         if (term > highestTerm) highestTerm = term
         val leader = leader ?: return
-        if (term > leader.term) stepDown("term $term seen")
+        if (term > leader.term) stepDown("higher term $term seen")
     }
 
-    /** A freshness check that was sent at [instant] succeeded. */
+    /** Records that a freshness check sent at [instant] succeeded. */
     fun observeFreshness(instant: MonotonicInstant) {
         if (instant <= freshAsOf) return
         freshAsOf = instant
         updateCapabilities()
     }
 
-    /** Starts the term of a claim. False: a higher term has been seen meanwhile, and nothing changes. */
+    /** Starts the claimed term. Returns false and changes nothing if a higher term has been seen in the meantime. */
     fun startTerm(claim: ClaimOutcome.Won): Boolean {
         if (highestTerm > claim.term) {
             log.info("claim outdated term={} seen={}", claim.term, highestTerm)
@@ -82,23 +85,23 @@
         return true
     }
 
-    /** A renewal of the present term that was sent at [sentAt] succeeded. */
-    fun renewed(sentAt: MonotonicInstant) {
+    /** Records that a renewal of the current term sent at [sentAt] succeeded. */
+    fun recordRenewal(sentAt: MonotonicInstant) {
         renewedAt = sentAt
         updateCapabilities()
     }
 
-    /** How long before [now] the last successful freshness check of this term was sent, or else the term claimed. */
+    /** The time since the last successful freshness check was sent or the term was claimed, whichever is later. */
     fun staleness(leader: LeadershipState.Leader, now: MonotonicInstant): Duration =
         now - maxOf(freshAsOf, leader.claimedAt)
 
-    /** Ends this leader's term and forgets the leader key that it had seen: its lease is gone or given up. */
+    /** Ends this leader's term and discards the leader key as last read, since the lease is lost or given up. */
     fun endTerm(reason: String) {
         storedLeader = null
         stepDown(reason)
     }
 
-    private fun follow() {
+    private fun updateFollower() {
         if (leader != null) return
         val follower = LeadershipState.Follower(otherLeader(), storedLeader?.record?.term ?: highestTerm)
         if (follower == current.value) return
@@ -112,7 +115,7 @@
         current.value = LeadershipState.Follower(otherLeader(), highestTerm)
     }
 
-    /** The stored leader, unless an earlier claim of this node left it behind. */
+    /** The stored leader, or null if the key was left behind by an earlier claim of this node. */
     private fun otherLeader(): NodeName? = storedLeader?.record?.node?.takeIf { it != node }
 
     private fun updateCapabilities() {
--- a/src/main/kotlin/org/elderhitch/leadership/LeadershipTimeouts.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/LeadershipTimeouts.kt
@@ -7,13 +7,15 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The durations that leadership rests on, derived from the settings; `docs/design.md` proves that they suffice.
+ * Timeouts of leadership, derived from the settings of the workers. They are chosen so that the tasks of a cancelled
+ * job end within the time allowed for a cancellation; the proof is in `docs/design.md`.
  *
- * @property commandWindow how long after a renewal, and after a freshness check, was sent the leader may send commands.
- * Also the time to live of its lease in the state service.
- * @property answerGracePeriod how long past its command window a leader still answers heartbeats, without commands.
- * @property cycleBudget a scheduling cycle that took longer sends nothing.
- * @property renewInterval how often the leader renews its lease and checks its freshness.
+ * @property commandWindow how long the leader may send commands after it sent its last successful renewal and its last
+ * successful freshness check. Also the time to live of its lease in the state service.
+ * @property answerGracePeriod how long after its command window a leader still answers heartbeats, with no commands
+ * except stops of terminal jobs' tasks.
+ * @property cycleBudget the maximum duration of a scheduling cycle; a longer cycle sends no commands.
+ * @property renewInterval the interval at which the leader renews its lease and checks its freshness.
  */
 public data class LeadershipTimeouts(
     val commandWindow: Duration,
@@ -22,15 +24,16 @@
     val renewInterval: Duration,
 ) {
     /**
-     * How long a leader answers heartbeats after the older of its last renewal and its last freshness check was sent.
-     * Shortened by the clocks' drift.
+     * How long a leader answers heartbeats, measured from when the older of its last renewal and its last freshness
+     * check was sent. Reduced by the maximum clock drift.
      */
     public val answerWindow: Duration get() = commandWindow.shortened() + answerGracePeriod
 
     /**
-     * What a leader may do whose last successful renewal was sent at [renewedAt], and whose last successful freshness
-     * check at [freshAsOf]: the older of both counts. The lease alone says who leads, and not that the leader knows of
-     * all that was recorded: it could keep the tasks of a job running that has been cancelled meanwhile.
+     * Returns the windows of a leader whose last successful renewal was sent at [renewedAt] and whose last successful
+     * freshness check was sent at [freshAsOf]. They start at the earlier of the two. The lease alone shows who leads,
+     * not that the leader has read everything that was recorded: a leader without freshness checks could keep the tasks
+     * of a job running that has been cancelled in the meantime.
      */
     public fun capabilities(renewedAt: MonotonicInstant, freshAsOf: MonotonicInstant): LeaderCapabilities {
         val since = minOf(renewedAt, freshAsOf)
@@ -40,15 +43,15 @@
     public companion object {
         private val COMMAND_WINDOW = 4.seconds
         private val CYCLE_BUDGET = 5.seconds
-        private val MARGIN = 2.seconds
+        private val CANCELLATION_MARGIN = 2.seconds
         private const val RENEWALS_PER_WINDOW = 5
 
-        /** The durations that fit the workers' lease and the time within which a cancelled task must be gone. */
+        /** Derives the timeouts from the workers' lease and the time within which a cancelled task must have ended. */
         public fun of(workers: WorkerTimeouts): LeadershipTimeouts = LeadershipTimeouts(
             commandWindow = COMMAND_WINDOW,
-            // A task that is cancelled right after the last renewal must be gone within the time for cancelling, even
-            // on a worker that only a leader past its command window still answers.
-            answerGracePeriod = (workers.cancel - workers.lease - COMMAND_WINDOW - MARGIN)
+            // A task that is cancelled right after the last renewal must end within the time allowed for a
+            // cancellation, even if its worker is answered only by a leader whose command window has ended.
+            answerGracePeriod = (workers.cancel - workers.lease - COMMAND_WINDOW - CANCELLATION_MARGIN)
                 .coerceAtLeast(Duration.ZERO),
             cycleBudget = CYCLE_BUDGET,
             renewInterval = COMMAND_WINDOW / RENEWALS_PER_WINDOW,
@@ -56,5 +59,5 @@
     }
 }
 
-/** Until when a leader may send commands, and until when it may answer heartbeats. */
+/** The instants until which a leader may send commands and answer heartbeats. */
 public data class LeaderCapabilities(val commandWindowEnd: MonotonicInstant, val answerWindowEnd: MonotonicInstant)
--- a/src/main/kotlin/org/elderhitch/leadership/Term.kt
+++ b/src/main/kotlin/org/elderhitch/leadership/Term.kt
@@ -1,8 +1,8 @@
 package org.elderhitch.leadership
 
 /**
- * The number of a leadership, raised by one with each successful claim. The state service holds the counter, so no two
- * leaders share a term. Workers see it as a fencing token and refuse commands of a lower term.
+ * The number of a leadership term, incremented by each successful claim. The state service holds the counter, so no two
+ * leaders share a term. Workers treat it as a fencing token and reject commands of a lower term.
  */
 @JvmInline
 public value class Term(public val number: Long) : Comparable<Term> {
@@ -11,7 +11,7 @@
     override fun toString(): String = number.toString()
 
     public companion object {
-        /** Lower than each term that was ever claimed. */
+        /** Lower than any claimed term. */
         public val NONE: Term = Term(0)
     }
 }
--- a/src/test/kotlin/org/elderhitch/leadership/LeadershipTest.kt
+++ b/src/test/kotlin/org/elderhitch/leadership/LeadershipTest.kt
@@ -34,7 +34,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Claims, renewals and resignations of several nodes against a state service. */
+/** Tests claims, renewals and resignations of several nodes against a simulated state service. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class LeadershipTest {
     private val workers = WorkerTimeouts(1.seconds, 11.seconds, 45.seconds, 5.seconds, 41.seconds)
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Three nodes that restart at random, over a network and a state service that lose and delay messages. */
+    /** Three nodes that are restarted at random, with a network that loses and delays messages and service outages. */
     private inner class RandomCluster(private val test: TestScope, private val seed: Long) {
         private val random = Random(seed)
         private val clock = SteadyClock { MonotonicInstant(test.currentTime * 1_000_000) }
@@ -95,7 +95,7 @@
         private val net = LossyNet(test.backgroundScope, random, state)
         private val names = listOf("a", "b", "c")
         private val nodes = HashMap<String, Node>()
-        private val holders = HashMap<Term, String>()
+        private val termHolders = HashMap<Term, String>()
         private var stepsWithLeader = 0
 
         private fun startNode(name: String) {
@@ -121,30 +121,30 @@
                 if (step % 300 == 260) state.down = false
                 checkLeaders(step)
             }
-            assertTrue(stepsWithLeader > 400, "seed $seed: somebody led in $stepsWithLeader of 1200 steps only")
+            assertTrue(stepsWithLeader > 400, "seed $seed: only $stepsWithLeader of 1200 steps had a leader")
         }
 
         private fun checkLeaders(step: Int) {
             val now = clock.now()
-            val commanding = nodes.values.filter { leaderOf(it)?.maySendCommands(now) == true }
-            val commandingNames = commanding.map { it.name }
-            assertTrue(commanding.size <= 1, "seed $seed step $step: $commandingNames command at once")
-            for (node in commanding) {
+            val commandingNodes = nodes.values.filter { leaderOf(it)?.maySendCommands(now) == true }
+            val commandingNames = commandingNodes.map { it.name }
+            assertTrue(commandingNodes.size <= 1, "seed $seed step $step: $commandingNames may all send commands")
+            for (node in commandingNodes) {
                 stepsWithLeader++
                 val term = assertNotNull(leaderOf(node)).term
                 val holder = "${node.name}/${System.identityHashCode(node)}"
-                assertEquals(holder, holders.getOrPut(term) { holder }, "seed $seed: term $term is held twice")
+                assertEquals(holder, termHolders.getOrPut(term) { holder }, "seed $seed: term $term has two holders")
             }
         }
     }
 
     @Test
-    fun `at most one controller may command and no term is held twice when messages are lost or delayed`() {
+    fun `at most one controller may send commands and no term has two holders when messages are lost or delayed`() {
         for (seed in 1L..12L) runTest { RandomCluster(this, seed).run() }
     }
 
     @Test
-    fun `a leader steps down at once when it sees a higher term`() = runTest {
+    fun `a leader steps down immediately when it sees a higher term`() = runTest {
         val clock = SteadyClock { MonotonicInstant(currentTime * 1_000_000) }
         val net = LossyNet(backgroundScope, Random(1), StateStandIn(clock)).apply { trouble = 0.0 }
         val node = Node("a", backgroundScope, net, clock, Random(2))
@@ -156,10 +156,10 @@
     }
 
     @Test
-    fun `a leader answers for no longer than a cancellation allows when its command window is over`() {
-        val longest = timeouts.commandWindow + timeouts.answerGracePeriod + workers.lease
-        assertTrue(longest < workers.cancel)
-        val short = LeadershipTimeouts.of(workers.copy(lease = 31.seconds, cancel = 33.seconds))
-        assertEquals(0.seconds, short.answerGracePeriod)
+    fun `the answer grace period ends early enough for a cancelled task to end in time`() {
+        val maxTaskLifetime = timeouts.commandWindow + timeouts.answerGracePeriod + workers.lease
+        assertTrue(maxTaskLifetime < workers.cancel)
+        val withoutGracePeriod = LeadershipTimeouts.of(workers.copy(lease = 31.seconds, cancel = 33.seconds))
+        assertEquals(0.seconds, withoutGracePeriod.answerGracePeriod)
     }
 }
