--- a/src/main/kotlin/org/elderhitch/actor/Actor.kt
+++ b/src/main/kotlin/org/elderhitch/actor/Actor.kt
@@ -8,27 +8,27 @@
 import java.util.concurrent.ConcurrentLinkedQueue
 
 /**
- * An object whose state is only changed by the messages that it receives, one at a time.
+ * An actor: only the messages that it receives, one at a time, change its state.
  *
- * [receive] must not wait: slow work is launched as a coroutine, whose result comes back as another message. So the
+ * [receive] must not block: slow work is launched as a coroutine, which sends its result as another message. So the
  * state never changes while a message is being handled.
  */
 public abstract class Actor<M : Any>(protected val scope: CoroutineScope) {
-    /** One element per message: the message, or null in place of one that was added to [urgentMessages]. */
+    /** Holds one element per message: the message itself, or null for a message that is in [urgentMessages]. */
     private val mailbox = Channel<M?>(Channel.UNLIMITED)
     private val urgentMessages = ConcurrentLinkedQueue<M>()
 
-    /** Sends a message. Returns at once, and may be called from any thread. */
+    /** Sends a message to this actor. Never blocks; may be called from any thread. */
     public fun tell(message: M) {
         val isUrgent = isUrgent(message)
         if (isUrgent) urgentMessages.add(message)
         mailbox.trySend(message.takeUnless { isUrgent })
     }
 
-    /** Whether the message overtakes those that aren't urgent. Urgent messages keep their order among themselves. */
+    /** Whether the message is received before pending non-urgent ones. Urgent messages are received in FIFO order. */
     protected open fun isUrgent(message: M): Boolean = false
 
-    /** Starts to receive messages; those that were sent earlier are received first. */
+    /** Starts receiving messages, beginning with those already sent. */
     public open fun start() {
         scope.launch {
             for (message in mailbox) {
@@ -42,17 +42,17 @@
         while (true) receiveLoggingFailures(urgentMessages.poll() ?: break)
     }
 
-    /** A message that fails must not end the actor, whichever exception it fails with. */
+    /** Logs any exception except a cancellation, so that a failing message does not stop the actor. */
     private fun receiveLoggingFailures(message: M) {
         try {
             receive(message)
         } catch (e: CancellationException) {
             throw e
-        } catch (@Suppress("TooGenericExceptionCaught") e: Exception) { // See above: any bug in a handler ends up here.
+        } catch (@Suppress("TooGenericExceptionCaught") e: Exception) { // Any bug in a handler ends up here.
             LoggerFactory.getLogger("elderhitch.actor").error("message failed message={}", message, e)
         }
     }
 
-    /** Handles one message. An exception is logged, and the next message is received. */
+    /** Handles one message. An exception is logged and does not stop the actor. */
     protected abstract fun receive(message: M)
 }
--- a/src/main/kotlin/org/elderhitch/cluster/Cluster.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/Cluster.kt
@@ -16,8 +16,8 @@
 import kotlin.time.Duration
 
 /**
- * The traffic between controllers: heartbeats, forwarded requests and broadcasts of terminal states. As a [Handler] it
- * serves the paths under `/cluster/`.
+ * Communication between controllers: heartbeats, forwarded requests and broadcasts of terminal states. As a [Handler]
+ * it serves the paths under `/cluster/`.
  */
 public class Cluster(
     scope: CoroutineScope,
@@ -32,38 +32,42 @@
     private val heartbeats =
         PeerHeartbeats(scope, NodeIdentity(self, incarnation), registry, transport, clock, ports)
     private val forwarder = RequestForwarder(registry, transport)
-    private val terminalStates = TerminalStateBroadcaster(scope, self, peers, transport)
+    private val terminalStateBroadcaster = TerminalStateBroadcaster(scope, self, peers, transport)
 
-    /** Starts to send heartbeats. */
+    /** Starts sending heartbeats. */
     public fun start(): Unit = heartbeats.start()
 
     override suspend fun handle(request: Request): Response = when (request.path) {
         PeerHeartbeats.PATH -> heartbeats.receive(request)
-        TerminalStateBroadcaster.PATH -> terminalStates.receive(request, ports::receiveTerminalStates)
+        TerminalStateBroadcaster.PATH -> terminalStateBroadcaster.receive(request, ports::receiveTerminalStates)
         RequestForwarder.USER_REQUEST_PATH -> forwarder.receive(request, ports::serveUserRequest)
         RequestForwarder.LEADER_REQUEST_PATH -> forwarder.receive(request, ports::serveLeaderRequest)
         else -> HttpServer.refusal(HttpStatus.NOT_FOUND, "no such path")
     }
 
-    /** As a new leader: reports to the ports whether all that answered workers in earlier terms has stopped. */
+    /**
+     * If this node leads, reports to the ports whether the previous leader has ended and whether all controllers have
+     * stopped answering workers with earlier terms.
+     */
     public fun checkPreviousLeaders(): Unit = heartbeats.checkPreviousLeaders()
 
-    /** Tells the peers of a cancellation that has been recorded by this node. */
-    public fun broadcastTerminalState(id: JobId, record: TerminalRecord): Unit = terminalStates.broadcast(id, record)
+    /** Notifies the peers of a terminal state that this node has recorded. */
+    public fun broadcastTerminalState(id: JobId, record: TerminalRecord): Unit =
+        terminalStateBroadcaster.broadcast(id, record)
 
-    /** The least that any other controller can hold of open jobs; null: none has told. */
+    /** The smallest limit on open jobs that any other controller has reported, or null if none has. */
     public fun smallestPeerLimit(): Footprint? = registry.smallestOpenJobsLimit()
 
     /**
-     * Whether the node has sent or answered a heartbeat of late. A worker that is sent to a node that is cut off would
-     * wait there until its lease ends.
+     * Whether the node has sent or answered a heartbeat recently. A worker that is redirected to a partitioned node
+     * would wait there until its lease expires.
      */
     public fun hasRecentHeartbeat(node: NodeName): Boolean = registry.hasRecentHeartbeat(node)
 
-    /** Sends a request to the node that leads; null: it doesn't respond. */
+    /** Sends a request to the leader. Returns null if the leader does not respond. */
     public suspend fun callLeader(leader: NodeName, path: String, body: ByteArray, timeout: Duration): Response? =
         forwarder.callLeader(leader, path, body, timeout)
 
-    /** Has a controller that reaches the state service answer a user's request; null: none does. */
+    /** Forwards a user's request to a controller that reaches the state service. Returns null if none responds. */
     public suspend fun forward(request: Request): Response? = forwarder.forward(request)
 }
--- a/src/main/kotlin/org/elderhitch/cluster/ClusterPorts.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/ClusterPorts.kt
@@ -12,47 +12,47 @@
 import org.elderhitch.settings.NodeName
 import kotlin.time.Duration
 
-/** What [Cluster] needs of the rest of its node: what it tells the peers, and who takes what they tell. */
+/** The interface of [Cluster] to the rest of its node: the state to report to peers, and handlers of what they send. */
 public interface ClusterPorts {
-    /** This node's present role. */
+    /** This node's current role. */
     public fun leadershipState(): LeadershipState
 
-    /** Whether the state service answers this node. */
+    /** Whether this node receives responses from the state service. */
     public fun reachesStateService(): Boolean
 
-    /** As the leader: how many tasks of each job run. */
+    /** The number of running tasks of each job. Called only while this node leads. */
     public fun runningTasks(): Map<JobId, Int>
 
-    /** What this node's memory can hold of open jobs. */
+    /** The largest footprint of open jobs that fits this node's memory. */
     public fun openJobsLimit(): Footprint
 
-    /** A peer knows this term. */
+    /** Called when a peer has reported [term]. */
     public fun observeTerm(term: Term)
 
-    /** No controller answers workers in the name of a term before [term] any more. Told more than once. */
+    /** Called, possibly repeatedly, once no controller answers workers with a term before [term] any more. */
     public fun previousLeadersStopped(term: Term)
 
-    /** The incarnation that led before [term] has ended. Told more than once. */
+    /** Called, possibly repeatedly, once the incarnation that led before [term] has ended. */
     public fun previousLeaderEnded(term: Term)
 
-    /** As the leader: how long from now the node may answer as lease delegate; null: not now. */
+    /** As the leader, decides how long from now [node] may answer as lease delegate; null if it may not now. */
     public suspend fun grantDelegation(node: NodeName): DelegationOffer?
 
-    /** The leader has made this node lease delegate. */
+    /** Called when the leader has made this node a lease delegate. */
     public fun delegationGranted(grant: DelegationGrant)
 
-    /** No leader grants a longer delegation. */
+    /** The maximum duration of a delegation that any leader grants. */
     public val longestDelegation: Duration
 
-    /** Terminal states that a peer has recorded. */
+    /** Handles terminal states that a peer has recorded. */
     public fun receiveTerminalStates(records: Map<JobId, TerminalRecord>)
 
-    /** How many tasks of each job run, as the leader tells. */
+    /** Handles the number of running tasks of each job, as reported by the leader. */
     public fun receiveRunningCounts(counts: Map<JobId, Int>)
 
     /** Answers a user's request on this node, without forwarding it to another one. */
     public suspend fun serveUserRequest(request: Request): Response
 
-    /** Answers a peer's request to the leader. */
+    /** Answers a request that a peer has sent to this node as the leader. */
     public suspend fun serveLeaderRequest(request: Request): Response
 }
--- a/src/main/kotlin/org/elderhitch/cluster/PeerHeartbeats.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/PeerHeartbeats.kt
@@ -4,7 +4,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import org.elderhitch.delegates.DelegationGrant
-import org.elderhitch.delegates.PreviousLeaders
+import org.elderhitch.delegates.PreviousLeaderTracker
 import org.elderhitch.http.HttpServer
 import org.elderhitch.http.Request
 import org.elderhitch.http.Response
@@ -22,11 +22,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** This controller's name and present run, as it tells its peers. */
+/** The identity that this controller reports to its peers: its name and current incarnation. */
 internal class NodeIdentity(val node: NodeName, val incarnation: Incarnation)
 
 /**
- * Sends a heartbeat to each peer once a second, answers theirs, and passes on what they tell: terms, running tasks,
+ * Sends a heartbeat to each peer once a second, answers theirs, and passes on what they report: terms, running tasks,
  * delegations, and whether previous leaders have stopped answering workers.
  */
 internal class PeerHeartbeats(
@@ -38,41 +38,41 @@
     private val ports: ClusterPorts,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.cluster")
-    private val previousLeaders = PreviousLeaders(peers.names)
+    private val previousLeaderTracker = PreviousLeaderTracker(peers.names)
 
     fun start() {
         for (peer in peers.all) {
             scope.launch {
                 while (true) {
-                    exchange(peer)
-                    delay(INTERVAL)
+                    exchangeHeartbeats(peer)
+                    delay(HEARTBEAT_INTERVAL)
                 }
             }
         }
     }
 
-    private suspend fun exchange(peer: PeerState) {
+    private suspend fun exchangeHeartbeats(peer: PeerState) {
         val body = PeerCodec.encode(PeerHeartbeat.serializer(), ownHeartbeat())
-        val askedAt = clock.now()
-        val response = transport.call(peer.peer.address, "POST", PATH, body, TIMEOUT)
+        val requestSentAt = clock.now()
+        val response = transport.call(peer.peer.address, "POST", PATH, body, RESPONSE_TIMEOUT)
         if (response == null || response.status != HttpStatus.OK) {
             peer.reachesStateService = false
             return
         }
         val heartbeat = PeerCodec.decode(PeerHeartbeat.serializer(), response.body) ?: return
-        observe(heartbeat, askedAt)
-        if (heartbeat.delegateMs != 0L) acceptDelegation(peer.peer.name, heartbeat, askedAt)
+        observe(heartbeat, requestSentAt)
+        if (heartbeat.delegateMs != 0L) acceptDelegation(peer.peer.name, heartbeat, requestSentAt)
     }
 
     private fun ownHeartbeat(): PeerHeartbeat {
         val leadershipState = ports.leadershipState()
-        val leading = leadershipState is LeadershipState.Leader
-        val runningTasks = if (leading) ports.runningTasks() else emptyMap()
+        val isLeader = leadershipState is LeadershipState.Leader
+        val runningTasks = if (isLeader) ports.runningTasks() else emptyMap()
         return PeerHeartbeat(
             node = self.node.text,
             run = self.incarnation.text,
             term = leadershipState.term.number,
-            leading = leading,
+            leading = isLeader,
             reachesState = ports.reachesStateService(),
             runningTasks = runningTasks.entries.associate { it.key.text to it.value },
             openJobsLimitBytes = ports.openJobsLimit().bytes,
@@ -80,10 +80,10 @@
     }
 
     /**
-     * The delegation is counted from when it was asked for. The leader counts it from its response, which is later: so
-     * it ends here before the leader counts on it.
+     * Measures the delegation from when this node sent its request. The leader measures it from its response, which is
+     * later, so the delegation expires on this node before the leader assumes that it has.
      */
-    private fun acceptDelegation(leader: NodeName, heartbeat: PeerHeartbeat, askedAt: MonotonicInstant) {
+    private fun acceptDelegation(leader: NodeName, heartbeat: PeerHeartbeat, requestSentAt: MonotonicInstant) {
         if (!isValidDelegation(leader, heartbeat)) {
             log.info(
                 "delegation ignored peer={} node={} leading={} duration_ms={}",
@@ -94,7 +94,7 @@
             )
             return
         }
-        val until = askedAt + heartbeat.delegateMs.milliseconds.shortened()
+        val until = requestSentAt + heartbeat.delegateMs.milliseconds.shortened()
         ports.delegationGranted(DelegationGrant(Term(heartbeat.term), leader, until))
     }
 
@@ -104,21 +104,21 @@
         return isFromLeader && duration.isPositive() && duration <= ports.longestDelegation
     }
 
-    /** Answers a peer's heartbeat; as the leader also with a delegation for the peer. */
+    /** Answers a peer's heartbeat. If this node leads, the response may grant the peer a delegation. */
     suspend fun receive(request: Request): Response {
         val heartbeat = PeerCodec.decode(PeerHeartbeat.serializer(), request.body)
-            ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "no hello")
-        observe(heartbeat, askedAt = null)
+            ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "malformed peer heartbeat")
+        observe(heartbeat, requestSentAt = null)
         val offer = NodeName(heartbeat.node).takeIf { it in peers }?.let { ports.grantDelegation(it) }
-        // Read after the wait for the offer: a node that has stopped leading meanwhile grants nothing.
-        val own = ownHeartbeat()
-        val valid = offer?.takeIf { own.leading && own.term == it.term.number }
-        val response = own.copy(delegateMs = valid?.duration?.inWholeMilliseconds ?: 0)
+        // Created after the wait for the offer, so that a node that has stopped leading in the meantime grants nothing.
+        val ownHeartbeat = ownHeartbeat()
+        val validOffer = offer?.takeIf { ownHeartbeat.leading && ownHeartbeat.term == it.term.number }
+        val response = ownHeartbeat.copy(delegateMs = validOffer?.duration?.inWholeMilliseconds ?: 0)
         return PeerCodec.respond(PeerHeartbeat.serializer(), response)
     }
 
-    /** [askedAt]: when the request was sent that this heartbeat answers; null: the peer sent it unasked. */
-    private fun observe(heartbeat: PeerHeartbeat, askedAt: MonotonicInstant?) {
+    /** [requestSentAt]: when the request was sent to which this heartbeat responds; null if it is itself a request. */
+    private fun observe(heartbeat: PeerHeartbeat, requestSentAt: MonotonicInstant?) {
         val node = NodeName(heartbeat.node)
         val peer = peers[node]
         if (peer == null) {
@@ -127,27 +127,27 @@
         }
         peer.reachesStateService = heartbeat.reachesState
         peer.lastHeartbeatAt = clock.now()
-        // Stays when the peer falls silent: once it restarts it must be able to load all that is accepted meanwhile.
+        // Kept while the peer is unreachable: after a restart it must be able to load all jobs accepted until then.
         if (heartbeat.openJobsLimitBytes > 0) peer.openJobsLimit = Footprint(heartbeat.openJobsLimitBytes)
         ports.observeTerm(Term(heartbeat.term))
         if (heartbeat.leading) ports.receiveRunningCounts(runningCounts(heartbeat))
-        previousLeaders.observe(node, Incarnation(heartbeat.run), Term(heartbeat.term), askedAt)
+        previousLeaderTracker.observe(node, Incarnation(heartbeat.run), Term(heartbeat.term), requestSentAt)
         checkPreviousLeaders()
     }
 
     private fun runningCounts(heartbeat: PeerHeartbeat): Map<JobId, Int> =
         heartbeat.runningTasks.mapNotNull { (id, count) -> JobId.parse(id)?.let { it to count } }.toMap()
 
-    /** As the leader: reports whether those have stopped that answered workers in the name of earlier terms. */
+    /** If this node leads, reports whether the previous leader has ended and whether all previous ones have stopped. */
     fun checkPreviousLeaders() {
         val leader = ports.leadershipState() as? LeadershipState.Leader ?: return
-        if (previousLeaders.hasPreviousLeaderEnded(leader)) ports.previousLeaderEnded(leader.term)
-        if (previousLeaders.haveAllStopped(leader)) ports.previousLeadersStopped(leader.term)
+        if (previousLeaderTracker.hasPreviousLeaderEnded(leader)) ports.previousLeaderEnded(leader.term)
+        if (previousLeaderTracker.havePreviousLeadersStopped(leader)) ports.previousLeadersStopped(leader.term)
     }
 
     companion object {
         const val PATH = "/cluster/hello"
-        private val INTERVAL = 1.seconds
-        private val TIMEOUT = 1.seconds
+        private val HEARTBEAT_INTERVAL = 1.seconds
+        private val RESPONSE_TIMEOUT = 1.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/cluster/PeerMessages.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/PeerMessages.kt
@@ -5,9 +5,9 @@
 import kotlinx.serialization.protobuf.ProtoNumber
 
 /**
- * What controllers tell each other about once a second, as request and as response. Two versions run side by side
- * during an update, so field numbers never change, and fields that were added later have a default. The names of the
- * fields without one stand in the log line of a message that lacks them.
+ * The heartbeat that controllers exchange about once a second, both as request and as response. Two versions run side
+ * by side during an update, so field numbers must not change, and fields added later need a default value. The names of
+ * fields without a default appear in the log line about a message that lacks them.
  */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
@@ -18,27 +18,27 @@
     /** The highest term that the node knows of. */
     @ProtoNumber(3) val term: Long,
     @ProtoNumber(4) val leading: Boolean,
-    /** Whether the state service answers the node. */
+    /** Whether the node receives responses from the state service. */
     @ProtoNumber(5) val reachesState: Boolean,
-    /** From the leader: how many tasks of each job run. */
+    /** The number of running tasks by job ID; only from the leader. */
     @ProtoNumber(6) val runningTasks: Map<String, Int> = emptyMap(),
-    /** What the node's memory can hold of open jobs, in bytes; 0 from an earlier version. */
+    /** The size of open jobs that fits the node's memory, in bytes; 0 from an earlier version. */
     @ProtoNumber(7) val openJobsLimitBytes: Long = 0,
     /**
-     * In the leader's response: for how many milliseconds from the request on the node may answer as lease delegate of
-     * its zone; 0: it may not.
+     * In the leader's response: how many milliseconds after sending the request the node may answer as lease delegate
+     * of its zone; 0 if it may not.
      */
     @ProtoNumber(8) val delegateMs: Long = 0,
 )
 
-/** A request that a node hands to a peer, which answers it with a [ForwardedResponse]. */
+/** A request that a node forwards to a peer, which answers with a [ForwardedResponse]. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 public class ForwardedRequest(
     @ProtoNumber(1) public val method: String,
     @ProtoNumber(2) public val path: String,
     @ProtoNumber(3) public val body: ByteArray,
-    /** The IP address that the request came from; empty: not known. */
+    /** The IP address of the original sender; empty if unknown. */
     @ProtoNumber(4) public val senderAddress: String = "",
 )
 
@@ -51,7 +51,7 @@
     @ProtoNumber(3) public val headers: Map<String, String> = emptyMap(),
 )
 
-/** Terminal states that a controller has just recorded, for the others. */
+/** Notifies the other controllers of terminal states that this controller has just recorded. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 public class TerminalStateBroadcast(
@@ -59,7 +59,7 @@
     @ProtoNumber(2) public val notices: List<TerminalStateNotice> = emptyList(),
 )
 
-/** One job's terminal state; [record] has the form that is stored in the state service. */
+/** The terminal state of one job; [record] has the same format as in the state service. */
 @OptIn(ExperimentalSerializationApi::class)
 @Serializable
 public class TerminalStateNotice(@ProtoNumber(1) public val job: String, @ProtoNumber(2) public val record: ByteArray)
--- a/src/main/kotlin/org/elderhitch/cluster/RequestForwarder.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/RequestForwarder.kt
@@ -8,9 +8,9 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Hands requests to peers, and serves those that peers hand to this node. */
+/** Forwards requests to peers, and serves requests that peers forward to this node. */
 internal class RequestForwarder(private val peers: PeerRegistry, private val transport: Transport) {
-    /** Has the first peer answer that reaches the state service and responds; null: none does. */
+    /** Forwards a request to the peers that reach the state service, in turn, until one responds; null if none does. */
     suspend fun forward(request: Request): Response? {
         for (peer in peers.reachingStateService()) {
             return send(peer, USER_REQUEST_PATH, request, FORWARD_TIMEOUT) ?: continue
@@ -18,7 +18,7 @@
         return null
     }
 
-    /** Sends a request to the leader; null: it doesn't respond, or is no peer. */
+    /** Sends a request to the leader. Returns null if the leader does not respond or is not a known peer. */
     suspend fun callLeader(leader: NodeName, path: String, body: ByteArray, timeout: Duration): Response? {
         val peer = peers[leader] ?: return null
         return send(peer, LEADER_REQUEST_PATH, Request("POST", path, emptyMap(), body), timeout)
@@ -33,10 +33,10 @@
         return Response(inner.status, inner.body, inner.headers)
     }
 
-    /** Answers a request that a peer has forwarded with what [serve] answers to the request within it. */
+    /** Unwraps a request that a peer has forwarded, passes it to [serve] and wraps the response. */
     suspend fun receive(request: Request, serve: suspend (Request) -> Response): Response {
         val forwarded = PeerCodec.decode(ForwardedRequest.serializer(), request.body)
-            ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "no request")
+            ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "malformed forwarded request")
         val sender = forwarded.senderAddress.ifEmpty { null }
         val response = serve(Request(forwarded.method, forwarded.path, emptyMap(), forwarded.body, sender))
         return PeerCodec.respond(
--- a/src/main/kotlin/org/elderhitch/cluster/TerminalStateBroadcaster.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/TerminalStateBroadcaster.kt
@@ -18,9 +18,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Tells the other controllers at once which cancellations were recorded here; once, and without waiting for a response.
- * A leader that the state service refuses learns of them this way, and stops their tasks seconds or a lease sooner.
- * Nothing relies on it: a node that misses a broadcast learns of the cancellation from the state service.
+ * Notifies the other controllers of the cancellations recorded by this node: without delay, once, and without waiting
+ * for a response. A leader that can't use the state service learns of them this way, and stops their tasks seconds or
+ * even a lease earlier. Delivery is best effort: a node that misses a broadcast learns of the cancellation from the
+ * state service.
  */
 internal class TerminalStateBroadcaster(
     private val scope: CoroutineScope,
@@ -29,40 +30,40 @@
     private val transport: Transport,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.cluster")
-    private var pending = ArrayList<TerminalStateNotice>()
+    private var pendingNotices = ArrayList<TerminalStateNotice>()
 
-    /** Sends the terminal state together with those that follow within [BATCH_DELAY]. */
+    /** Sends the terminal state in one batch with those that follow within [BATCH_DELAY]. */
     fun broadcast(id: JobId, record: TerminalRecord) {
-        pending.add(TerminalStateNotice(id.text, Json.bytes(record.encode())))
-        if (pending.size > 1 || peers.isEmpty()) return
+        pendingNotices.add(TerminalStateNotice(id.text, Json.bytes(record.encode())))
+        if (pendingNotices.size > 1 || peers.isEmpty()) return
         scope.launch {
             delay(BATCH_DELAY)
-            val batch = pending
-            pending = ArrayList()
-            batch.chunked(MAX_NOTICES).forEach(::send)
+            val batch = pendingNotices
+            pendingNotices = ArrayList()
+            batch.chunked(MAX_NOTICES_PER_BROADCAST).forEach(::send)
         }
     }
 
     private fun send(notices: List<TerminalStateNotice>) {
         val message = TerminalStateBroadcast(self.text, notices)
         val body = PeerCodec.encode(TerminalStateBroadcast.serializer(), message)
-        peers.forEach { peer -> scope.launch { transport.call(peer.address, "POST", PATH, body, TIMEOUT) } }
+        peers.forEach { peer -> scope.launch { transport.call(peer.address, "POST", PATH, body, SEND_TIMEOUT) } }
     }
 
     /** Passes the terminal states of a peer's broadcast to [receiver]. */
     fun receive(request: Request, receiver: (Map<JobId, TerminalRecord>) -> Unit): Response {
         val message = PeerCodec.decode(TerminalStateBroadcast.serializer(), request.body)
-            ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "no news")
+            ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "malformed terminal state broadcast")
         if (peers.none { it.name == NodeName(message.node) }) {
             log.info("terminal state ignored node={} reason=\"no such controller\"", message.node)
             return HttpServer.refusal(HttpStatus.BAD_REQUEST, "no such controller")
         }
-        receiver(readableRecords(message))
+        receiver(decodeRecords(message))
         return PeerCodec.respond(ByteArray(0))
     }
 
-    /** The records that can be read; the others are logged. */
-    private fun readableRecords(message: TerminalStateBroadcast): Map<JobId, TerminalRecord> {
+    /** Decodes the records of a broadcast. Malformed ones are logged and skipped. */
+    private fun decodeRecords(message: TerminalStateBroadcast): Map<JobId, TerminalRecord> {
         val records = LinkedHashMap<JobId, TerminalRecord>()
         for (notice in message.notices) {
             val id = JobId.parse(notice.job)
@@ -86,9 +87,9 @@
     companion object {
         const val PATH = "/cluster/ended"
 
-        /** A notice takes some hundred bytes, a body 64 KiB at most. */
-        private const val MAX_NOTICES = 50
+        /** Keeps the body below its limit of 64 KiB; a notice takes a few hundred bytes. */
+        private const val MAX_NOTICES_PER_BROADCAST = 50
         private val BATCH_DELAY = 20.milliseconds
-        private val TIMEOUT = 1.seconds
+        private val SEND_TIMEOUT = 1.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/delegates/DelegationRules.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/DelegationRules.kt
@@ -9,15 +9,14 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What a leader knows of a zone when one of its nodes asks to become lease delegate.
+ * What a leader knows about a zone when one of the zone's nodes asks to become its lease delegate.
  *
- * @property unaccountedMachines how many machines of the zone may run tasks and have not been heard of in this term;
- * null: it isn't known yet which machines there are.
- * @property workersWithUnknownTasks how many workers of the zone run tasks of jobs that the leader doesn't know as
- * open.
- * @property oldestTerminalState of the terminal jobs that still have tasks in the zone, the earliest instant after
- * which
- * a terminal state may have been recorded; null: there is no such job.
+ * @property unaccountedMachines the number of machines of the zone that may run tasks and have not reported in this
+ * term, or null if the inventory of machines is not loaded yet.
+ * @property workersWithUnknownTasks the number of workers of the zone that run tasks of jobs which the leader does not
+ * know to be open.
+ * @property oldestTerminalState the earliest instant after which the terminal state of a job with tasks left in the
+ * zone may have been recorded, or null if there is no such job.
  */
 public class ZoneStatus(
     public val unaccountedMachines: Int?,
@@ -25,29 +24,29 @@
     public val oldestTerminalState: MonotonicInstant?,
 )
 
-/** A leader's offer to a lease delegate: it may answer with [term] for [duration] from when it asked. */
+/** A leader's offer to a lease delegate: it may answer with [term] for [duration] after it sent its request. */
 public data class DelegationOffer(val term: Term, val duration: Duration)
 
 /**
- * Decides whether and for how long a leader lets a lease delegate answer heartbeats, and keeps the latest instant that
- * it has granted for each zone. That is recorded before the lease delegate learns of it, and only ever grows within a
- * term. `docs/design/recovery.md` proves the rules.
+ * Decides whether and for how long a leader lets a lease delegate answer heartbeats, and records the latest end of any
+ * delegation granted for each zone. The end is recorded before the lease delegate learns of the grant, and never
+ * decreases within a term. The rules are proven in `docs/design/recovery.md`.
  */
 public class DelegationRules(private val timeouts: LeadershipTimeouts) {
-    private val grantedUntil = HashMap<Zone, MonotonicInstant>()
+    private val delegationEnds = HashMap<Zone, MonotonicInstant>()
 
     /**
-     * Forgets the delegations of earlier terms. The longest time of a takeover covers them: none outlasts the answer
-     * window of the leader that granted it.
+     * Discards the delegations of earlier terms. The maximum duration of a takeover covers them, since no delegation
+     * outlasts the answer window of the leader that granted it.
      */
-    public fun newTerm(): Unit = grantedUntil.clear()
+    public fun newTerm(): Unit = delegationEnds.clear()
 
-    /** No lease delegate of this term answers a heartbeat that leaves a worker of the zone after this instant. */
-    public fun delegationEnd(zone: Zone): MonotonicInstant = grantedUntil[zone] ?: MonotonicInstant.NEVER
+    /** No lease delegate of this term answers a heartbeat that a worker of [zone] sends after this instant. */
+    public fun delegationEnd(zone: Zone): MonotonicInstant = delegationEnds[zone] ?: MonotonicInstant.NEVER
 
     /**
-     * Makes a node of the zone lease delegate from [now] on. Null: it may not be one now, and what was granted before
-     * stays valid.
+     * Grants a node of [zone] a delegation that starts at [now]. Returns null if none may be granted now; grants made
+     * before remain valid.
      */
     public fun grantDelegation(
         leadership: LeadershipState.Leader,
@@ -55,28 +54,28 @@
         status: ZoneStatus,
         now: MonotonicInstant,
     ): DelegationOffer? {
-        val end = latestEnd(leadership, status)
+        val end = latestDelegationEnd(leadership, status)
         if (!mayGrant(leadership, status, now) || end <= now) return null
-        grantedUntil.merge(zone, end, ::maxOf)
+        delegationEnds.merge(zone, end, ::maxOf)
         return DelegationOffer(leadership.term, end - now)
     }
 
     /**
-     * A lease delegate's answers keep the tasks of terminal jobs alive that this leader hasn't stopped yet. So it must
-     * stop answering as early as a leader would that knows nothing since before the oldest of these terminal states.
+     * A lease delegate's answers keep alive tasks of terminal jobs that this leader has not stopped yet. So it must
+     * stop answering as early as a leader whose last freshness check preceded the oldest of these terminal states.
      */
-    private fun latestEnd(leadership: LeadershipState.Leader, status: ZoneStatus): MonotonicInstant {
+    private fun latestDelegationEnd(leadership: LeadershipState.Leader, status: ZoneStatus): MonotonicInstant {
         val terminalSince = status.oldestTerminalState ?: MonotonicInstant.FOREVER
-        return minOf(leadership.answerWindowEnd, terminalSince + timeouts.answerWindow) - MARGIN
+        return minOf(leadership.answerWindowEnd, terminalSince + timeouts.answerWindow) - DELEGATION_MARGIN
     }
 
     public companion object {
-        /** A lease delegate stops answering by so much before its leader would. */
-        internal val MARGIN: Duration = 1.seconds
+        /** How much earlier a lease delegate stops answering than its leader would. */
+        internal val DELEGATION_MARGIN: Duration = 1.seconds
 
         /**
-         * Whether the leader can rule out that a task is kept alive that should be stopped and that it doesn't know of,
-         * on a machine that has not reported it.
+         * Whether the leader can rule out that a delegation keeps alive a task that must be stopped and that the leader
+         * does not know of, because its machine has not reported it.
          */
         internal fun mayGrant(leadership: LeadershipState.Leader, status: ZoneStatus, now: MonotonicInstant): Boolean {
             val allTasksKnown = status.unaccountedMachines == 0 && status.workersWithUnknownTasks == 0
--- a/src/main/kotlin/org/elderhitch/delegates/LeaseDelegate.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/LeaseDelegate.kt
@@ -6,22 +6,22 @@
 import org.elderhitch.time.MonotonicInstant
 
 /**
- * Allows a follower to answer heartbeats of its own zone with its leader's term. [until] is counted from when the
- * follower asked, so it passes here before the leader counts on it.
+ * Allows a follower to answer heartbeats of its own zone with its leader's term. [until] is measured from when the
+ * follower sent its request, so the grant expires on the follower before the leader assumes that it has.
  */
 public data class DelegationGrant(val term: Term, val leader: NodeName, val until: MonotonicInstant)
 
 /**
- * The lease delegate's side of a delegation. While its node reaches neither the leader nor the state service it answers
- * the workers of its [zone] with the leader's term and without commands, like a leader past its command window. So a
- * zone that is cut off keeps its leases.
+ * The lease delegate's side of a delegation. While this node is cut off from the leader, it answers the workers of its
+ * [zone] with the leader's term and sends no commands except stops of terminal jobs' tasks, like a leader whose command
+ * window has ended. So the workers of a partitioned zone keep their leases.
  */
 public class LeaseDelegate(private val zone: Zone) {
-    /** Null: no leader has granted a delegation, or a newer term has revoked it. */
+    /** The current grant, or null if no leader has granted a delegation or a newer term has revoked it. */
     public var grant: DelegationGrant? = null
         private set
 
-    /** Takes the grant of the highest term, and of those the one that lasts longest: any other was delayed. */
+    /** Keeps the grant of the highest term and, within that term, the longest one: any other grant was delayed. */
     public fun accept(offered: DelegationGrant) {
         val current = grant
         if (current == null || supersedes(offered, current)) grant = offered
@@ -30,16 +30,16 @@
     private fun supersedes(offered: DelegationGrant, current: DelegationGrant): Boolean =
         offered.term > current.term || offered.term == current.term && offered.until > current.until
 
-    /** A newer term revokes the grant. */
+    /** Revokes the grant if [term] is higher than its own. */
     public fun observeTerm(term: Term) {
         if (grant.let { it != null && term > it.term }) grant = null
     }
 
     /**
-     * The term to answer a heartbeat with, of a worker in [workerZone] that has seen [knownTerm]. Null: this node may
-     * not answer it.
+     * Returns the term with which to answer a heartbeat of a worker in [workerZone] that has seen [knownTerm], or null
+     * if this node may not answer it.
      *
-     * @param isCutOffFrom whether this node reaches neither the given leader nor the state service.
+     * @param isCutOffFrom whether a network partition separates this node from the given leader.
      */
     public fun responseTerm(
         workerZone: Zone,
--- a/src/main/kotlin/org/elderhitch/delegates/PreviousLeaders.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/PreviousLeaderTracker.kt
@@ -8,38 +8,37 @@
 import org.elderhitch.time.MonotonicInstant
 
 /**
- * Tells when no controller answers workers in the name of an earlier term any more: neither a previous leader past its
- * command window nor a lease delegate of one. Each other controller has to confirm that it knows the new term. To hear
- * from the previous leader alone is not enough: the leader *before* it, cut off with its zone, could still be answering
- * while two leaders after it came and went.
+ * Determines when no controller answers workers with an earlier term any more, neither as a previous leader whose
+ * command window has ended nor as a lease delegate of one. Each other controller has to confirm that it knows the new
+ * term. A confirmation of the previous leader alone is not sufficient: the leader *before* it, partitioned together
+ * with its zone, could still be answering after two later leaders have come and gone.
  */
-public class PreviousLeaders(private val peers: Set<NodeName>) {
+public class PreviousLeaderTracker(private val peers: Set<NodeName>) {
     private val knownTerms = HashMap<NodeName, Term>()
     private val incarnations = HashMap<NodeName, ObservedIncarnation>()
 
-    /** [askedAt]: when the request was sent that this incarnation answered. */
-    private class ObservedIncarnation(val incarnation: Incarnation, val askedAt: MonotonicInstant)
+    /** [requestSentAt]: when the request was sent to which this incarnation responded. */
+    private class ObservedIncarnation(val incarnation: Incarnation, val requestSentAt: MonotonicInstant)
 
     /**
-     * A controller has told its incarnation and the highest term that it knows. An incarnation never forgets a term,
-     * and a new one answers no worker before it knows of a term.
+     * Records the incarnation of a controller and the highest term that it knows, as reported by it. An incarnation
+     * never forgets a term, and a new one answers no worker before it has learned of a term.
      *
-     * @param askedAt when the request was sent that it answered. Null: it sent this unasked, and what it tells of its
-     * incarnation may have been delayed for minutes.
+     * @param requestSentAt when the request was sent to which the controller responded. Null if it sent the report on
+     * its own: such a report may have been delayed for minutes, so it does not update the known incarnation.
      */
-    public fun observe(node: NodeName, incarnation: Incarnation, term: Term, askedAt: MonotonicInstant?) {
+    public fun observe(node: NodeName, incarnation: Incarnation, term: Term, requestSentAt: MonotonicInstant?) {
         if (node !in peers) return
-        if (askedAt != null && incarnations[node].let { it == null || it.askedAt < askedAt }) {
-            incarnations[node] = ObservedIncarnation(incarnation, askedAt)
+        if (requestSentAt != null && incarnations[node].let { it == null || it.requestSentAt < requestSentAt }) {
+            incarnations[node] = ObservedIncarnation(incarnation, requestSentAt)
         }
         knownTerms.merge(node, term, ::maxOf)
     }
 
     /**
-     * Whether the incarnation that led before [leadership] has ended: then whoever reported to it has noticed, and
-     * tries
-     * the next controller. Lease delegates may still be answering. A previous leader that is no other controller was
-     * this node itself.
+     * Whether the incarnation that led before [leadership] has ended. Its workers have then noticed and try the next
+     * controller; lease delegates may still be answering. If the previous leader is not among the peers, it was an
+     * earlier leadership of this node itself.
      */
     public fun hasPreviousLeaderEnded(leadership: LeadershipState.Leader): Boolean {
         val previousLeader = leadership.previousLeader ?: return true
@@ -47,7 +46,7 @@
     }
 
     /** Whether each other controller knows the term of [leadership], or is the previous leader and has restarted. */
-    public fun haveAllStopped(leadership: LeadershipState.Leader): Boolean =
+    public fun havePreviousLeadersStopped(leadership: LeadershipState.Leader): Boolean =
         peers.all { knowsTerm(it, leadership.term) || isEndedPreviousLeader(it, leadership) }
 
     private fun knowsTerm(peer: NodeName, term: Term): Boolean = knownTerms[peer].let { it != null && it >= term }
@@ -58,12 +57,12 @@
     }
 
     /**
-     * Another incarnation of the previous leader's node answered a request that was sent after the claim. One that was
-     * observed *before* may be older than the previous leader: this node may have been cut off from that node while it
-     * restarted and led.
+     * Whether another incarnation of the previous leader's node responded to a request sent after the claim. An
+     * incarnation observed *before* the claim may be older than the previous leader: this node may have been
+     * partitioned from that node while it restarted and led.
      */
     private fun hasEnded(previousLeader: PreviousLeader, leadership: LeadershipState.Leader): Boolean {
         val observed = incarnations[previousLeader.node] ?: return false
-        return observed.incarnation != previousLeader.incarnation && observed.askedAt >= leadership.claimedAt
+        return observed.incarnation != previousLeader.incarnation && observed.requestSentAt >= leadership.claimedAt
     }
 }
--- a/src/main/kotlin/org/elderhitch/delegates/ZoneDelegates.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/ZoneDelegates.kt
@@ -19,10 +19,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The lease delegates as the scheduler uses them: a leader grants delegations to the nodes of its zones, a follower may
- * be lease delegate of its own zone.
+ * The scheduler's interface to lease delegates. As the leader, this node grants delegations to the nodes of each zone;
+ * as a follower, it may be a lease delegate of its own zone.
  *
- * @param zoneOf the zone of each node, as the settings name it.
+ * @param zoneOf the zone of each node, from the settings.
  */
 internal class ZoneDelegates(
     private val self: NodeName,
@@ -40,44 +40,44 @@
     private val ownZone = zoneOf[self] ?: Zone("")
     private val delegate = LeaseDelegate(ownZone)
 
-    /** Whether the last heartbeat of this node's own zone was answered as lease delegate; for the log alone. */
-    private var answering = false
+    /** Whether the last heartbeat from this node's own zone was answered as lease delegate. Used only for logging. */
+    private var isActive = false
 
-    /** Nodes that asked and whose zone the settings don't name; each is logged once. */
+    /** Nodes that asked for a delegation and have no zone in the settings; each is logged once. */
     private val nodesWithoutZone = HashSet<NodeName>()
 
-    /** When each node last asked for a delegation: a node that asks is not cut off, and answers no worker. */
-    private val lastAskedAt = HashMap<NodeName, MonotonicInstant>()
-    private val possibleRenewals = HashMap<Zone, MonotonicInstant>()
+    /** When each node last asked for a delegation. A node that asks is not cut off, and so answers no worker. */
+    private val lastRequestAt = HashMap<NodeName, MonotonicInstant>()
+    private val latestPossibleRenewals = HashMap<Zone, MonotonicInstant>()
 
     fun newTerm() {
         rules.newTerm()
-        lastAskedAt.clear()
-        possibleRenewals.clear()
+        lastRequestAt.clear()
+        latestPossibleRenewals.clear()
     }
 
     /**
-     * The latest instant at which a lease delegate that this leader can't reach may have answered workers of the zone;
-     * [MonotonicInstant.NEVER]: none has been out of reach.
+     * The latest instant at which a lease delegate unreachable for this leader may have answered workers of the zone,
+     * or [MonotonicInstant.NEVER] if none has been unreachable.
      */
-    fun latestPossibleRenewal(zone: Zone): MonotonicInstant = possibleRenewals[zone] ?: MonotonicInstant.NEVER
+    fun latestPossibleRenewal(zone: Zone): MonotonicInstant = latestPossibleRenewals[zone] ?: MonotonicInstant.NEVER
 
-    /** Updates [latestPossibleRenewal]; to be called once a tick while this node leads. */
+    /** Updates [latestPossibleRenewal]. Must be called once per tick while this node leads. */
     fun recordPossibleRenewals(now: MonotonicInstant) {
         for ((node, zone) in zoneOf) {
-            if (node == self || now - (lastAskedAt[node] ?: MonotonicInstant.NEVER) < OUT_OF_REACH_AFTER) continue
+            if (node == self || now - (lastRequestAt[node] ?: MonotonicInstant.NEVER) < UNREACHABLE_AFTER) continue
             val possibleRenewal = minOf(now, rules.delegationEnd(zone))
-            if (possibleRenewal > latestPossibleRenewal(zone)) possibleRenewals[zone] = possibleRenewal
+            if (possibleRenewal > latestPossibleRenewal(zone)) latestPossibleRenewals[zone] = possibleRenewal
         }
     }
 
-    /** No lease delegate of this term answers a heartbeat that leaves a worker of the zone after this instant. */
+    /** No lease delegate of this term answers a heartbeat that a worker of [zone] sends after this instant. */
     fun delegationEnd(zone: Zone): MonotonicInstant = rules.delegationEnd(zone)
 
     /**
-     * Answers a node that asks this leader for a delegation; null: none is granted now.
+     * Handles a node's request to this leader for a delegation. Returns null if none is granted now.
      *
-     * @param tableComplete whether the leader's table holds all that was recorded before its claim.
+     * @param tableComplete whether the leader's table holds everything that was recorded before its claim.
      */
     fun grantDelegation(
         leadership: LeadershipState.Leader,
@@ -87,10 +87,10 @@
     ): DelegationOffer? {
         val zone = zoneOf[node]
         if (zone == null) {
-            if (nodesWithoutZone.add(node)) log.info("lease delegate refused node={} reason=\"of no zone\"", node)
+            if (nodesWithoutZone.add(node)) log.info("lease delegate refused node={} reason=\"zone unknown\"", node)
             return null
         }
-        lastAskedAt[node] = now
+        lastRequestAt[node] = now
         return if (tableComplete) rules.grantDelegation(leadership, zone, statusOf(zone), now) else null
     }
 
@@ -99,50 +99,53 @@
             job.isTerminal && job.allPlacements().any { it.zone == zone }
         }
         val workers = table.workers.values.filter { it.zone == zone }
-        val unaccounted = takeover.unaccountedIn(zone, machineRegistry.known)?.let { machines ->
+        val unaccountedMachines = takeover.unaccountedIn(zone, machineRegistry.known)?.let { machines ->
             machines + workers.count { !it.reconciled }
         }
         return ZoneStatus(
-            unaccounted,
+            unaccountedMachines,
             workers.count { it.unknownTaskJobs.isNotEmpty() },
             terminalJobs.minOfOrNull { it.knownOpenAt },
         )
     }
 
-    /** A leader has granted this node a delegation. */
+    /** Accepts a delegation that a leader has granted to this node. */
     fun acceptGrant(grant: DelegationGrant) = delegate.accept(grant)
 
     fun observeTerm(term: Term) = delegate.observeTerm(term)
 
     /**
-     * Makes the check whether this node is cut off start before the first heartbeat needs its result: a worker that is
-     * refused once comes back only after half a lease.
+     * Starts the check for a partition before the first heartbeat needs its result, because a worker whose heartbeat is
+     * refused returns only after half a lease.
      */
     fun checkReachability(now: MonotonicInstant) {
         delegate.grant?.takeIf { now < it.until }?.let { ports.isCutOffFrom(it.leader) }
     }
 
-    /** What this node, a follower, answers to a heartbeat as lease delegate; null: it may not answer it. */
+    /** Answers a heartbeat as lease delegate. Returns null if this node, a follower, may not answer it. */
     fun respond(heartbeat: Heartbeat, now: MonotonicInstant): HeartbeatResponse? {
         val term = delegate.responseTerm(heartbeat.zone, heartbeat.term, ports::isCutOffFrom, now)
-        if (heartbeat.zone == ownZone && answering != (term != null)) {
-            answering = term != null
-            logAnswering(term, now)
+        if (heartbeat.zone == ownZone && isActive != (term != null)) {
+            isActive = term != null
+            logActivityChange(term, now)
         }
-        return term?.let { HeartbeatResponse.Accepted(it, stopsOfTerminalJobs(heartbeat)) }
+        return term?.let { HeartbeatResponse.Accepted(it, stopCommandsForTerminalJobs(heartbeat)) }
     }
 
-    private fun logAnswering(term: Term?, now: MonotonicInstant) {
+    private fun logActivityChange(term: Term?, now: MonotonicInstant) {
         if (term == null) {
             log.info("lease delegate inactive zone={}", ownZone)
             return
         }
-        val left = delegate.grant?.let { it.until - now }
-        log.info("lease delegate active zone={} term={} left_ms={}", ownZone, term, left?.inWholeMilliseconds)
+        val remaining = delegate.grant?.let { it.until - now }
+        log.info("lease delegate active zone={} term={} left_ms={}", ownZone, term, remaining?.inWholeMilliseconds)
     }
 
-    /** Of a job that isn't known here nothing is certain; a job that was seen in a terminal state stays in it. */
-    private fun stopsOfTerminalJobs(heartbeat: Heartbeat): List<Command> {
+    /**
+     * Stops the tasks of jobs that this node has seen in a terminal state, which is final. A job that is unknown here
+     * may still be open.
+     */
+    private fun stopCommandsForTerminalJobs(heartbeat: Heartbeat): List<Command> {
         val tasks = heartbeat.tasks.filter { report ->
             report.phase != TaskPhase.EXITED && table.isTerminal(report.task.job, complete = false) == true
         }
@@ -150,7 +153,7 @@
     }
 
     private companion object {
-        /** A node that hasn't asked for so long may be cut off; nodes ask about once a second. */
-        val OUT_OF_REACH_AFTER = 3.seconds
+        /** A node that has not asked for this long may be cut off; nodes ask about once a second. */
+        val UNREACHABLE_AFTER = 3.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/time/MonotonicInstant.kt
+++ b/src/main/kotlin/org/elderhitch/time/MonotonicInstant.kt
@@ -3,7 +3,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.nanoseconds
 
-/** A point on this process's steady clock. Instants of two processes can't be compared. */
+/** An instant on the monotonic clock of this process. Instants of different processes are not comparable. */
 @JvmInline
 public value class MonotonicInstant(public val nanos: Long) : Comparable<MonotonicInstant> {
     public operator fun plus(duration: Duration): MonotonicInstant =
@@ -12,16 +12,16 @@
     public operator fun minus(duration: Duration): MonotonicInstant =
         MonotonicInstant(nanos - duration.inWholeNanoseconds)
 
-    /** How long [other] was before this instant; negative if it is after. */
+    /** The time from [other] to this instant; negative if [other] is later. */
     public operator fun minus(other: MonotonicInstant): Duration = (nanos - other.nanos).nanoseconds
 
     override fun compareTo(other: MonotonicInstant): Int = nanos.compareTo(other.nanos)
 
     public companion object {
-        /** Long before anything that happens in this process; durations can be added and taken off safely. */
+        /** Far before any event in this process. Adding or subtracting a duration does not overflow. */
         public val NEVER: MonotonicInstant = MonotonicInstant(Long.MIN_VALUE / 4)
 
-        /** Long after anything that happens in this process; durations can be added and taken off safely. */
+        /** Far after any event in this process. Adding or subtracting a duration does not overflow. */
         public val FOREVER: MonotonicInstant = MonotonicInstant(Long.MAX_VALUE / 4)
     }
 }
--- a/src/main/kotlin/org/elderhitch/time/WallClock.kt
+++ b/src/main/kotlin/org/elderhitch/time/WallClock.kt
@@ -5,8 +5,8 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The time of day in milliseconds since 1970 (UTC). It may be wrong by as much as the settings state
- * (`clock_error_ms`), and so never decides which of two events came first.
+ * The wall clock time in milliseconds since the Unix epoch (1970, UTC). It may be wrong by up to the `clock_error_ms`
+ * of the settings, so it is never used to decide the order of two events.
  */
 @JvmInline
 public value class WallTime(public val ms: Long) : Comparable<WallTime> {
@@ -14,7 +14,7 @@
 
     public operator fun minus(duration: Duration): WallTime = WallTime(ms - duration.inWholeMilliseconds)
 
-    /** How long [other] was before this time; negative if it is after. */
+    /** The time from [other] to this time; negative if [other] is later. */
     public operator fun minus(other: WallTime): Duration = (ms - other.ms).milliseconds
 
     override fun compareTo(other: WallTime): Int = ms.compareTo(other.ms)
@@ -23,7 +23,7 @@
     override fun toString(): String = Instant.ofEpochMilli(ms).toString()
 }
 
-/** The source of the time of day, for records that people read; tests inject a virtual one. */
+/** A source of the wall clock time, used for records that people read; tests inject a virtual one. */
 public fun interface WallClock {
     public fun now(): WallTime
 }
--- a/src/test/kotlin/org/elderhitch/delegates/LeaseDelegatesTest.kt
+++ b/src/test/kotlin/org/elderhitch/delegates/LeaseDelegationTest.kt
@@ -23,8 +23,8 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The rules of delegations on both sides, and when earlier terms count as over. */
-class LeaseDelegatesTest {
+/** Tests the rules of delegations on the leader and on the lease delegate, and when earlier terms count as ended. */
+class LeaseDelegationTest {
     private val now = MonotonicInstant(0) + 1000.seconds
     private val zone = Zone("b")
     private val settledZone = ZoneStatus(0, 0, null)
@@ -44,11 +44,11 @@
         )
 
     @Test
-    fun `a leader grants no delegation when a task may need to be stopped or its command window is over`() {
+    fun `a leader grants no delegation when a task may need to be stopped or its command window has ended`() {
         val rules = DelegationRules(timeouts)
         assertNull(
             rules.grantDelegation(leader(now), zone, ZoneStatus(null, 0, null), now),
-            "it isn't known which machines there are",
+            "the inventory of machines is not loaded",
         )
         assertNull(rules.grantDelegation(leader(now), zone, ZoneStatus(1, 0, null), now))
         assertNull(rules.grantDelegation(leader(now), zone, ZoneStatus(0, 1, null), now))
@@ -60,8 +60,8 @@
     }
 
     /**
-     * A terminal state may be read long after it was confirmed to the user, as after an outage: when it was *read* is
-     * no bound on how long a lease delegate may keep its tasks.
+     * A terminal state may be read long after it was confirmed to the user, for example after an outage. The time when
+     * it was *read* therefore does not limit how long a lease delegate may keep the job's tasks alive.
      */
     @Test
     fun `a delegation ends earlier when a terminal job still has tasks in the zone`() {
@@ -77,7 +77,7 @@
     }
 
     @Test
-    fun `a granted delegation stays recorded when a later one is shorter`() {
+    fun `the recorded end of a delegation does not decrease when a later grant is shorter`() {
         val rules = DelegationRules(timeouts)
         assertNotNull(rules.grantDelegation(leader(now), zone, settledZone, now))
         rules.grantDelegation(leader(now - 2.seconds), zone, settledZone, now + 1.seconds)
@@ -85,20 +85,20 @@
     }
 
     /**
-     * Leader and lease delegate on drifting clocks of their own, with grants that are delayed at random: whatever
-     * heartbeat the lease delegate answers left its worker before the instant that the leader has recorded, and that is
-     * before the leader's own answer window ends.
+     * Leader and lease delegate have drifting clocks, and grants are delayed at random. Any heartbeat that the lease
+     * delegate answers must have left its worker before the delegation end that the leader has recorded, which in turn
+     * precedes the end of the leader's own answer window.
      */
     @Test
-    fun `a lease delegate answers nobody when its leader's last recorded grant is over`() {
-        val answers = (1..500).sumOf(::answersOfRandomDelegation)
+    fun `a lease delegate answers no heartbeat after the delegation end that its leader has recorded`() {
+        val answers = (1..500).sumOf(::countAnswersOfRandomDelegation)
         assertTrue(answers > 1000, "$answers")
     }
 
     private class DelayedGrant(val arrivesAt: Duration, val grant: DelegationGrant)
 
-    /** How many heartbeats the lease delegate answered; asserts of each that the leader counts on it. */
-    private fun answersOfRandomDelegation(seed: Int): Int {
+    /** Counts the heartbeats that the lease delegate answers, and asserts that the leader's record allows each. */
+    private fun countAnswersOfRandomDelegation(seed: Int): Int {
         val random = Random(seed)
         val leaderDrift = (random.nextDouble() * 2 - 1) * CLOCK_DRIFT
         val delegateDrift = (random.nextDouble() * 2 - 1) * CLOCK_DRIFT
@@ -106,25 +106,25 @@
         fun delegateClock(time: Duration) = now + 5.seconds + time * (1 + delegateDrift)
         val rules = DelegationRules(timeouts)
         val delegate = LeaseDelegate(zone)
-        val arriving = ArrayList<DelayedGrant>()
+        val grantsInTransit = ArrayList<DelayedGrant>()
         var answers = 0
         var time = Duration.ZERO
         var renewedAt = Duration.ZERO
         while (time < 120.seconds) {
             time += random.nextInt(50, 3_000).milliseconds
             if (random.nextDouble() < 0.6) renewedAt = time
-            val askedAt = time
+            val requestSentAt = time
             val receivedAt = time + random.nextInt(1, 900).milliseconds
             val leader = leader(leaderClock(renewedAt))
             rules.grantDelegation(leader, zone, settledZone, leaderClock(receivedAt))?.let { offer ->
                 assertTrue(rules.delegationEnd(zone) < leader.answerWindowEnd)
                 val delay =
                     if (random.nextDouble() < 0.5) 10.milliseconds else random.nextInt(1, 40_000).milliseconds
-                val until = delegateClock(askedAt) + offer.duration.shortened()
-                arriving.add(DelayedGrant(receivedAt + delay, DelegationGrant(offer.term, peer, until)))
+                val until = delegateClock(requestSentAt) + offer.duration.shortened()
+                grantsInTransit.add(DelayedGrant(receivedAt + delay, DelegationGrant(offer.term, peer, until)))
             }
-            arriving.filter { it.arrivesAt <= time }.forEach { delegate.accept(it.grant) }
-            arriving.removeAll { it.arrivesAt <= time }
+            grantsInTransit.filter { it.arrivesAt <= time }.forEach { delegate.accept(it.grant) }
+            grantsInTransit.removeAll { it.arrivesAt <= time }
             if (delegate.responseTerm(zone, Term(1), { true }, delegateClock(time)) == null) continue
             answers++
             assertTrue(
@@ -153,48 +153,50 @@
     }
 
     /**
-     * A leader (n1) is cut off with its zone and keeps answering it; the next leader (n2) crashes; the third (n0) hears
-     * of n2's new incarnation. Leases counted from then on would be too short for those that n1 still renews.
+     * A leader (n1) is partitioned together with its zone and keeps answering its workers. The next leader (n2)
+     * crashes, and the third (n0) learns of n2's new incarnation. If n0 measured the leases of earlier terms from then
+     * on, it would assume them expired while n1 still renews some.
      */
     @Test
-    fun `earlier terms have stopped when every other controller knows the new one`() {
+    fun `previous leaders have stopped when every other controller knows the new term`() {
         val previousLeader = PreviousLeader(NodeName("n2"), Incarnation("old"))
         val leadership = leader(now, term = 3, previousLeader)
-        val previousLeaders = PreviousLeaders(setOf(peer, NodeName("n2")))
-        previousLeaders.observe(NodeName("n2"), Incarnation("new"), Term(1), now)
-        assertFalse(previousLeaders.haveAllStopped(leadership), "n1 has not been heard of")
-        previousLeaders.observe(peer, Incarnation("x"), Term(2), now)
-        assertFalse(previousLeaders.haveAllStopped(leadership))
-        previousLeaders.observe(NodeName("n9"), Incarnation("x"), Term(3), now)
-        previousLeaders.observe(peer, Incarnation("x"), Term(3), now)
-        assertTrue(previousLeaders.haveAllStopped(leadership))
-        previousLeaders.observe(peer, Incarnation("x"), Term(2), now)
-        assertTrue(previousLeaders.haveAllStopped(leadership), "a delayed message takes nothing back")
-        assertTrue(PreviousLeaders(emptySet()).haveAllStopped(leadership))
-        val restarted = PreviousLeaders(setOf(NodeName("n2")))
-        restarted.observe(NodeName("n2"), Incarnation("old"), Term(2), now)
-        assertFalse(restarted.haveAllStopped(leadership))
+        val tracker = PreviousLeaderTracker(setOf(peer, NodeName("n2")))
+        tracker.observe(NodeName("n2"), Incarnation("new"), Term(1), now)
+        assertFalse(tracker.havePreviousLeadersStopped(leadership), "n1 has not reported")
+        tracker.observe(peer, Incarnation("x"), Term(2), now)
+        assertFalse(tracker.havePreviousLeadersStopped(leadership))
+        tracker.observe(NodeName("n9"), Incarnation("x"), Term(3), now)
+        tracker.observe(peer, Incarnation("x"), Term(3), now)
+        assertTrue(tracker.havePreviousLeadersStopped(leadership))
+        tracker.observe(peer, Incarnation("x"), Term(2), now)
+        assertTrue(tracker.havePreviousLeadersStopped(leadership), "a delayed message does not lower the known term")
+        assertTrue(PreviousLeaderTracker(emptySet()).havePreviousLeadersStopped(leadership))
+        val singlePeerTracker = PreviousLeaderTracker(setOf(NodeName("n2")))
+        singlePeerTracker.observe(NodeName("n2"), Incarnation("old"), Term(2), now)
+        assertFalse(singlePeerTracker.havePreviousLeadersStopped(leadership))
     }
 
     /**
-     * n2 was last heard of in its incarnation before the one that led, as it was cut off from this node since, or that
-     * message was delayed: neither proves that the leading one has ended, and n2 may still be renewing leases.
+     * The last report of n2 is from the incarnation before the one that led, because n2 has been partitioned from this
+     * node since, or because the message was delayed. Neither proves that the incarnation that led has ended, so n2 may
+     * still be renewing leases.
      */
     @Test
-    fun `the previous leader counts as ended only when a new incarnation answers a request sent after the claim`() {
+    fun `the previous leader counts as ended only when a new incarnation responds to a request sent after the claim`() {
         val previousLeader = PreviousLeader(NodeName("n2"), Incarnation("led"))
         val leadership = leader(now, term = 3, previousLeader)
-        val previousLeaders = PreviousLeaders(setOf(NodeName("n2")))
-        fun endedOrStopped() =
-            previousLeaders.hasPreviousLeaderEnded(leadership) || previousLeaders.haveAllStopped(leadership)
-        previousLeaders.observe(NodeName("n2"), Incarnation("before"), Term(1), now - 30.seconds)
-        assertFalse(endedOrStopped(), "observed before the claim")
-        previousLeaders.observe(NodeName("n2"), Incarnation("before"), Term(1), askedAt = null)
-        assertFalse(endedOrStopped(), "delayed")
-        previousLeaders.observe(NodeName("n2"), Incarnation("after"), Term(1), now + 1.seconds)
-        assertTrue(previousLeaders.hasPreviousLeaderEnded(leadership))
-        assertTrue(previousLeaders.haveAllStopped(leadership))
-        previousLeaders.observe(NodeName("n2"), Incarnation("led"), Term(2), now - 1.seconds)
-        assertTrue(previousLeaders.haveAllStopped(leadership), "an older answer takes nothing back")
+        val tracker = PreviousLeaderTracker(setOf(NodeName("n2")))
+        fun isEndedOrStopped() =
+            tracker.hasPreviousLeaderEnded(leadership) || tracker.havePreviousLeadersStopped(leadership)
+        tracker.observe(NodeName("n2"), Incarnation("before"), Term(1), now - 30.seconds)
+        assertFalse(isEndedOrStopped(), "observed before the claim")
+        tracker.observe(NodeName("n2"), Incarnation("before"), Term(1), requestSentAt = null)
+        assertFalse(isEndedOrStopped(), "delayed")
+        tracker.observe(NodeName("n2"), Incarnation("after"), Term(1), now + 1.seconds)
+        assertTrue(tracker.hasPreviousLeaderEnded(leadership))
+        assertTrue(tracker.havePreviousLeadersStopped(leadership))
+        tracker.observe(NodeName("n2"), Incarnation("led"), Term(2), now - 1.seconds)
+        assertTrue(tracker.havePreviousLeadersStopped(leadership), "an older response does not replace a newer one")
     }
 }
