--- a/src/main/kotlin/org/elderhitch/jobs/Attempt.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/Attempt.kt
@@ -1,6 +1,6 @@
 package org.elderhitch.jobs
 
-/** The number of an execution attempt: distinguishes one start of a task from another. */
+/** The number of an execution attempt, which distinguishes the starts of the same task. */
 @JvmInline
 public value class Attempt(public val number: Long) {
     override fun toString(): String = number.toString()
--- a/src/main/kotlin/org/elderhitch/jobs/CompletedTasks.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/CompletedTasks.kt
@@ -5,23 +5,23 @@
 
 /**
  * The set of completed tasks of a job with [tasks] tasks. The state service stores it in blocks of [BLOCK] tasks, one
- * value a block. A value is either ranges relative to the block ("0-5,7") or, where that is shorter, a base64 bitmap
- * behind a marker; it has at most [MAX_VALUE_CHARS] characters.
+ * value per block. A value holds either index ranges relative to the start of the block ("0-5,7") or, if that is
+ * shorter, a marker followed by a base64 bitmap; it has at most [MAX_VALUE_CHARS] characters.
  */
 public class CompletedTasks(public val tasks: Int) {
     private val bits = BitSet(tasks)
 
     public val count: Int get() = bits.cardinality()
 
-    /** Whether the whole job is complete. */
+    /** Whether all tasks of the job are completed. */
     public val all: Boolean get() = count == tasks
 
     public operator fun contains(index: Int): Boolean = bits[index]
 
-    /** The first task from [from] on that isn't completed; [tasks] or more if there is none. */
+    /** The first task at or after [from] that is not completed; [tasks] or more if there is none. */
     public fun firstMissing(from: Int): Int = bits.nextClearBit(from)
 
-    /** The tasks of this set that [other] lacks, in order. */
+    /** The tasks of this set that [other] does not contain, in ascending order. */
     public fun missingIn(other: CompletedTasks): List<Int> {
         val difference = bits.clone() as BitSet
         difference.andNot(other.bits)
@@ -29,7 +29,7 @@
     }
 
     public fun add(index: Int) {
-        require(index in 0 until tasks) { "task $index of $tasks" }
+        require(index in 0 until tasks) { "task index $index is not within 0 until $tasks" }
         bits.set(index)
     }
 
@@ -41,12 +41,12 @@
 
     /** Encodes one block as its stored value. */
     public fun pack(block: Int): String {
-        val ranges = encodeRanges(firstOf(block), endOf(block))
-        val bitmap = encodeBitmap(firstOf(block), endOf(block))
+        val ranges = encodeRanges(firstTaskOf(block), endTaskOf(block))
+        val bitmap = encodeBitmap(firstTaskOf(block), endTaskOf(block))
         return if (ranges.length <= bitmap.length) ranges else bitmap
     }
 
-    /** The ranges of one block; cut short once they are longer than any bitmap. */
+    /** Encodes the tasks from [from] until [until] as ranges; stops once they are longer than any bitmap. */
     private fun encodeRanges(from: Int, until: Int): String {
         val ranges = StringBuilder()
         var start = bits.nextSetBit(from)
@@ -63,33 +63,33 @@
     private fun encodeBitmap(from: Int, until: Int): String =
         BITMAP_MARKER + Base64.getEncoder().encodeToString(bits.get(from, until).toByteArray())
 
-    /** Adds the tasks of one block's stored value; false, and nothing is added, if the value is malformed. */
+    /** Adds the tasks in the stored value of one block. If the value is malformed, returns false and adds nothing. */
     public fun unpack(block: Int, value: String): Boolean {
-        val from = firstOf(block)
+        val from = firstTaskOf(block)
         if (from < 0 || from >= tasks) return false
         val decoded = if (value.startsWith(BITMAP_MARKER)) decodeBitmap(value) else decodeRanges(value)
-        if (decoded == null || decoded.length() > endOf(block) - from) return false
+        if (decoded == null || decoded.length() > endTaskOf(block) - from) return false
         decoded.stream().forEach { bits.set(from + it) }
         return true
     }
 
-    private fun firstOf(block: Int): Int = block * BLOCK
+    private fun firstTaskOf(block: Int): Int = block * BLOCK
 
-    private fun endOf(block: Int): Int = minOf(tasks, firstOf(block) + BLOCK)
+    private fun endTaskOf(block: Int): Int = minOf(tasks, firstTaskOf(block) + BLOCK)
 
     public companion object {
-        /** How many tasks one stored value covers. */
+        /** The number of tasks that one stored value covers. */
         public const val BLOCK: Int = 4096
         private const val BITMAP_MARKER = "b"
         private const val BITS_PER_BYTE = 8
         private const val BASE64_BYTES_IN = 3
         private const val BASE64_CHARS_OUT = 4
 
-        /** The longest value: the marker and the base64 of one bit a task. */
+        /** The maximum length of a value: the marker and the base64 encoding of one bit per task. */
         public const val MAX_VALUE_CHARS: Int =
             1 + (BLOCK / BITS_PER_BYTE + BASE64_BYTES_IN - 1) / BASE64_BYTES_IN * BASE64_CHARS_OUT
 
-        /** The block that holds the task. */
+        /** The number of the block that contains the task. */
         public fun blockOf(index: Int): Int = index / BLOCK
 
         private fun decodeBitmap(value: String): BitSet? = try {
--- a/src/main/kotlin/org/elderhitch/jobs/CompletionBatch.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/CompletionBatch.kt
@@ -8,21 +8,21 @@
     /** The version of the job's record. */
     public val version: Revision,
     completedTasks: CompletedTasks,
-    /** The tasks that the state service lacks. */
+    /** The completed tasks that the state service does not have yet. */
     public val newlyCompleted: List<Int>,
-    /** The usage account of a job that is complete. */
+    /** The usage account, if all tasks of the job are completed. */
     public val account: JobAccount? = null,
-    /** Whether a hold of the job is stored, which its completion drops. */
+    /** Whether a hold of the job is stored, which must be dropped when the job completes. */
     public val hasStoredHold: Boolean = false,
-    /** The versions of the blocks that are recorded already, by block number. */
+    /** The stored versions of the blocks that have been recorded before, by block number. */
     public val blockVersions: Map<Int, Revision> = emptyMap(),
-    /** Whether a [JobProvider] records the job, instead of [CompletionWriter]. */
+    /** Whether a [JobProvider] records the job's completion, rather than [CompletionWriter]. */
     public val providerOwned: Boolean = false,
 ) {
     /**
-     * The completed tasks when the batch was made: a task that completes before the batch is recorded belongs to the
-     * next one. With the live set such a last task ended its job without an account
-     * (`docs/incidents/endings-without-account.md`).
+     * A copy of the completed tasks, taken when the batch was created: a task that completes before the batch is
+     * recorded belongs to the next batch. If the batch shared the live set, the last task of a job could complete in
+     * between, and the job's terminal record would be written without its account.
      */
     public val completedTasks: CompletedTasks = completedTasks.copy()
 }
--- a/src/main/kotlin/org/elderhitch/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/CompletionWriter.kt
@@ -10,28 +10,29 @@
 import org.elderhitch.store.StateClient
 import org.elderhitch.store.Write
 
-/** The writes that record completed [tasks] of one job, and the conditions on which they depend. */
+/** The writes that record the completed [tasks] of one job, with their preconditions. */
 internal class CompletionWrite(
     val job: JobId,
     val tasks: List<Int>,
     val conditions: List<Condition>,
     val writes: List<Write>,
-    /** Written along if the job is complete. */
+    /** The terminal record among [writes]; null unless the job is complete. */
     val terminalRecord: TerminalRecord?,
 )
 
 /**
- * Writes what a leader decides about jobs: completed tasks, packed and once per scheduling cycle, the terminal records
- * of complete jobs, and holds. A job is complete once its terminal record is created: a cancellation would create the
- * same key, so exactly one of the two succeeds. Each write depends on the leader's term.
+ * Writes a leader's decisions about jobs to the state service: completed tasks, packed into blocks and once per
+ * scheduling cycle, the terminal records of complete jobs, and holds. A job is complete once its terminal record is
+ * created. A cancellation creates the same key, so exactly one of the two succeeds. Each write is conditional on the
+ * leader's term.
  */
 public class CompletionWriter(
     private val client: StateClient,
     private val jobRegistry: JobRegistry,
-    /** The most writes of a transaction. */
+    /** The maximum number of writes in one transaction. */
     private val maxWrites: Int,
 ) {
-    /** Records the batches and returns the tasks recorded, by job; null: another term has begun. */
+    /** Records the batches and returns the recorded tasks by job; null if another term has begun. */
     public suspend fun record(
         leadership: LeadershipState.Leader,
         batches: List<CompletionBatch>,
@@ -41,11 +42,11 @@
         while (queue.isNotEmpty()) {
             val group = nextGroup(queue)
             when (val outcome = commit(leadership, group)) {
-                is CommitOutcome.Committed -> group.forEach { committed(it, recorded) }
+                is CommitOutcome.Committed -> group.forEach { onCommitted(it, recorded) }
 
                 is CommitOutcome.Conflict -> {
                     if (Keys.TERM in outcome.failed) return null
-                    recordSingly(leadership, group.filterNot { it.failedIn(outcome) }, recorded)
+                    recordIndividually(leadership, group.filterNot { it.failedIn(outcome) }, recorded)
                 }
 
                 else -> return recorded
@@ -54,7 +55,7 @@
         return recorded
     }
 
-    /** As many writes as fit in one transaction, and at least one. */
+    /** Removes as many entries from [queue] as fit into one transaction, but at least one. */
     private fun nextGroup(queue: ArrayDeque<CompletionWrite>): List<CompletionWrite> {
         val group = ArrayList<CompletionWrite>()
         var size = 0
@@ -66,21 +67,24 @@
         return group
     }
 
-    /** Whether a condition failed: the job was cancelled meanwhile, or an earlier unanswered write was executed. */
+    /**
+     * Whether a precondition of this write failed: the job was cancelled in the meantime, or an earlier write without
+     * a response has been executed after all.
+     */
     private fun CompletionWrite.failedIn(conflict: CommitOutcome.Conflict): Boolean =
         conditions.any { it.key in conflict.failed }
 
-    private suspend fun recordSingly(
+    private suspend fun recordIndividually(
         leadership: LeadershipState.Leader,
         group: List<CompletionWrite>,
         recorded: MutableMap<JobId, List<Int>>,
     ) {
         for (write in group) {
-            if (commit(leadership, listOf(write)) is CommitOutcome.Committed) committed(write, recorded)
+            if (commit(leadership, listOf(write)) is CommitOutcome.Committed) onCommitted(write, recorded)
         }
     }
 
-    private fun committed(write: CompletionWrite, recorded: MutableMap<JobId, List<Int>>) {
+    private fun onCommitted(write: CompletionWrite, recorded: MutableMap<JobId, List<Int>>) {
         recorded[write.job] = recorded[write.job].orEmpty() + write.tasks
         write.terminalRecord?.let { jobRegistry.tell(JobMessage.TerminalStateRecorded(write.job, it)) }
     }
@@ -92,19 +96,19 @@
             if (group.any { it.terminalRecord != null }) RequestPriority.END else RequestPriority.PROGRESS,
         )
 
-    /** One write for a complete job, and otherwise one for each block with newly completed tasks. */
+    /** A single [CompletionWrite] if the job is complete, and otherwise one per block with newly completed tasks. */
     internal fun writesOf(batch: CompletionBatch): List<CompletionWrite> = if (batch.completedTasks.all) {
-        listOf(completionOf(batch))
+        listOf(completionWrite(batch))
     } else {
         batch.newlyCompleted.groupBy(CompletedTasks::blockOf).map { (block, tasks) -> blockWrite(batch, block, tasks) }
     }
 
-    private fun completionOf(batch: CompletionBatch): CompletionWrite {
+    private fun completionWrite(batch: CompletionBatch): CompletionWrite {
         val record = TerminalRecord(TerminalState.DONE, batch.completedTasks.tasks, batch.account)
         return CompletionWrite(
             batch.job,
             batch.newlyCompleted,
-            listOf(isOpen(batch), Condition(Keys.terminalRecord(batch.job), Revision.ABSENT)),
+            listOf(jobIsUnchanged(batch), Condition(Keys.terminalRecord(batch.job), Revision.ABSENT)),
             listOfNotNull(
                 Write.Put(Keys.terminalRecord(batch.job), record.encode()),
                 Write.Drop(Keys.job(batch.job)),
@@ -117,17 +121,20 @@
     private fun blockWrite(batch: CompletionBatch, block: Int, tasks: List<Int>): CompletionWrite {
         val key = Keys.completedTasks(batch.job, block)
         val write = Write.Put(key, mapOf(JobRegistry.PACKED_TASKS to batch.completedTasks.pack(block)))
-        // An unanswered write may be executed late. Without this condition it would undo a newer one, and tasks that
-        // were reported as completed would be open again for the next leader.
-        val unchanged = Condition(key, batch.blockVersions[block] ?: Revision.ABSENT)
-        return CompletionWrite(batch.job, tasks, listOf(isOpen(batch), unchanged), listOf(write), null)
+        // A write without a response may be executed late. Without this condition it would overwrite a newer value,
+        // and the next leader would run tasks again that had been reported as completed.
+        val blockIsUnchanged = Condition(key, batch.blockVersions[block] ?: Revision.ABSENT)
+        return CompletionWrite(batch.job, tasks, listOf(jobIsUnchanged(batch), blockIsUnchanged), listOf(write), null)
     }
 
-    private fun isOpen(batch: CompletionBatch) = Condition(Keys.job(batch.job), batch.version)
+    private fun jobIsUnchanged(batch: CompletionBatch) = Condition(Keys.job(batch.job), batch.version)
 
     /**
-     * Records a hold of a job. [version]: that of the job's record; [holdVersion]: that of the key of its hold. If
-     * another term has begun, its leader may have started the job: then nothing is written.
+     * Records a hold of a job. Nothing is written if another term has begun, since the new leader may have started the
+     * job.
+     *
+     * @param version the version of the job's record.
+     * @param holdVersion the version of the key of the job's hold.
      */
     public suspend fun hold(
         leadership: LeadershipState.Leader,
@@ -153,7 +160,8 @@
     }
 
     /**
-     * Nobody else holds jobs in this term: an effective hold that exists was written by an earlier unanswered attempt.
+     * Only this leader writes holds in its term, so an effective hold that exists was written by an earlier attempt
+     * that got no response.
      */
     private suspend fun outcomeOfExistingHold(job: JobId, conflict: CommitOutcome): CommitOutcome {
         val read = client.read(Keys.hold(job), RequestPriority.RECORD) as? ReadOutcome.Found
@@ -162,20 +170,20 @@
         return if (existing?.effective != null) CommitOutcome.Committed(read.entry.version) else conflict
     }
 
-    /** Drops a hold that was recorded while its job ended. */
+    /** Drops a hold that was recorded while its job was ending. */
     public suspend fun dropHold(leadership: LeadershipState.Leader, job: JobId) {
-        client.commit(afterEnd(leadership, job), listOf(Write.Drop(Keys.hold(job))), RequestPriority.OTHER)
+        client.commit(conditionsAfterEnd(leadership, job), listOf(Write.Drop(Keys.hold(job))), RequestPriority.OTHER)
     }
 
-    /** Drops blocks of completed tasks of a job that ended: its terminal record says as much. */
+    /** Drops blocks of completed tasks of a job that has ended; its terminal record makes them redundant. */
     public suspend fun dropCompletedTasks(leadership: LeadershipState.Leader, job: JobId, blocks: Collection<Int>) {
         for (chunk in blocks.chunked(maxWrites)) {
             val writes = chunk.map { Write.Drop(Keys.completedTasks(job, it)) }
-            client.commit(afterEnd(leadership, job), writes, RequestPriority.OTHER)
+            client.commit(conditionsAfterEnd(leadership, job), writes, RequestPriority.OTHER)
         }
     }
 
-    private fun afterEnd(leadership: LeadershipState.Leader, job: JobId) =
+    private fun conditionsAfterEnd(leadership: LeadershipState.Leader, job: JobId) =
         listOf(Condition(Keys.TERM, leadership.termRevision), Condition(Keys.job(job), Revision.ABSENT))
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/jobs/HoldResult.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/HoldResult.kt
@@ -5,12 +5,15 @@
     /** The hold is recorded. */
     public data object Held : HoldResult
 
-    /** A task of the job runs or may run; or, for a suspension, none does, or the job can't checkpoint. */
+    /**
+     * The job's state does not allow the hold: a task runs or may run or, for a suspension, no task runs or the job
+     * cannot checkpoint.
+     */
     public data class Inconsistent(val reason: String) : HoldResult
 
     public data object NoSuchJob : HoldResult
 
-    /** It could not be decided or recorded now; the request may be repeated. */
+    /** The request could not be decided or recorded at the moment; it may be retried. */
     public data class NotNow(val reason: String) : HoldResult
 }
 
@@ -18,12 +21,12 @@
 public enum class HoldWriteResult {
     WRITTEN,
 
-    /** The job ended before. */
+    /** The job had ended before. */
     JOB_GONE,
 
-    /** Certainly not written. */
+    /** The hold is known not to have been written. */
     NOT_WRITTEN,
 
-    /** It may have been written, or may be written later. */
+    /** The hold may have been written, or may still be written later. */
     UNKNOWN,
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobAccount.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobAccount.kt
@@ -5,21 +5,24 @@
 import org.elderhitch.time.WallTime
 
 /**
- * The usage account of a job, written with its [TerminalRecord]. Seconds are task-seconds as the leader observed them:
- * each end of a run is known to within the time between two heartbeats that reached a leader. [lowerBound]: part of it
- * happened under an earlier term, or unseen by the node that wrote this, so all figures are lower bounds.
+ * The resource usage of a job, stored in its [TerminalRecord]. Seconds are task-seconds as the leader observed them:
+ * the end of each run is known with the precision of the interval between two heartbeats that reached a leader.
  */
 public data class JobAccount(
     val team: TeamName,
     val jobClass: String,
-    /** Attempts that were seen running on a machine. */
+    /** The number of attempts that were observed running on a machine. */
     val attempts: Long,
-    /** Attempts that failed, or were lost with their machine. */
+    /** The number of attempts that failed, or were lost together with their machine. */
     val lost: Long,
     val usefulSeconds: Double,
     val lostSeconds: Double,
     val firstStart: WallTime?,
     val end: WallTime,
+    /**
+     * Whether all figures are only lower bounds, because part of the job ran under an earlier term or was not observed
+     * by the node that wrote the account.
+     */
     val lowerBound: Boolean,
 ) {
     /** The stored value. */
@@ -41,8 +44,8 @@
         private fun roundToTenths(seconds: Double): Double = Math.rint(seconds * TENTHS) / TENTHS
 
         /**
-         * Reads a stored value. Throws [org.elderhitch.json.MalformedJson]. Names of teams and classes are interned:
-         * thousands of accounts are cached, of few teams and classes.
+         * Reads a stored value. Throws [org.elderhitch.json.MalformedJson]. Team and class names are interned, because
+         * thousands of cached accounts share a few distinct names.
          */
         public fun decode(from: JsonObject): JobAccount = JobAccount(
             team = TeamName(from.string("team").intern()),
@@ -56,7 +59,7 @@
             lowerBound = from.boolean("least"),
         )
 
-        /** The account of a job whose work this node did not observe. */
+        /** The account of a job whose execution this node did not observe. */
         public fun unobserved(spec: JobSpec, end: WallTime): JobAccount =
             JobAccount(spec.team, spec.jobClass, 0, 0, 0.0, 0.0, null, end, lowerBound = true)
     }
--- a/src/main/kotlin/org/elderhitch/jobs/JobCodec.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobCodec.kt
@@ -19,15 +19,15 @@
     fun decode(field: String, name: String): T = valueByName[name] ?: throw MalformedJson("$field: unknown")
 }
 
-/** Jobs as users send them and as the state service stores them: one form for both. */
+/** Converts jobs from and to JSON. Requests of users and values in the state service have the same format. */
 public object JobCodec {
-    /** The most tasks that a job may have. */
+    /** The maximum number of tasks of a job. */
     public const val MAX_TASKS: Int = 100_000
     private const val MAX_NAME_LENGTH = 200
-    private const val MAX_TYPES = 64
+    private const val MAX_MACHINE_TYPES = 64
 
-    private val kinds = WireNames(JobKind.ARRAY to "array", JobKind.GANG to "gang", JobKind.SERVICE to "daemon")
-    private val priorities = WireNames(
+    private val kindNames = WireNames(JobKind.ARRAY to "array", JobKind.GANG to "gang", JobKind.SERVICE to "daemon")
+    private val priorityNames = WireNames(
         Priority.PRODUCTION to "production",
         Priority.HIGH to "urgent",
         Priority.NORMAL to "normal",
@@ -35,37 +35,37 @@
     )
 
     /**
-     * Reads the id alone, which is enough to answer a repeated submission whatever else its body holds. Throws
-     * [MalformedJson].
+     * Reads only the id, which is sufficient to answer a repeated submission even if the rest of its body is invalid.
+     * Throws [MalformedJson].
      */
-    public fun id(body: JsonObject): JobId = parsedId("id", body.string("id"))
+    public fun id(body: JsonObject): JobId = parseId("id", body.string("id"))
 
-    /** Reads a job; throws [MalformedJson], which names the field that is wrong. */
+    /** Reads a job. Throws [MalformedJson], whose message names the invalid field. */
     public fun decode(body: JsonObject): JobSpec {
-        val kind = kinds.decode("lotKind", body.string("lotKind"))
+        val kind = kindNames.decode("lotKind", body.string("lotKind"))
         val tasks = decodeTaskCount(body)
         val resources = Resources(body.amount("cores"), body.amount("accelerators"), body.amount("memGb"))
         val types = decodeTypes(body)
         return JobSpec(
             id = id(body),
-            jobClass = name("lotClass", body.string("lotClass")),
-            team = TeamName(name("desk", body.string("desk"))),
+            jobClass = checkedName("lotClass", body.string("lotClass")),
+            team = TeamName(checkedName("desk", body.string("desk"))),
             kind = kind,
-            priority = priorities.decode("urgency", body.string("urgency")),
+            priority = priorityNames.decode("urgency", body.string("urgency")),
             tasks = tasks,
             resources = resources,
             types = types,
-            zone = body.stringOrNull("hall")?.let { Zone(name("hall", it)) },
+            zone = body.stringOrNull("hall")?.let { Zone(checkedName("hall", it)) },
             oneZone = body.booleanOrNull("samePlace") ?: false,
             spread = body.booleanOrNull("spread") ?: false,
             spotAllowed = body.booleanOrNull("borrowedRigs") ?: false,
-            image = Image(name("catchImage", body.string("catchImage"))),
+            image = Image(checkedName("catchImage", body.string("catchImage"))),
             imageGb = body.amount("pullGb"),
             estimate = body.amount("haulS").seconds,
             checkpointInterval = body.amount("tallyS").seconds,
             checkpointDuration = body.amount("stowS").seconds,
             deadline = body.amountOrNull("closingS")?.seconds,
-            repeatOf = body.stringOrNull("repeatOf")?.let { parsedId("repeatOf", it) },
+            repeatOf = body.stringOrNull("repeatOf")?.let { parseId("repeatOf", it) },
         )
     }
 
@@ -76,18 +76,18 @@
     }
 
     private fun decodeTypes(body: JsonObject): Set<MachineType>? {
-        val types = body.stringsOrNull("rigs")?.map { MachineType(name("rigs", it)) }?.toSet()
-        if (types != null && types.size > MAX_TYPES) throw MalformedJson("rigs: too many")
+        val types = body.stringsOrNull("rigs")?.map { MachineType(checkedName("rigs", it)) }?.toSet()
+        if (types != null && types.size > MAX_MACHINE_TYPES) throw MalformedJson("rigs: too many")
         return types
     }
 
-    /** The fields of a job, in their stored order; absent ones are left out. */
+    /** The fields of a job in the order in which they are stored; fields without a value are omitted. */
     public fun encode(spec: JobSpec): Map<String, Any?> = linkedMapOf(
         "id" to spec.id.text,
         "lotClass" to spec.jobClass,
         "desk" to spec.team.text,
-        "lotKind" to kinds.encode(spec.kind),
-        "urgency" to priorities.encode(spec.priority),
+        "lotKind" to kindNames.encode(spec.kind),
+        "urgency" to priorityNames.encode(spec.priority),
         "crates" to spec.tasks,
         "cores" to spec.resources.cpus,
         "accelerators" to spec.resources.gpus,
@@ -99,14 +99,14 @@
         "samePlace" to spec.oneZone,
         "spread" to spec.spread,
         "borrowedRigs" to spec.spotAllowed,
-        "haulS" to inSeconds(spec.estimate),
-        "tallyS" to inSeconds(spec.checkpointInterval),
-        "stowS" to inSeconds(spec.checkpointDuration),
-        "closingS" to spec.deadline?.let(::inSeconds),
+        "haulS" to toSeconds(spec.estimate),
+        "tallyS" to toSeconds(spec.checkpointInterval),
+        "stowS" to toSeconds(spec.checkpointDuration),
+        "closingS" to spec.deadline?.let(::toSeconds),
         "repeatOf" to spec.repeatOf?.text,
     ).filterValues { it != null }
 
-    /** The response that tells a user how a job stands. */
+    /** The response body that reports a job's status to a user. */
     public fun encodeStatus(id: JobId, status: JobStatus): ByteArray = Json.bytes(
         linkedMapOf(
             "id" to id.text,
@@ -116,12 +116,12 @@
         ),
     )
 
-    private fun inSeconds(duration: Duration): Double = duration.toDouble(DurationUnit.SECONDS)
+    private fun toSeconds(duration: Duration): Double = duration.toDouble(DurationUnit.SECONDS)
 
-    private fun parsedId(field: String, text: String): JobId =
+    private fun parseId(field: String, text: String): JobId =
         JobId.parse(text) ?: throw MalformedJson("$field: not of the form req-000412")
 
-    private fun name(field: String, text: String): String {
+    private fun checkedName(field: String, text: String): String {
         if (text.length !in 1..MAX_NAME_LENGTH) {
             throw MalformedJson("$field: empty or over $MAX_NAME_LENGTH characters")
         }
--- a/src/main/kotlin/org/elderhitch/jobs/JobHold.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobHold.kt
@@ -4,36 +4,37 @@
 import org.elderhitch.json.MalformedJson
 import org.elderhitch.store.Revision
 
-/** Why no task of a job is started, though the job is open. */
+/** Why no tasks of an open job are started. */
 public enum class HoldKind(
-    /** The word of stored holds. */
+    /** The name in stored holds. */
     public val wireName: String,
 ) {
-    /** Its user asked for it before any task ran. */
+    /** The user put the job on hold before any of its tasks ran. */
     USER("user"),
 
-    /** Its user had its tasks stopped with a checkpoint. */
+    /** The user suspended the job: its tasks were checkpointed and stopped. */
     SUSPENDED("suspended"),
 
-    /** The attempts of a task reached the limit of its class. */
+    /** The failed or lost attempts of a task reached the limit of the job's class. */
     ATTEMPTS("attempts"),
 
     /**
-     * No hold any more. The key stays until the job ends: if it were dropped, a delayed write of the hold would find it
-     * absent, as it expects, and hold what its user had released (seen in a test of such a write).
+     * The job is no longer on hold. The key is kept until the job ends: if it were dropped, a delayed write of the hold
+     * would find the key absent, as its precondition demands, and put a job on hold again that the user had released.
      */
     RELEASED("released"),
 }
 
 /**
- * The hold of a job, stored under a key of its own: a leader starts no task of a job with an [effective] hold.
- * [version]: that of the key.
+ * The hold of a job, stored under its own key. A leader starts no tasks of a job with an [effective] hold.
+ *
+ * @property version the version of the key.
  */
 public data class JobHold(val kind: HoldKind, val reason: String, val version: Revision) {
     /** The stored value. */
     public fun encode(): Map<String, Any?> = linkedMapOf(KIND to kind.wireName, REASON to reason)
 
-    /** This hold; null if it was released. */
+    /** This hold, or null if it was released. */
     public val effective: JobHold? get() = takeIf { kind != HoldKind.RELEASED }
 
     public companion object {
@@ -41,7 +42,7 @@
         private const val REASON = "why"
         private const val MAX_REASON_LENGTH = 300
 
-        /** A hold that is not stored yet; a long [reason] is cut. */
+        /** A hold that is not stored yet; a long [reason] is truncated. */
         public fun of(kind: HoldKind, reason: String): JobHold =
             JobHold(kind, reason.take(MAX_REASON_LENGTH), Revision.ABSENT)
 
--- a/src/main/kotlin/org/elderhitch/jobs/JobService.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobService.kt
@@ -16,23 +16,23 @@
 import org.elderhitch.time.WallClock
 import org.slf4j.LoggerFactory
 
-/** What is recorded in one transaction with a job, and the conditions on which both depend. */
+/** Further writes in the transaction that records a job, and preconditions for the whole transaction. */
 public class ExtraWrites(public val conditions: List<Condition>, public val writes: List<Write>) {
     public companion object {
         public val NONE: ExtraWrites = ExtraWrites(emptyList(), emptyList())
     }
 }
 
-/** The leader's usage account of a job. */
+/** Provides the leader's usage account of a job. */
 public fun interface AccountSource {
-    /** Null: the leader can't be asked. */
+    /** The account of the job; null if the leader can't be reached. */
     public suspend fun of(spec: JobSpec): JobAccount?
 }
 
 /**
- * Submits, shows, cancels and releases jobs, on any node, leader or not. Each change is written conditionally, and
- * before it is answered. An answer that may still change is given only after [StateWatch.awaitFreshness], so it is
- * never older than an answer that another node gave before.
+ * Submits, shows, cancels and releases jobs. Works on any node, whether it leads or not. Each change is recorded by a
+ * conditional transaction before the request is answered. Any state that may still change is reported only after
+ * [StateWatch.awaitFreshness], so an answer is never older than one that another node gave before.
  */
 public class JobService(
     private val jobRegistry: JobRegistry,
@@ -47,7 +47,7 @@
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.jobs")
 
-    /** Submits a job as a user sent it. */
+    /** Submits a job from the body of a user's request. */
     public suspend fun submit(bytes: ByteArray): JobResponse {
         val body = try {
             Json.parseObject(bytes).also(JobCodec::id)
@@ -61,13 +61,13 @@
         val spec = try {
             JobCodec.decode(body)
         } catch (e: MalformedJson) {
-            // A job that was accepted is never refused, whatever a repeated submission looks like.
+            // The repeated submission of an accepted job is not refused, even if its body is invalid.
             return acceptedBefore(JobCodec.id(body)) ?: JobResponse.Malformed(e.message.orEmpty())
         }
         return submit(spec)
     }
 
-    /** Submits a job. [extra]: fields that are stored in its record and have no meaning here. */
+    /** Submits a job. [extra] contains additional fields of its record, which are stored without being interpreted. */
     public suspend fun submit(
         spec: JobSpec,
         extra: Map<String, Any?> = emptyMap(),
@@ -79,11 +79,11 @@
         return acceptedBefore(spec.id) ?: refusal
     }
 
-    /** Why the job is not to be recorded, unless it was before; null: it is to be recorded. */
+    /** Why the job must not be recorded, unless it has been recorded before; null if it may be recorded. */
     private suspend fun refusalToRecord(spec: JobSpec, encoded: Map<String, Any?>): JobResponse? = when {
-        Json.bytes(encoded).size > policy.maxValueBytes -> JobResponse.Malformed("the job's fields are too long")
-        isOpenOrEnded(spec.id) -> STATE_UNCLEAR
-        jobProvider(spec.id) != null -> JobResponse.Malformed("id: of a form that is given and not chosen")
+        Json.bytes(encoded).size > policy.maxValueBytes -> JobResponse.Malformed("the job's record is too large")
+        isOpenOrEnded(spec.id) -> STATE_UNDETERMINED
+        jobProvider(spec.id) != null -> JobResponse.Malformed("id: this form is reserved for assigned ids")
         else -> refusal(spec) ?: JobResponse.Full.takeUnless { policy.admits(jobRegistry.footprint, spec) }
     }
 
@@ -92,7 +92,7 @@
         return known is JobLookup.Open || known is JobLookup.Ended
     }
 
-    /** Why the job would be refused, whoever submits it and in whatever way; null: it would not. */
+    /** Why the job would be refused, independently of who submits it and how; null if it would not be. */
     public suspend fun refusal(spec: JobSpec): JobResponse? =
         policy.refusal(spec) ?: spec.repeatOf?.let { repeatRefusal(spec, it) }
 
@@ -128,9 +128,9 @@
                     JobResponse.Accepted(spec.id, JobStatus.open(0, 0), isNew = true)
                 }
 
-                is CommitOutcome.Conflict -> acceptedBefore(spec.id) ?: STATE_UNCLEAR
+                is CommitOutcome.Conflict -> acceptedBefore(spec.id) ?: STATE_UNDETERMINED
 
-                // If this attempt was executed after all, the next one finds the record and changes nothing.
+                // If this attempt was executed after all, the next one conflicts with its record and changes nothing.
                 CommitOutcome.Unknown -> null
 
                 CommitOutcome.Refused, CommitOutcome.NoSuchLease -> WRITE_REFUSED
@@ -138,19 +138,19 @@
         }
     }
 
-    /** The answer to a repeated submission, or why there is none; null: no such job is known. */
+    /** The answer to a repeated submission, or why it can't be given; null if there is no such job. */
     private suspend fun acceptedBefore(id: JobId): JobResponse? = when (val shown = show(id)) {
         is JobResponse.State -> JobResponse.Accepted(id, shown.status, isNew = false)
         JobResponse.Unknown -> null
         else -> shown
     }
 
-    /** How a job stands. */
+    /** Returns the status of a job. */
     public suspend fun show(id: JobId): JobResponse {
         val final = (lookup(id) as? JobLookup.Ended)?.let { JobResponse.State(id, it.record.status()) }
         val answer = final ?: showByProvider(id)
         if (answer != null) return answer
-        if (!stateWatch.awaitFreshness()) return STORE_UNAVAILABLE
+        if (!stateWatch.awaitFreshness()) return STATE_SERVICE_UNAVAILABLE
         return when (val known = lookup(id)) {
             is JobLookup.Ended -> JobResponse.State(id, known.record.status())
             is JobLookup.Open -> JobResponse.State(id, known.status)
@@ -159,20 +159,20 @@
         }
     }
 
-    /** Null for an id that no provider knows: a job may have been submitted under it before there was a provider. */
+    /** Null if no provider knows the job: it may have been submitted by a user before its id's form had a provider. */
     private suspend fun showByProvider(id: JobId): JobResponse? {
         val provider = jobProvider(id) ?: return null
         if (lookup(id) is JobLookup.Open) return null
         return provider.show(id).takeIf { it != JobResponse.Unknown }
     }
 
-    /** How a job stands that is not open: by its terminal record, which is not cached here. */
+    /** The status of a job that is not open, from its stored terminal record, which is not in the cache. */
     private suspend fun showStored(id: JobId, epoch: Int): JobResponse =
         when (val read = client.read(Keys.terminalRecord(id), RequestPriority.END)) {
             is ReadOutcome.Found -> {
                 val record = TerminalRecord.decode(read.entry.value)
                 if (record == null) {
-                    JobResponse.NotNow("the job's ending can't be read")
+                    JobResponse.NotNow("the job's terminal record is malformed")
                 } else {
                     jobRegistry.tell(JobMessage.TerminalStateRecorded(id, record))
                     JobResponse.State(id, record.status())
@@ -184,21 +184,21 @@
                 JobResponse.Unknown
             }
 
-            ReadOutcome.Unavailable -> STORE_UNAVAILABLE
+            ReadOutcome.Unavailable -> STATE_SERVICE_UNAVAILABLE
         }
 
-    /** Cancels a job; the answer to a job that has ended is how it ended. */
+    /** Cancels a job. If the job has ended already, returns how it ended. */
     public suspend fun cancel(id: JobId): JobResponse {
         val cancellation = Cancellation(id)
         return withRetries { cancellation.attempt() }
     }
 
-    /** One request to cancel a job, over its attempts. */
+    /** One request to cancel a job, across its attempts. */
     private inner class Cancellation(private val id: JobId) {
-        /** Whether an attempt got no response: it may have been executed. */
+        /** Whether an attempt got no response, so that it may have been executed. */
         private var unanswered = false
 
-        /** Null: to be attempted again. */
+        /** The answer to the request; null if another attempt must be made. */
         suspend fun attempt(): JobResponse? {
             val answer = answerUnlessOpen()
             if (answer != null) return answer
@@ -206,9 +206,9 @@
             val account = accounts.of(open.spec) ?: JobAccount.unobserved(open.spec, wallClock.now())
             val record = TerminalRecord(TerminalState.CANCELLED, open.status.done, account)
             return when (commit(open, record)) {
-                is CommitOutcome.Committed -> committed(record)
+                is CommitOutcome.Committed -> onCommitted(record)
 
-                is CommitOutcome.Conflict -> STORE_UNAVAILABLE.takeUnless { stateWatch.awaitFreshness() }
+                is CommitOutcome.Conflict -> STATE_SERVICE_UNAVAILABLE.takeUnless { stateWatch.awaitFreshness() }
 
                 CommitOutcome.Unknown -> {
                     unanswered = true
@@ -227,7 +227,7 @@
                 is JobLookup.Open -> null
 
                 is JobLookup.Ended -> {
-                    // Most likely recorded by the unanswered attempt: other nodes may learn of it as late as this one.
+                    // Most likely recorded by the unanswered attempt, so other nodes may not have learnt of it yet.
                     if (unanswered && known.record.state == TerminalState.CANCELLED) onCancelled(id, known.record)
                     JobResponse.State(id, known.record.status())
                 }
@@ -236,7 +236,7 @@
             }
         }
 
-        /** Whoever creates the key of the terminal record decides whether the job is done or cancelled. */
+        /** Which transaction creates the key of the terminal record decides whether the job is done or cancelled. */
         private suspend fun commit(open: JobLookup.Open, record: TerminalRecord): CommitOutcome = client.commit(
             listOf(Condition(Keys.terminalRecord(id), Revision.ABSENT), Condition(Keys.job(id), open.version)),
             listOfNotNull(
@@ -247,7 +247,7 @@
             RequestPriority.RECORD,
         )
 
-        private fun committed(record: TerminalRecord): JobResponse {
+        private fun onCommitted(record: TerminalRecord): JobResponse {
             log.info("job cancelled job={}", id)
             jobRegistry.tell(JobMessage.TerminalStateRecorded(id, record))
             onCancelled(id, record)
@@ -255,7 +255,7 @@
         }
     }
 
-    /** Releases a job's hold if it is one that [permitted] accepts; [JobResponse.Unknown] if there is none such. */
+    /** Releases the hold of a job if [permitted] accepts it; [JobResponse.Unknown] if the job has no such hold. */
     public suspend fun release(id: JobId, permitted: (JobHold) -> Boolean): JobResponse =
         withRetries { attemptRelease(id, permitted) }
 
@@ -273,32 +273,32 @@
             is CommitOutcome.Committed -> JobResponse.State(id, open.status)
 
             is CommitOutcome.Conflict, CommitOutcome.Unknown ->
-                STORE_UNAVAILABLE.takeUnless { stateWatch.awaitFreshness() }
+                STATE_SERVICE_UNAVAILABLE.takeUnless { stateWatch.awaitFreshness() }
 
             CommitOutcome.Refused, CommitOutcome.NoSuchLease -> WRITE_REFUSED
         }
     }
 
-    /** What is known about a job on this node, without asking the state service. */
+    /** What this node knows about a job, without querying the state service. */
     public suspend fun lookup(id: JobId): JobLookup {
         val reply = CompletableDeferred<JobLookup>()
         jobRegistry.tell(JobMessage.Lookup(id, reply))
         return reply.await()
     }
 
-    /** Repeats [attempt], up to [MAX_ATTEMPTS] times, until it has an answer. */
+    /** Calls [attempt], up to [MAX_ATTEMPTS] times, until it returns an answer. */
     private inline fun withRetries(attempt: () -> JobResponse?): JobResponse {
         repeat(MAX_ATTEMPTS) {
             attempt()?.let { return it }
         }
-        return STORE_UNAVAILABLE
+        return STATE_SERVICE_UNAVAILABLE
     }
 
     private companion object {
         const val MAX_ATTEMPTS = 3
         val STARTING = JobResponse.NotNow("starting")
-        val STATE_UNCLEAR = JobResponse.NotNow("state unclear")
-        val STORE_UNAVAILABLE = JobResponse.NotNow("the state service doesn't answer")
-        val WRITE_REFUSED = JobResponse.NotNow("the state service takes no record now")
+        val STATE_UNDETERMINED = JobResponse.NotNow("the state of the job could not be determined")
+        val STATE_SERVICE_UNAVAILABLE = JobResponse.NotNow("the state service doesn't answer")
+        val WRITE_REFUSED = JobResponse.NotNow("the change can't be recorded at the moment")
     }
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobSpec.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobSpec.kt
@@ -4,34 +4,34 @@
 import org.elderhitch.settings.Zone
 import kotlin.time.Duration
 
-/** How the tasks of a job belong together. */
+/** How the tasks of a job are executed in relation to each other. */
 public enum class JobKind {
-    /** Independent tasks, each of which runs once to completion. */
+    /** Independent tasks, each of which runs to completion once. */
     ARRAY,
 
-    /** Tasks that start together and run together. */
+    /** Tasks that are gang-scheduled: they start and run together. */
     GANG,
 
     /** Tasks that run until the job is cancelled. */
     SERVICE,
 }
 
-/** From the least urgent to the most: comparisons follow this order. */
+/** Job priorities in ascending order, which comparisons rely on. */
 public enum class Priority { LOW, NORMAL, HIGH, PRODUCTION }
 
-/** The name of a machine type of the cloud. */
+/** The name of a machine type in the cloud's catalog. */
 @JvmInline
 public value class MachineType(public val name: String) {
     override fun toString(): String = name
 }
 
-/** The name of the image that a job's tasks run. */
+/** The name of the image from which a job's tasks run. */
 @JvmInline
 public value class Image(public val name: String) {
     override fun toString(): String = name
 }
 
-/** A job as its user described it; it never changes after submission. */
+/** The description of a job as submitted; immutable. */
 public data class JobSpec(
     val id: JobId,
     val jobClass: String,
@@ -40,42 +40,42 @@
     val priority: Priority,
     /** The number of tasks. */
     val tasks: Int,
-    /** What each task requests. */
+    /** The resources that each task requests. */
     val resources: Resources,
-    /** The machine types that tasks may run on; null: all. */
+    /** The machine types that tasks may run on; null means all. */
     val types: Set<MachineType>?,
-    /** The only zone that tasks may run in; null: any. */
+    /** The only zone that tasks may run in; null means any. */
     val zone: Zone?,
     /** Whether all tasks must run in one zone. */
     val oneZone: Boolean,
-    /** Whether the tasks must be spread over zones, as [maxTasksPerZone] says. */
+    /** Whether the tasks must be spread over zones; see [maxTasksPerZone]. */
     val spread: Boolean,
     /** Whether tasks may run on spot machines. */
     val spotAllowed: Boolean,
     val image: Image,
-    /** The size of the image. */
+    /** The size of the image in gigabytes. */
     val imageGb: Double,
-    /** The user's estimate of how long a task runs. */
+    /** The user's estimate of the duration of a task. */
     val estimate: Duration,
-    /** How often a running task checkpoints; zero: it can't. */
+    /** The interval between checkpoints of a running task; zero if the tasks cannot checkpoint. */
     val checkpointInterval: Duration,
-    /** How long taking a checkpoint takes. */
+    /** The duration of a checkpoint. */
     val checkpointDuration: Duration,
-    /** When the job should be complete, counted from its submission; null: no deadline. */
+    /** How long after its submission the job should be complete; null means no deadline. */
     val deadline: Duration?,
     /** The earlier job that this one repeats. */
     val repeatOf: JobId? = null,
 ) {
     public val takesCheckpoints: Boolean get() = checkpointInterval > Duration.ZERO
 
-    /** How many of the job's tasks may run in the same zone. */
+    /** The maximum number of the job's tasks that may run in the same zone. */
     public val maxTasksPerZone: Int get() = if (spread) (tasks + 1) / 2 else tasks
 
-    /** Whether a task may run on such a machine at all. */
+    /** Whether the job's constraints permit a machine with these properties. */
     public fun permitsMachine(type: MachineType, zone: Zone, spot: Boolean): Boolean =
         (types == null || type in types) && (this.zone == null || zone == this.zone) && (!spot || spotAllowed)
 
-    /** Whether one more task may run in [zone], given how many run in each of [zones]. */
+    /** Whether one more task may run in [zone], where [zones] contains the number of running tasks by zone. */
     public fun zoneAllows(zones: Map<Zone, Int>, zone: Zone): Boolean =
         if (oneZone) zones.isEmpty() || zone in zones else (zones[zone] ?: 0) < maxTasksPerZone
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobStatus.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobStatus.kt
@@ -2,7 +2,7 @@
 
 /** The phase of a job as users see it. */
 public enum class JobPhase(
-    /** The word of the protocol. */
+    /** The name in the protocol. */
     public val wireName: String,
 ) {
     QUEUED("queued"),
@@ -11,7 +11,7 @@
     CANCELLED(TerminalState.CANCELLED.wireName),
 }
 
-/** What a user is told about a job: its phase, and how many of its tasks are completed and how many run. */
+/** The status of a job as reported to users: its phase and the numbers of completed and of running tasks. */
 public data class JobStatus(val phase: JobPhase, val done: Int, val running: Int) {
     public companion object {
         /** The status of a job in a terminal state. */
--- a/src/main/kotlin/org/elderhitch/jobs/SubmissionPolicy.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/SubmissionPolicy.kt
@@ -3,25 +3,25 @@
 import org.elderhitch.settings.Team
 import org.elderhitch.settings.TeamName
 
-/** The machine types that exist in principle. */
+/** The machine types in the cloud's catalog, whether available at the moment or not. */
 public fun interface MachineCatalogView {
-    /** Whether a task of [spec] fits some machine type that the job permits; null: the types are not known yet. */
+    /** Whether a task of [spec] fits any machine type that the job permits; null if the types are not known yet. */
     public fun canEverRun(spec: JobSpec): Boolean?
 }
 
-/** What a deployment accepts: its teams, its rules by job class, its machine types and its bounds of memory. */
+/** Decides which jobs a deployment accepts, by its teams, job class rules, machine types and memory bounds. */
 public class SubmissionPolicy(
     private val teams: Map<TeamName, Team>,
     private val catalog: MachineCatalogView,
-    /** The most bytes of a stored job. */
+    /** The maximum size of a stored job in bytes. */
     internal val maxValueBytes: Int,
     private val rules: ClassRules = ClassRules.NONE,
     private val admission: Admission? = null,
 ) {
-    /** Whether one more job may be open while [open] is taken. */
+    /** Whether [spec] may be accepted while the open jobs occupy [open]. */
     internal fun admits(open: Footprint, spec: JobSpec): Boolean = admission?.admits(open, spec) != false
 
-    /** Why the job can't run in this deployment, or why that isn't known yet; null: it can. */
+    /** Why the job can't run in this deployment, or why that isn't known yet; null if it can run. */
     internal fun refusal(spec: JobSpec): JobResponse? {
         val repeatDenial = rules.repeatDenial(spec)
         val team = teams[spec.team]
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Whether the tasks that must run at the same time exceed the team's limit. */
+    /** Whether the tasks that must run concurrently exceed the team's limits. */
     private fun exceedsLimit(team: Team, spec: JobSpec): Boolean {
         val concurrentTasks = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
         val concurrent = spec.resources * concurrentTasks
--- a/src/main/kotlin/org/elderhitch/jobs/TerminalRecord.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/TerminalRecord.kt
@@ -3,9 +3,9 @@
 import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
 
-/** How a job ended; never changes once it is recorded. */
+/** The final state of a job; never changes once it is recorded. */
 public enum class TerminalState(
-    /** The word of the protocol and of stored records. */
+    /** The name in the protocol and in stored records. */
     public val wireName: String,
 ) {
     /** All tasks completed. */
@@ -16,8 +16,10 @@
 }
 
 /**
- * How a job ended, as the state service keeps it for ever. [done]: how many tasks had completed. [account]: null in
- * records that were written before there were accounts.
+ * How a job ended; the state service keeps this record permanently.
+ *
+ * @property done the number of tasks that were completed.
+ * @property account the usage account; null in records from before accounts were introduced.
  */
 public data class TerminalRecord(val state: TerminalState, val done: Int, val account: JobAccount? = null) {
     /** The stored value. */
--- a/src/test/kotlin/org/elderhitch/jobs/JobCodecTest.kt
+++ b/src/test/kotlin/org/elderhitch/jobs/JobCodecTest.kt
@@ -33,50 +33,50 @@
     )
 
     @Test
-    fun `a job decodes to the same when encoded again, and unknown fields are ignored`() {
+    fun `a job survives encoding and decoding, and unknown fields are ignored`() {
         val random = Random(4)
         repeat(300) {
             val body = body(random)
             body["surprise"] = mapOf("deep" to listOf(1, null, "x"))
             val spec = JobCodec.decode(Json.parseObject(Json.bytes(body)))
-            val again = JobCodec.decode(Json.parseObject(Json.bytes(JobCodec.encode(spec))))
-            assertEquals(spec, again)
-            // Null and absent are the same.
+            val decodedAgain = JobCodec.decode(Json.parseObject(Json.bytes(JobCodec.encode(spec))))
+            assertEquals(spec, decodedAgain)
+            // A null field is equivalent to an absent one.
             body.values.removeAll { it == null }
             assertEquals(spec, JobCodec.decode(Json.parseObject(Json.bytes(body))))
         }
     }
 
     @Test
-    fun `the codec names the field when one is missing, mistyped or impossible`() {
-        val good = body(Random(5))
+    fun `the error for a missing or mistyped field names the field, and invalid values are refused`() {
+        val validBody = body(Random(5))
         val required = listOf(
             "id", "lotClass", "desk", "lotKind", "urgency", "crates",
             "cores", "accelerators", "memGb", "catchImage", "haulS",
         )
         for (field in required) {
-            for (wrong in listOf(null, listOf(1), mapOf("a" to 1), true)) {
+            for (badValue in listOf(null, listOf(1), mapOf("a" to 1), true)) {
                 val error =
                     assertFailsWith<MalformedJson>(field) {
-                        JobCodec.decode(Json.parseObject(Json.bytes(good + (field to wrong))))
+                        JobCodec.decode(Json.parseObject(Json.bytes(validBody + (field to badValue))))
                     }
                 assertTrue(field in error.message.orEmpty(), "$field: ${error.message}")
             }
         }
-        val impossible = listOf(
+        val invalidFields = listOf(
             "crates" to 0, "crates" to 100_001, "crates" to 1.5, "cores" to -1.0, "id" to "job-1", "id" to "req-",
             "id" to "req-a b",
             "lotKind" to "swarm", "urgency" to "asap", "rigs" to "g8", "rigs" to listOf(1), "memGb" to "4", "hall" to 7,
             "spread" to "yes",
         )
-        for ((field, wrong) in impossible) {
-            val body = Json.parseObject(Json.bytes(good + (field to wrong)))
-            assertFailsWith<MalformedJson>("$field=$wrong") { JobCodec.decode(body) }
+        for ((field, badValue) in invalidFields) {
+            val body = Json.parseObject(Json.bytes(validBody + (field to badValue)))
+            assertFailsWith<MalformedJson>("$field=$badValue") { JobCodec.decode(body) }
         }
     }
 
     @Test
-    fun `the parser refuses in one line when the text is no JSON object`() {
+    fun `the error for a text that is not a JSON object is a single line`() {
         for (text in listOf("", "nonsense", "[1]", "{\"a\":", "{} {}", "\"x\"", "{\"a\":1,}", "[".repeat(100))) {
             val error = assertFailsWith<MalformedJson>(text) { Json.parseObject(text.toByteArray()) }
             assertTrue('\n' !in error.message.orEmpty())
--- a/src/test/kotlin/org/elderhitch/jobs/JobRegistryTest.kt
+++ b/src/test/kotlin/org/elderhitch/jobs/JobRegistryTest.kt
@@ -15,10 +15,7 @@
 import kotlin.test.assertIs
 import kotlin.test.assertTrue
 
-/**
- * What a node knows about jobs from its own writes, from other controllers and from the state service, in whatever
- * order they report it.
- */
+/** Reports about jobs that reach a node in any order from its own writes, other controllers and the state service. */
 class JobRegistryTest {
     private fun spec(id: String): JobSpec =
         JobCodec.decode(Json.parseObject(Json.bytes(ClassArchiveTraining.exampleJob(id, "array"))))
@@ -43,26 +40,26 @@
     }
 
     /**
-     * The response to a node's own submission took longer than a reload of the watch, past whose revision the job had
-     * been recorded and had ended: the job was opened for good, reported as queued, and started, since nothing would
-     * ever report again that it had ended.
+     * Guards against reopening a job whose end was missed. The response to a node's own submission arrives after the
+     * watch was reloaded at a later revision, before which the job was recorded and ended. The registry then opened the
+     * job; it was shown as queued and started, since its end was never reported again.
      */
     @Test
-    fun `the registry ignores an own submission when a reload has passed its revision`() = runTest {
+    fun `the registry ignores a submission of this node when a reload has passed its revision`() = runTest {
         val events = ArrayList<JobEvent>()
         val jobRegistry = JobRegistry(backgroundScope, events::add).apply { start() }
         jobRegistry.tell(JobMessage.Snapshot(emptyList(), Revision(100)))
-        // Recorded at 101, cancelled at 102, and more has changed since than the service remembers.
+        // The job was recorded at 101 and cancelled at 102, and the service has compacted these changes since.
         jobRegistry.tell(JobMessage.Snapshot(emptyList(), Revision(20_000)))
         jobRegistry.tell(JobMessage.Recorded(spec("req-1"), Revision(101)))
         assertIs<JobLookup.Unknown>(jobRegistry.known("req-1"))
         assertEquals(emptyList(), events.toList())
     }
 
-    /** A message that doesn't come from the watch, and how many messages of the watch precede it. */
+    /** A message that doesn't come from the watch. [position] is the number of messages of the watch before it. */
     private class OwnMessage(val position: Int, val message: JobMessage)
 
-    /** A random history of the job req-1, and the messages that report it, in a random order. */
+    /** A random history of the job req-1, and the messages that report it in a random order. */
     private inner class RandomHistory(seed: Long) {
         private val random = Random(seed)
         val ends = random.nextInt(4) > 0
@@ -74,7 +71,7 @@
         val watched: List<JobMessage> = watchMessages()
         val own: List<OwnMessage> = ownMessages()
 
-        /** Changes in order, now and then cut off by a reload of everything that is there at a later revision. */
+        /** Changes in order, sometimes replaced by a snapshot of everything that exists at a later revision. */
         private fun watchMessages(): List<JobMessage> {
             val messages = ArrayList<JobMessage>()
             var reported = random.nextLong(0, 9)
@@ -97,7 +94,7 @@
             changes.filter { it.version.number in after + 1..upTo } + Change.Drop("v/a/other", Revision(upTo)),
         )
 
-        /** They come at any time after the writes, which is no sooner than the watch's revision of that moment. */
+        /** They arrive at any time after the writes, whatever revision the watch has reached by then. */
         private fun ownMessages(): List<OwnMessage> {
             val messages = ArrayList<OwnMessage>()
             val submission = JobMessage.Recorded(spec("req-1"), Revision(recordedAt))
@@ -111,42 +108,42 @@
         private fun anyPosition() = random.nextInt(1, watched.size + 1)
     }
 
-    /** Reports the history to a new registry, and returns how many own messages came last. */
+    /** Replays a history to a new registry and returns the number of own messages after the last one of the watch. */
     private suspend fun TestScope.replay(seed: Long): Int {
         val history = RandomHistory(seed)
         val events = ArrayList<JobEvent>()
         val jobRegistry = JobRegistry(backgroundScope, events::add).apply { start() }
-        var over = false
+        var hasEnded = false
         history.watched.forEachIndexed { position, message ->
             history.own.filter { it.position == position }.forEach { jobRegistry.tell(it.message) }
             jobRegistry.tell(message)
             val known = jobRegistry.known("req-1")
-            if (over) assertTrue(known !is JobLookup.Open, "seed $seed: open again")
-            over = over || known is JobLookup.Ended
+            if (hasEnded) assertTrue(known !is JobLookup.Open, "seed $seed: the job is open again")
+            hasEnded = hasEnded || known is JobLookup.Ended
         }
         val last = history.own.filter { it.position == history.watched.size }
         last.forEach { jobRegistry.tell(it.message) }
         if (history.ends) {
-            assertTrue(jobRegistry.known("req-1") !is JobLookup.Open, "seed $seed: it has ended")
+            assertTrue(jobRegistry.known("req-1") !is JobLookup.Open, "seed $seed: the job has ended but is open")
         } else {
-            assertIs<JobLookup.Open>(jobRegistry.known("req-1"), "seed $seed: it is open")
+            assertIs<JobLookup.Open>(jobRegistry.known("req-1"), "seed $seed: the job must be open")
         }
         val kinds = events.filter { it is JobEvent.Opened || it is JobEvent.Ended }.map { it is JobEvent.Opened }
         assertTrue(
             kinds.zipWithNext().none { (a, b) -> a == b } && kinds.count { it } <= 1,
-            "seed $seed: opened and ended once at most: $kinds",
+            "seed $seed: the job must open and end at most once: $kinds",
         )
         return last.size
     }
 
     /**
-     * Every order in which messages about one job can come, between reloads: once its end was reported it is never open
-     * again, and nobody learns that it is gone before.
+     * Messages about one job arrive in random order between reloads. Once its end was reported, the job is never open
+     * again, and its end is not reported before it has ended.
      */
     @Test
-    fun `the registry never opens an ended job again when own messages, others' messages, changes and reloads mix`() =
+    fun `the registry never reopens an ended job, whatever the order of messages of all nodes, changes and reloads`() =
         runTest {
             val late = (1L..3000L).sumOf { replay(it) }
-            assertTrue(late > 500, "$late own messages came last")
+            assertTrue(late > 500, "too few own messages came last: $late")
         }
 }
--- a/src/test/kotlin/org/elderhitch/jobs/JobServiceTest.kt
+++ b/src/test/kotlin/org/elderhitch/jobs/JobServiceTest.kt
@@ -72,7 +72,7 @@
             stateWatch.start()
         }
 
-        /** As the leader, records that both tasks of the job are completed. */
+        /** Records, as the leader, that both tasks of the job are completed. */
         suspend fun complete(leadership: LeadershipState.Leader, id: JobId, version: Revision) {
             val all = CompletedTasks(2).apply {
                 add(0)
@@ -83,37 +83,37 @@
     }
 
     /**
-     * Seen in `lab drmaa`: a batch was made of a job of which one task was missing; that task completed before the
-     * batch was recorded, and the job ended for ever without an account.
+     * Guards against a terminal record without a usage account: a batch is created while one task of the job is
+     * missing, and that task completes before the batch is recorded.
      */
     @Test
-    fun `a job ends with the next batch when its last task completes while a part of it is being recorded`() = runTest {
+    fun `a job ends with the next batch when its last task completes while a batch is being recorded`() = runTest {
         val clock = SteadyClock { MonotonicInstant(currentTime * 1_000_000) }
         val completionWriter = Node(
             this,
             LossyNet(backgroundScope, Random(1), StateStandIn(clock)),
             clock,
         ).completionWriter
-        val state = CompletedTasks(2).apply { add(0) }
-        val part = CompletionBatch(JobId("req-1"), Revision(3), state, listOf(0))
-        state.add(1)
-        assertEquals(listOf(null), completionWriter.writesOf(part).map { it.terminalRecord })
-        // Nor may the part say that all are done: whoever reads so has nothing left to record, and the job stays open
-        // for ever.
+        val completed = CompletedTasks(2).apply { add(0) }
+        val firstBatch = CompletionBatch(JobId("req-1"), Revision(3), completed, listOf(0))
+        completed.add(1)
+        assertEquals(listOf(null), completionWriter.writesOf(firstBatch).map { it.terminalRecord })
+        // The first batch must not contain the last task either: a leader that reads this has nothing left to record,
+        // and the job stays open forever.
         assertEquals(
             listOf(mapOf("f" to "0")),
-            completionWriter.writesOf(part).flatMap { it.writes }.map { (it as Write.Put).value },
+            completionWriter.writesOf(firstBatch).flatMap { it.writes }.map { (it as Write.Put).value },
         )
-        val whole = CompletionBatch(JobId("req-1"), Revision(3), state, listOf(1), ACCOUNT)
-        assertEquals(ACCOUNT, completionWriter.writesOf(whole).single().terminalRecord?.account)
+        val secondBatch = CompletionBatch(JobId("req-1"), Revision(3), completed, listOf(1), ACCOUNT)
+        assertEquals(ACCOUNT, completionWriter.writesOf(secondBatch).single().terminalRecord?.account)
         coroutineContext.cancelChildren()
     }
 
-    /** The last answer that users got about each job: no later answer may contradict one that was given before it. */
+    /** The last answer that users got about each job; no answer may contradict one from before its request. */
     private class AnswerHistory(private val seed: Long) {
         val last = HashMap<JobId, String>()
 
-        /** [before]: what was last answered when this was asked. */
+        /** Checks and adds an answer. [before] is the last answer at the time of the request. */
         fun add(id: JobId, before: String?, answer: JobResponse) {
             val phase = when (answer) {
                 is JobResponse.Accepted -> answer.status.phase.wireName
@@ -121,13 +121,13 @@
                 JobResponse.Unknown -> "unknown"
                 else -> return
             }
-            if (before in TERMINAL) assertEquals(before, phase, "seed $seed: $id went back")
-            if (before != null) assertTrue(phase != "unknown", "seed $seed: $id is forgotten")
+            if (before in TERMINAL) assertEquals(before, phase, "seed $seed: $id left its terminal state")
+            if (before != null) assertTrue(phase != "unknown", "seed $seed: $id became unknown")
             if (phase != "unknown" && last[id] !in TERMINAL) last[id] = phase
         }
     }
 
-    /** Three nodes on a lossy network, and users who ask any of them for anything. */
+    /** Three nodes on a lossy network, and users who send random requests to any of them. */
     private class Users(private val test: TestScope, seed: Long) {
         private val random = Random(seed)
         private val clock = SteadyClock { MonotonicInstant(test.currentTime * 1_000_000) }
@@ -137,14 +137,14 @@
         private val ids = List(12) { JobId("req-$it") }
         val answers = AnswerHistory(seed)
 
-        suspend fun askAtRandom() {
+        suspend fun sendRandomRequests() {
             delay(1.seconds)
             val leadership = leadership()
             net.trouble = 0.2
             val users = List(10) { user ->
                 test.launch {
                     repeat(25) {
-                        askOnce(leadership, choices = if (user == 0) 5 else 4)
+                        sendRandomRequest(leadership, choices = if (user == 0) 5 else 4)
                         delay(random.nextLong(400).milliseconds)
                     }
                 }
@@ -154,7 +154,7 @@
             delay(30.seconds)
         }
 
-        /** No counter yet: its version is that of an absent key, which never changes here. */
+        /** The term counter is never written here, so its version is that of an absent key. */
         private fun leadership() = LeadershipState.Leader(
             Term(1),
             Revision.ABSENT,
@@ -165,7 +165,7 @@
             clock.now(),
         )
 
-        private suspend fun askOnce(leadership: LeadershipState.Leader, choices: Int) {
+        private suspend fun sendRandomRequest(leadership: LeadershipState.Leader, choices: Int) {
             val id = ids.random(random)
             val node = nodes.random(random)
             val before = answers.last[id]
@@ -177,49 +177,47 @@
             }
         }
 
-        /** Every node tells every user what was told before, and each job is either open or ended. */
+        /** Checks that every node confirms the earlier answers, and that no job is both open and ended. */
         suspend fun checkAllNodes() {
             for ((id, phase) in answers.last) {
                 for (node in nodes) answers.add(id, phase, node.jobService.show(id))
                 assertTrue(
                     state.value(Keys.job(id)) == null || state.value(Keys.terminalRecord(id)) == null,
-                    "$id is open and ended",
+                    "$id is both open and ended",
                 )
             }
         }
     }
 
-    /**
-     * Done, cancelled, repeated, lost and late: what one user is told once, every node tells every user from then on.
-     */
+    /** Once a user got a terminal state as the answer, every node gives every user that answer from then on. */
     @Test
-    fun `a job keeps one terminal state and gets no outdated answer when requests mix and messages are lost`() {
-        val endings = HashMap<String, Int>()
+    fun `a job keeps its terminal state and no answer is outdated under concurrent requests and message loss`() {
+        val phaseCounts = HashMap<String, Int>()
         for (seed in 1L..8L) {
             runTest {
                 val users = Users(this, seed)
-                users.askAtRandom()
+                users.sendRandomRequests()
                 users.checkAllNodes()
-                users.answers.last.values.forEach { endings.merge(it, 1, Int::plus) }
+                users.answers.last.values.forEach { phaseCounts.merge(it, 1, Int::plus) }
             }
         }
-        assertTrue(endings.keys.containsAll(TERMINAL), "too little was tried: $endings")
+        assertTrue(phaseCounts.keys.containsAll(TERMINAL), "not all terminal states occurred: $phaseCounts")
     }
 
     /**
-     * Users ask eight times as often on some days, also for jobs that nobody submitted, and the state service has its
-     * limits.
+     * Guards against exhausting the rate limit of the state service: users may send eight times the usual number of
+     * requests, including many for jobs that nobody submitted.
      */
     @Test
-    fun `a job that nobody submitted is read from the store once until somebody submits it`() = runTest {
+    fun `an unknown job is read from the store only once until it is submitted`() = runTest {
         val clock = SteadyClock { MonotonicInstant(currentTime * 1_000_000) }
         val state = StateStandIn(clock)
         var reads = 0
-        val counting = Handler { request ->
+        val countingHandler = Handler { request ->
             if (request.path.startsWith("/store/v/z/end/")) reads++
             state.handle(request)
         }
-        val net = LossyNet(backgroundScope, Random(1), counting).apply { trouble = 0.0 }
+        val net = LossyNet(backgroundScope, Random(1), countingHandler).apply { trouble = 0.0 }
         val nodes = List(2) { Node(this, net, clock) }
         delay(1.seconds)
         val id = JobId("req-7")
--- a/src/test/kotlin/org/elderhitch/jobs/SampleJobs.kt
+++ b/src/test/kotlin/org/elderhitch/jobs/SampleJobs.kt
@@ -3,7 +3,7 @@
 import org.elderhitch.settings.TeamName
 import kotlin.time.Duration
 
-/** A job of one team and image that any machine may run, with no deadline and no checkpoints. */
+/** A job without placement constraints, deadline or checkpoints. */
 internal fun sampleJob(
     id: String,
     kind: JobKind,
