--- a/src/main/kotlin/org/elderhitch/drmaa/Drmaa.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Drmaa.kt
@@ -17,7 +17,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Serves DRMAA clients: sessions, their jobs and their results, on any node, through the same core as native users. */
+/**
+ * The HTTP interface for DRMAA clients: sessions, their jobs and their results. Every node serves it, and jobs take the
+ * same path through the scheduler as those of the native API.
+ */
 public class Drmaa(private val settings: DrmaaSettings, private val context: FeatureContext) : Feature {
     override val name: String get() = "drmaa"
 
@@ -38,7 +41,7 @@
             context::sync,
         )
     private val waits =
-        Waits(sessionRegistry, reaper, context::sync, context.clock, mostWaits(context.settings.maxSockets))
+        Waits(sessionRegistry, reaper, context::sync, context.clock, maxWaits(context.settings.maxSockets))
     private val control =
         JobControl(sessionRegistry, context.jobService, submissions, context::sync, context::hold, context.clock)
     private val housekeeping =
@@ -53,39 +56,39 @@
             limits.txnOps,
         )
     private val templates = TemplateCheck(settings.categories)
-    private var refused = 0L
+    private var refusedCount = 0L
 
     override fun start() {
         sessionRegistry.start()
-        context.metrics.gauge("drmaa.waits") { waits.held }
+        context.metrics.gauge("drmaa.waits") { waits.activeCount }
         context.metrics.gauge("drmaa.sessions") { sessionRegistry.open }
     }
 
-    override fun onSnapshot(entries: List<Entry>) = sessionRegistry.tell(BookMessage.Snapshot(entries))
+    override fun onSnapshot(entries: List<Entry>) = sessionRegistry.tell(RegistryMessage.Snapshot(entries))
 
     override fun onChanges(changes: List<Change>) {
-        sessionRegistry.tell(BookMessage.Changed(changes))
-        housekeeping.changed(changes)
+        sessionRegistry.tell(RegistryMessage.Changed(changes))
+        housekeeping.onChanges(changes)
     }
 
-    override fun onTermStarted(leadership: LeadershipState.Leader) = housekeeping.begin(leadership)
+    override fun onTermStarted(leadership: LeadershipState.Leader) = housekeeping.start(leadership)
 
-    override fun onTermEnded() = housekeeping.end()
+    override fun onTermEnded() = housekeeping.stop()
 
     override fun retainsCompletions(job: JobId): Boolean = JobName.parse(job)?.members != null
 
     override fun status(): Map<String, Any?> = linkedMapOf(
         "sessions" to sessionRegistry.open,
-        "sessions_here" to sessionRegistry.inUse,
-        "waits" to waits.held,
-        "most_waits" to waits.most,
-        "refused" to refused,
-        "results_let_go" to housekeeping.letGo,
+        "sessions_here" to sessionRegistry.loadedCount,
+        "waits" to waits.activeCount,
+        "most_waits" to waits.maxCount,
+        "refused" to refusedCount,
+        "results_let_go" to housekeeping.expiredResults,
     )
 
     override suspend fun explain(job: JobId): List<String>? {
         val name = JobName.parse(job) ?: return null
-        val held = sessionRegistry.look(name.session) { it.held(name) } ?: return null
+        val held = sessionRegistry.query(name.session) { it.held(name) } ?: return null
         val until = held.startAt?.let { "; it starts at $it" }.orEmpty()
         return listOf(
             (if (held.byUser) "held by its user since ${held.since}, " else "") + "not submitted yet$until",
@@ -94,32 +97,32 @@
 
     override suspend fun handle(request: Request): Response = try {
         when {
-            request.method != "POST" -> HttpServer.refusal(WRONG_METHOD, "only POST")
+            request.method != "POST" -> HttpServer.refusal(METHOD_NOT_ALLOWED, "only POST")
 
             !settings.networks.allow(
                 request.from,
-            ) -> throw Refused(Fault.AuthorizationException, "not from this network")
+            ) -> throw Refused(Fault.AuthorizationException, "requests from this network are not allowed")
 
-            else -> answer(request.path.removePrefix("/$name/"), Json.parseObject(request.body))
+            else -> dispatch(request.path.removePrefix("/$name/"), Json.parseObject(request.body))
         }
     } catch (e: Refused) {
         refusal(e.fault.status, e.fault, e.reason)
     } catch (e: BadToken) {
         refusal(UNAUTHORIZED, Fault.AuthorizationException, e.message.orEmpty())
     } catch (e: MalformedJson) {
-        refusal(BAD, Fault.InvalidArgumentException, e.message.orEmpty())
+        refusal(BAD_REQUEST, Fault.InvalidArgumentException, e.message.orEmpty())
     }
 
     private fun refusal(status: Int, fault: Fault, reason: String): Response {
-        refused++
+        refusedCount++
         if (log.isDebugEnabled) log.debug("drmaa refused status={} fault={} reason=\"{}\"", status, fault, reason)
-        val headers = if (status == BUSY) {
+        val headers = if (status == SERVICE_UNAVAILABLE) {
             mapOf(
                 "Retry-After" to (
                     if (fault == Fault.TryLaterException) {
-                        LATER
+                        OVERLOADED_RETRY_AFTER
                     } else {
-                        SOON
+                        UNAVAILABLE_RETRY_AFTER
                     }
                     ).inWholeSeconds.toString(),
             )
@@ -129,16 +132,16 @@
         return Response(status, Json.bytes(linkedMapOf("exception" to fault.name, "error" to reason)), headers)
     }
 
-    private suspend fun answer(path: String, body: JsonObject): Response {
+    private suspend fun dispatch(path: String, body: JsonObject): Response {
         val claim = settings.tokens.verify(body.string("token"), context.wallClock.now())
         if (claim.team !in context.settings.teams) {
-            throw Refused(Fault.AuthorizationException, "the token's team is unknown here")
+            throw Refused(Fault.AuthorizationException, "the token's team is not configured on this controller")
         }
         if (path == "open") return open(claim, body)
-        if (claim !is Claim.InSession) throw Refused(Fault.NoActiveSessionException, "a session's token is needed")
-        val record = sessionRegistry.look(claim.session) { it.record } ?: unseen(claim)
-        if (record.team != claim.team) throw Refused(Fault.AuthorizationException, "the session is another team's")
-        if (sessions.isUnmarked(record)) context.scope.launch { sessions.touch(claim.session, record) }
+        if (claim !is Claim.InSession) throw Refused(Fault.NoActiveSessionException, "a session token is required")
+        val record = sessionRegistry.query(claim.session) { it.record } ?: recordAfterSync(claim)
+        if (record.team != claim.team) throw Refused(Fault.AuthorizationException, "session of another team")
+        if (sessions.isTouchDue(record)) context.scope.launch { sessions.touch(claim.session, record) }
         return when (path) {
             "close" -> if (sessions.close(
                     claim.session,
@@ -158,7 +161,7 @@
 
             "wait" -> wait(claim, body)
 
-            "sync" -> synchronize(claim, body)
+            "sync" -> sync(claim, body)
 
             "status" -> status(claim, body)
 
@@ -167,23 +170,23 @@
     }
 
     /**
-     * Opened on another node a moment ago, perhaps: only after all is known that was recorded by now is it surely not
-     * open.
+     * Looks the session up again after synchronizing with the state service: it may just have been opened on another
+     * node, and only an up-to-date view can tell that it is not open.
      */
-    private suspend fun unseen(claim: Claim.InSession): SessionRecord {
+    private suspend fun recordAfterSync(claim: Claim.InSession): SessionRecord {
         if (!context.sync()) throw Refused(Fault.DrmCommunicationException, "the state service doesn't answer")
-        return sessionRegistry.look(claim.session) { it.record }
-            ?: throw Refused(Fault.NoActiveSessionException, "the session was closed, or was not used for too long")
+        return sessionRegistry.query(claim.session) { it.record }
+            ?: throw Refused(Fault.NoActiveSessionException, "the session was closed or has expired")
     }
 
     private suspend fun open(claim: Claim, body: JsonObject): Response {
         val session = when (claim) {
-            is Claim.InSession -> claim.session.also { unseen(claim) }
+            is Claim.InSession -> claim.session.also { recordAfterSync(claim) }
 
             is Claim.Grant -> {
                 val nonce = body.string("nonce")
-                if (nonce.length !in SHORTEST_NONCE..LONGEST_NONCE) {
-                    throw MalformedJson("nonce: not $SHORTEST_NONCE to $LONGEST_NONCE characters")
+                if (nonce.length !in MIN_NONCE_LENGTH..MAX_NONCE_LENGTH) {
+                    throw MalformedJson("nonce: not $MIN_NONCE_LENGTH to $MAX_NONCE_LENGTH characters")
                 }
                 if (!context.sync()) throw Refused(Fault.DrmCommunicationException, "the state service doesn't answer")
                 settings.tokens.sessionFor(claim.team, nonce).also { sessions.open(it, claim.team) }
@@ -194,7 +197,7 @@
             "token" to settings.tokens.issue(Claim.InSession(claim.team, session)),
             "owner" to (claim is Claim.Grant),
             "system" to "elderhitch",
-            "hold_ms" to Waits.LONGEST_HOLD.inWholeMilliseconds,
+            "hold_ms" to Waits.MAX_HOLD.inWholeMilliseconds,
             "categories" to settings.categories.keys.sorted(),
         )
     }
@@ -206,7 +209,7 @@
         ) {
             throw Refused(Fault.DrmCommunicationException, "the state service doesn't answer")
         }
-        val request = request(body)
+        val request = requestId(body)
         val bulk = body.objectOrNull("bulk")?.let { Bulk.of(it.long("start"), it.long("end"), it.long("step")) }
         val job = JobName(claim.session, request.tag, request.number, bulk?.members)
         submissions.submit(job, templates.check(job, claim.team, body.obj("template"), bulk, context.wallClock.now()))
@@ -217,9 +220,9 @@
         val action =
             Action.entries.firstOrNull { it.name == body.string("action") } ?: throw MalformedJson("action: unknown")
         val text = body.string("job")
-        if (text == ALL) {
-            val upTo = upTo(body) ?: control.upTo(claim.session)
-            val progress = control.all(claim.session, action, upTo)
+        if (text == ALL_JOBS) {
+            val upTo = upTo(body) ?: control.highestNumbers(claim.session)
+            val progress = control.controlAll(claim.session, action, upTo)
             return ok(
                 "done" to progress.done,
                 "left" to progress.left,
@@ -227,14 +230,14 @@
                 "upto" to upTo.mapKeys { it.key.text },
             )
         }
-        val result = result(claim, text, bulkToo = true)
+        val result = resultName(claim, text, allowWholeBulk = true)
         if (result.member != null) {
             throw Refused(
                 Fault.DeniedByDrmException,
-                "$text: the members of a bulk job go together; name ${result.job}",
+                "$text: members of a bulk job can't be controlled one by one; use ${result.job}",
             )
         }
-        control.one(result.job, action)
+        control.control(result.job, action)
         return ok("done" to 1)
     }
 
@@ -246,15 +249,15 @@
             throw Refused(Fault.DrmCommunicationException, "the state service doesn't answer")
         }
         val text = body.string("job")
-        val answer = if (text == ANY) {
-            waits.any(claim.session, request(body), hold(body))
+        val answer = if (text == ANY_JOB) {
+            waits.awaitAny(claim.session, requestId(body), holdDuration(body))
         } else {
-            waits.one(result(claim, text), request(body), hold(body))
+            waits.awaitOne(resultName(claim, text), requestId(body), holdDuration(body))
         }
-        return answer(answer)
+        return response(answer)
     }
 
-    private suspend fun synchronize(claim: Claim.InSession, body: JsonObject): Response {
+    private suspend fun sync(claim: Claim.InSession, body: JsonObject): Response {
         if (!loader.load(
                 claim.session,
             )
@@ -262,9 +265,9 @@
             throw Refused(Fault.DrmCommunicationException, "the state service doesn't answer")
         }
         val jobs = body.stringsOrNull("jobs") ?: throw MalformedJson("jobs: missing")
-        val names = if (jobs == listOf(ALL)) null else jobs.map { result(claim, it) }.distinct()
+        val names = if (jobs == listOf(ALL_JOBS)) null else jobs.map { resultName(claim, it) }.distinct()
         val dispose = body.booleanOrNull("dispose") ?: false
-        return answer(waits.all(claim.session, names, upTo(body), request(body), dispose, hold(body)))
+        return response(waits.awaitAll(claim.session, names, upTo(body), requestId(body), dispose, holdDuration(body)))
     }
 
     private suspend fun status(claim: Claim.InSession, body: JsonObject): Response {
@@ -274,49 +277,49 @@
         ) {
             throw Refused(Fault.DrmCommunicationException, "the state service doesn't answer")
         }
-        val status = control.status(result(claim, body.string("job"), bulkToo = true))
+        val status = control.status(resultName(claim, body.string("job"), allowWholeBulk = true))
         return ok("status" to status.code, "name" to status.name)
     }
 
-    private fun answer(answer: WaitAnswer): Response = when (answer) {
+    private fun response(answer: WaitAnswer): Response = when (answer) {
         is WaitAnswer.Ended -> ok(
             "job" to answer.result.name.toString(),
-            "done" to answer.result.done,
+            "done" to answer.result.isDone,
             "tasks" to answer.result.record?.done,
             "account" to answer.result.record?.account?.encode(),
         )
 
         WaitAnswer.AllEnded -> ok("ended" to true)
 
-        is WaitAnswer.NotYet -> ok("waiting" to true, "upto" to answer.upTo.mapKeys { it.key.text })
+        is WaitAnswer.Pending -> ok("waiting" to true, "upto" to answer.upTo.mapKeys { it.key.text })
 
-        is WaitAnswer.NotNow -> throw Refused(Fault.DrmCommunicationException, answer.reason)
+        is WaitAnswer.Unavailable -> throw Refused(Fault.DrmCommunicationException, answer.reason)
     }
 
-    /** [bulkToo]: whether a bulk job may be named as a whole. */
-    private fun result(claim: Claim.InSession, text: String, bulkToo: Boolean = false): ResultName {
-        val whole = JobId.parse(text)?.let(JobName::parse)?.takeIf { bulkToo && it.members != null }
+    /** Parses the id of a job or a bulk job's member; with [allowWholeBulk] also that of a bulk job as a whole. */
+    private fun resultName(claim: Claim.InSession, text: String, allowWholeBulk: Boolean = false): ResultName {
+        val whole = JobId.parse(text)?.let(JobName::parse)?.takeIf { allowWholeBulk && it.members != null }
         val result = whole?.let { ResultName(it, null) } ?: ResultName.parse(text)
         if (result == null || result.job.session != claim.session) {
-            throw Refused(Fault.InvalidJobException, "\"${text.take(SHOWN)}\" is no job of this session")
+            throw Refused(Fault.InvalidJobException, "\"${text.take(MAX_QUOTED_LENGTH)}\" is not a job of this session")
         }
         return result
     }
 
-    private fun request(body: JsonObject): RequestId =
-        RequestId.parse(body.string("request")) ?: throw MalformedJson("request: not a client's tag and a number")
+    private fun requestId(body: JsonObject): RequestId =
+        RequestId.parse(body.string("request")) ?: throw MalformedJson("request: must be a client tag and a number")
 
-    private fun hold(body: JsonObject) = (body.longOrNull("holdMs") ?: 0).also {
+    private fun holdDuration(body: JsonObject) = (body.longOrNull("holdMs") ?: 0).also {
         if (it < 0) {
-            throw MalformedJson("holdMs: below 0")
+            throw MalformedJson("holdMs: must not be negative")
         }
     }
-        .milliseconds.coerceAtMost(Waits.LONGEST_HOLD)
+        .milliseconds.coerceAtMost(Waits.MAX_HOLD)
 
-    private fun upTo(body: JsonObject): Map<ClientTag, Int>? = body.objectOrNull("upto")?.let { said ->
-        said.names.associate {
-            (ClientTag.parse(it) ?: throw MalformedJson("upto: no client's tag")) to
-                said.long(it).toInt()
+    private fun upTo(body: JsonObject): Map<ClientTag, Int>? = body.objectOrNull("upto")?.let { numbers ->
+        numbers.names.associate {
+            (ClientTag.parse(it) ?: throw MalformedJson("upto: not a client tag")) to
+                numbers.long(it).toInt()
         }
     }
 
@@ -331,28 +334,28 @@
 
     private companion object {
         const val OK = 200
-        const val BAD = 400
+        const val BAD_REQUEST = 400
         const val UNAUTHORIZED = 401
         const val NOT_FOUND = 404
-        const val WRONG_METHOD = 405
-        const val BUSY = 503
-        const val SHORTEST_NONCE = 12
-        const val LONGEST_NONCE = 64
-        const val SHOWN = 80
-        const val ALL = "DRMAA_JOB_IDS_SESSION_ALL"
-        const val ANY = "DRMAA_JOB_IDS_SESSION_ANY"
+        const val METHOD_NOT_ALLOWED = 405
+        const val SERVICE_UNAVAILABLE = 503
+        const val MIN_NONCE_LENGTH = 12
+        const val MAX_NONCE_LENGTH = 64
+        const val MAX_QUOTED_LENGTH = 80
+        const val ALL_JOBS = "DRMAA_JOB_IDS_SESSION_ALL"
+        const val ANY_JOB = "DRMAA_JOB_IDS_SESSION_ANY"
 
         /**
-         * A node out of sockets may be so for a while; one that misses the state service is mostly back within a
-         * second.
+         * A node that has reached a limit may stay there for a while; a lost connection to the state service is usually
+         * restored within a second.
          */
-        val LATER = 3.seconds
-        val SOON = 1.seconds
+        val OVERLOADED_RETRY_AFTER = 3.seconds
+        val UNAVAILABLE_RETRY_AFTER = 1.seconds
 
-        /** Of a node's sockets, workers and native users come first. */
-        const val WAITS_SHARE = 4
-        const val LEAST_WAITS = 4
+        /** At most one socket in so many serves a wait; the rest is for workers and the native API. */
+        const val SOCKETS_PER_WAIT = 4
+        const val MIN_WAITS = 4
 
-        fun mostWaits(maxSockets: Int): Int = maxOf(maxSockets / WAITS_SHARE, LEAST_WAITS)
+        fun maxWaits(maxSockets: Int): Int = maxOf(maxSockets / SOCKETS_PER_WAIT, MIN_WAITS)
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/DrmaaSettings.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/DrmaaSettings.kt
@@ -7,22 +7,22 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.days
 
-/** What the operators set for DRMAA. */
+/** Settings of the DRMAA interface. */
 public class DrmaaSettings(
     public val tokens: Tokens,
     public val networks: Networks,
     public val categories: Map<String, Map<String, Any?>>,
     public val sessionsPerTeam: Int = 50,
-    /** Open jobs and results that nobody took, of one session; a bulk job counts by its members. */
+    /** Limit of a session's open jobs and untaken results; each member of a bulk job counts. */
     public val resultsPerSession: Int = 200_000,
     public val heldPerTeam: Int = 500,
-    /** How long a result that nobody took is kept. */
+    /** How long an untaken result is kept after its job has ended. */
     public val keepResults: Duration = 7.days,
-    /** How long a session that nobody uses is kept. */
+    /** How long an unused session stays open, and how long a job may stay on hold. */
     public val keepSessions: Duration = 30.days,
 )
 
-/** The section `drmaa` of the features file. */
+/** Reads the section `drmaa` of the features file. */
 public class DrmaaSection : SectionReader {
     override fun read(section: LuaSection, file: File): FeatureFactory {
         val settings = settings(section, file)
@@ -33,11 +33,11 @@
         section.requireKnownKeys(KEYS)
         val keyFile = section.stringOrNull("keys") ?: section.fail(
             "keys",
-            "missing: DRMAA doesn't start without a key file",
+            "missing: DRMAA needs a key file",
         )
         val tokens = try {
             Tokens.load(File(keyFile).let { if (it.isAbsolute) it else File(file.absoluteFile.parentFile, keyFile) })
-        } catch (e: BadKeys) {
+        } catch (e: InvalidKeyFile) {
             section.fail("keys", e.message.orEmpty())
         }
         val networks = try {
@@ -50,16 +50,16 @@
             tokens,
             networks,
             section.sectionOrNull("categories")?.let(::categories).orEmpty(),
-            section.intOrNull("sessions_per_team", 1, MOST_SESSIONS) ?: defaults.sessionsPerTeam,
-            section.intOrNull("results_per_session", 1, MOST_RESULTS) ?: defaults.resultsPerSession,
-            section.intOrNull("held_per_team", 0, MOST_HELD) ?: defaults.heldPerTeam,
-            section.numberOrNull("keep_results_days", LEAST_DAYS, MOST_DAYS)?.days ?: defaults.keepResults,
-            section.numberOrNull("keep_sessions_days", LEAST_SESSION_DAYS, MOST_DAYS)?.days ?: defaults.keepSessions,
+            section.intOrNull("sessions_per_team", 1, MAX_SESSIONS) ?: defaults.sessionsPerTeam,
+            section.intOrNull("results_per_session", 1, MAX_RESULTS) ?: defaults.resultsPerSession,
+            section.intOrNull("held_per_team", 0, MAX_HELD) ?: defaults.heldPerTeam,
+            section.numberOrNull("keep_results_days", MIN_DAYS, MAX_DAYS)?.days ?: defaults.keepResults,
+            section.numberOrNull("keep_sessions_days", MIN_SESSION_DAYS, MAX_DAYS)?.days ?: defaults.keepSessions,
         )
     }
 
     private fun categories(section: LuaSection): Map<String, Map<String, Any?>> = section.keys.associateWith { name ->
-        val category = section.sectionOrNull(name) ?: section.fail(name, "must be a table of a native job's fields")
+        val category = section.sectionOrNull(name) ?: section.fail(name, "must be a table of native job fields")
         category.requireKnownKeys(TemplateCheck.CATEGORY_FIELDS)
         category.keys.associateWith { category.jsonValueOrNull(it) }
     }
@@ -75,13 +75,13 @@
             "keep_results_days",
             "keep_sessions_days",
         )
-        const val MOST_SESSIONS = 1000
-        const val MOST_RESULTS = 1_000_000
-        const val MOST_HELD = 5000
-        const val LEAST_DAYS = 0.01
+        const val MAX_SESSIONS = 1000
+        const val MAX_RESULTS = 1_000_000
+        const val MAX_HELD = 5000
+        const val MIN_DAYS = 0.01
 
-        /** That a session is in use is left in the state service once an hour. */
-        const val LEAST_SESSION_DAYS = 0.1
-        const val MOST_DAYS = 3650.0
+        /** Above the hour within which the recorded time of a session's last use may lag. */
+        const val MIN_SESSION_DAYS = 0.1
+        const val MAX_DAYS = 3650.0
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
@@ -24,9 +24,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The leader's part: held jobs whose time has come are submitted, results that nobody took for too long are let go,
- * sessions that nobody
- * uses are closed, and what closed sessions leave is dropped. One session a minute, in the last rank of the write rate.
+ * Periodic work of the leader: submits held jobs whose start time has come, expires old results, closes unused sessions
+ * and deletes the data of closed ones. Cleans one session a minute, at the lowest write priority except when it closes
+ * a session or ends a held job.
  */
 public class Housekeeping(
     context: FeatureContext,
@@ -45,24 +45,24 @@
     private var running: Job? = null
     private var leadership: LeadershipState.Leader? = null
 
-    /** Results that were let go in this term. */
-    public var letGo: Int = 0
+    /** Results that this node has expired as the leader. */
+    public var expiredResults: Int = 0
         private set
 
-    public fun begin(leadership: LeadershipState.Leader) {
-        end()
+    public fun start(leadership: LeadershipState.Leader) {
+        stop()
         this.leadership = leadership
         running = scope.launch {
             var seconds = 0
             while (true) {
                 delay(1.seconds)
                 submissions.startDue(wallClock.now())
-                if (++seconds % SWEEP_EVERY == 0) sweep(leadership)
+                if (++seconds % CLEAN_INTERVAL_S == 0) cleanNext(leadership)
             }
         }
     }
 
-    public fun end() {
+    public fun stop() {
         running?.cancel()
         running = null
         leadership = null
@@ -70,54 +70,56 @@
 
     private var cursor: SessionName? = null
 
-    private suspend fun sweep(leadership: LeadershipState.Leader) {
+    private suspend fun cleanNext(leadership: LeadershipState.Leader) {
         val all = sessionRegistry.sessions().toSortedMap()
-        val next = all.keys.firstOrNull { name -> cursor.let { it == null || name > it } } ?: all.keys.firstOrNull()
-        cursor = next
-        if (next != null) look(leadership, next, all.getValue(next))
-        closed(leadership)
+        val session = all.keys.firstOrNull { name -> cursor.let { it == null || name > it } } ?: all.keys.firstOrNull()
+        cursor = session
+        if (session != null) cleanSession(leadership, session, all.getValue(session))
+        cleanClosed(leadership)
     }
 
-    private fun guard(leadership: LeadershipState.Leader) = Condition(Keys.TERM, leadership.termRevision)
+    private fun termCondition(leadership: LeadershipState.Leader) = Condition(Keys.TERM, leadership.termRevision)
 
-    private suspend fun look(leadership: LeadershipState.Leader, session: SessionName, record: SessionRecord) {
+    private suspend fun cleanSession(leadership: LeadershipState.Leader, session: SessionName, record: SessionRecord) {
         val now = wallClock.now()
         if (now - record.used > settings.keepSessions) {
-            sessions.close(session, "unused", listOf(guard(leadership)))
+            sessions.close(session, "unused", listOf(termCondition(leadership)))
             return
         }
-        // Nothing of a younger session can be old enough, and most are: they cost no read.
+        // A session younger than the retention period, as most are, has nothing to expire: skip it without a read.
         if (now - record.opened <= settings.keepResults || !loader.load(session)) return
-        forget(session, now)
-        overdue(session, now)
+        expireResults(session, now)
+        expireHeldJobs(session, now)
     }
 
-    /** Results that nobody took in time are marked as taken by nobody: whoever asks is told that they are gone. */
-    private suspend fun forget(session: SessionName, now: WallTime) {
-        val untaken = sessionRegistry.look(session) { it.state.untaken().take(MOST_A_SWEEP).toList() }.orEmpty()
-        for ((key, results) in untaken.groupBy { it.block }) {
-            val old = results.filter { result -> endOf(result)?.let { now - it > settings.keepResults } ?: false }
-            if (old.isEmpty()) continue
-            if (reaper.take(key, old, null, RequestPriority.OTHER) !is Reaped.Taken) return
-            letGo += old.size
-            log.info("results let go session={} count={} first={}", session, old.size, old.first())
+    /** Marks old results as taken, by no request: later waits for them fail as for any result that was taken. */
+    private suspend fun expireResults(session: SessionName, now: WallTime) {
+        val ended = sessionRegistry.query(session) {
+            it.state.endedResults().take(MAX_EXPIRED_PER_PASS).toList()
+        }.orEmpty()
+        for ((key, results) in ended.groupBy { it.block }) {
+            val expired = results.filter { result -> endTime(result)?.let { now - it > settings.keepResults } ?: false }
+            if (expired.isEmpty()) continue
+            if (reaper.take(key, expired, null, RequestPriority.OTHER) !is Reaped.Taken) return
+            expiredResults += expired.size
+            log.info("results let go session={} count={} first={}", session, expired.size, expired.first())
         }
     }
 
-    private suspend fun endOf(result: ResultName): WallTime? =
+    private suspend fun endTime(result: ResultName): WallTime? =
         (client.read(Keys.terminalRecord(result.job.id), RequestPriority.OTHER) as? ReadOutcome.Found)?.let {
             TerminalRecord.decode(it.entry.value)?.account?.end
         }
 
-    /** A job that its user holds for ever would be kept for ever. */
-    private suspend fun overdue(session: SessionName, now: WallTime) {
+    /** Ends jobs that have been on user hold for too long, which would otherwise be kept for ever. */
+    private suspend fun expireHeldJobs(session: SessionName, now: WallTime) {
         for ((name, held) in sessionRegistry.heldJobs().filter {
             it.key.session == session &&
                 it.value.byUser &&
                 now - it.value.since > settings.keepSessions
         }) {
             try {
-                if (submissions.end(name, held)) log.info("held job let go job={} held_since={}", name, held.since)
+                if (submissions.cancel(name, held)) log.info("held job let go job={} held_since={}", name, held.since)
             } catch (e: Refused) {
                 log.info("held job not let go job={} reason=\"{}\"", name, e.reason)
             }
@@ -127,10 +129,10 @@
     private var closedCursor: String? = null
 
     /**
-     * What closed sessions left, one at a time: first all that hangs on them, and after a while the word that they were
-     * closed.
+     * Deletes the data of one closed session: first its taken blocks and recorded completions, and after
+     * [CLOSED_RETENTION] the record that it was closed.
      */
-    private suspend fun closed(leadership: LeadershipState.Leader) {
+    private suspend fun cleanClosed(leadership: LeadershipState.Leader) {
         val page = client.list(DrmaaKeys.ALL_CLOSED, closedCursor) ?: return
         val entry = page.entries.firstOrNull()
         closedCursor = entry?.key
@@ -143,38 +145,39 @@
         }
         val taken = client.list(ReapKey.prefix(session), null) ?: return
         val blocks = client.list(Keys.completedTasksPrefix("${JobName.PREFIX}$session-"), null) ?: return
-        taken.entries.chunked(txnOps).forEach { chunk -> drop(leadership, chunk.map { Condition(it.key, it.version) }) }
+        taken.entries.chunked(txnOps).forEach { chunk ->
+            deleteKeys(leadership, chunk.map { Condition(it.key, it.version) })
+        }
         blocks.entries.mapNotNull {
             (Keys.parse(it.key) as? StoredKey.CompletedTasks)?.id
-        }.distinct().mapNotNull(JobName::parse).forEach { dropBlocks(leadership, it) }
-        if (taken.entries.isEmpty() && wallClock.now() - at > KEEP_CLOSED) {
-            drop(leadership, listOf(Condition(entry.key, entry.version)))
+        }.distinct().mapNotNull(JobName::parse).forEach { deleteCompletedBlocks(leadership, it) }
+        if (taken.entries.isEmpty() && wallClock.now() - at > CLOSED_RETENTION) {
+            deleteKeys(leadership, listOf(Condition(entry.key, entry.version)))
         }
     }
 
-    private suspend fun drop(leadership: LeadershipState.Leader, keys: List<Condition>): CommitOutcome =
-        client.commit(listOf(guard(leadership)) + keys, keys.map { Write.Drop(it.key) }, RequestPriority.OTHER)
+    private suspend fun deleteKeys(leadership: LeadershipState.Leader, keys: List<Condition>): CommitOutcome =
+        client.commit(listOf(termCondition(leadership)) + keys, keys.map { Write.Drop(it.key) }, RequestPriority.OTHER)
 
     /**
-     * The finished blocks of a bulk job stay when it is withdrawn, since its ending doesn't say which members had
-     * completed; they
-     * go when it is done, or its session is closed.
+     * Deletes the completed-task blocks of bulk jobs that are done. Those of a cancelled bulk job stay until its
+     * session is closed, since its terminal record doesn't say which members had completed.
      */
-    public fun changed(changes: List<Change>) {
+    public fun onChanges(changes: List<Change>) {
         val leadership = leadership ?: return
         for (change in changes) {
             val end = ((change as? Change.Put)?.let { Keys.parse(it.key) } as? StoredKey.TerminalRecord) ?: continue
             val name = JobName.parse(end.id)?.takeIf { it.members != null } ?: continue
             if (TerminalRecord.decode(change.entry.value)?.state != TerminalState.DONE) continue
-            scope.launch { dropBlocks(leadership, name) }
+            scope.launch { deleteCompletedBlocks(leadership, name) }
         }
     }
 
-    private suspend fun dropBlocks(leadership: LeadershipState.Leader, name: JobName) {
+    private suspend fun deleteCompletedBlocks(leadership: LeadershipState.Leader, name: JobName) {
         val written = client.list(Keys.completedTasksPrefix("$name/"), null) ?: return
         for (chunk in written.entries.chunked(txnOps)) {
             client.commit(
-                listOf(guard(leadership), Condition(Keys.job(name.id), Revision.ABSENT)),
+                listOf(termCondition(leadership), Condition(Keys.job(name.id), Revision.ABSENT)),
                 chunk.map { Write.Drop(it.key) },
                 RequestPriority.OTHER,
             )
@@ -182,8 +185,8 @@
     }
 
     internal companion object {
-        const val SWEEP_EVERY = 60
-        const val MOST_A_SWEEP = CompletedTasks.BLOCK
-        val KEEP_CLOSED = 30.days
+        const val CLEAN_INTERVAL_S = 60
+        const val MAX_EXPIRED_PER_PASS = CompletedTasks.BLOCK
+        val CLOSED_RETENTION = 30.days
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/JobControl.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/JobControl.kt
@@ -10,7 +10,8 @@
 import org.elderhitch.time.SteadyClock
 import kotlin.time.Duration.Companion.seconds
 
-public enum class Action(public val inconsistent: Fault) {
+/** The actions of `control`; [inconsistentFault] is the refusal of an action that the job's state doesn't allow. */
+public enum class Action(public val inconsistentFault: Fault) {
     SUSPEND(Fault.SuspendInconsistentStateException),
     RESUME(Fault.ResumeInconsistentStateException),
     HOLD(Fault.HoldInconsistentStateException),
@@ -18,10 +19,10 @@
     TERMINATE(Fault.InvalidJobException),
 }
 
-/** How far an action on all jobs of a session got. */
-public data class Progress(val done: Int, val left: Int, val refused: Int)
+/** Outcome of an action on all jobs: how many were changed, were not reached in time, and refused it. */
+public data class ControlProgress(val done: Int, val left: Int, val refused: Int)
 
-/** How a job of a session stands, by the names of the specification. */
+/** The status of a job, with the names and codes of the DRMAA specification. */
 public enum class ProgramStatus(public val code: Int) {
     UNDETERMINED(0x00),
     QUEUED_ACTIVE(0x10),
@@ -35,7 +36,7 @@
     FAILED(0x40),
 }
 
-/** What clients do to jobs that are submitted. All of it goes through the same core as what native users do. */
+/** Carries out control actions on jobs of a session and tells their status, through the same core as the native API. */
 public class JobControl(
     private val sessionRegistry: SessionRegistry,
     private val jobService: JobService,
@@ -44,58 +45,61 @@
     private val hold: suspend (JobId, HoldKind, String) -> HoldResult,
     private val clock: SteadyClock,
 ) {
-    /** Throws [Refused]. An action that was carried out before, its answer lost, is carried out. */
-    public suspend fun one(name: JobName, action: Action) {
-        if (!sync()) throw notNow("the state service doesn't answer")
-        val held = sessionRegistry.look(name.session) { it.held(name) } ?: heldNot(name)
-        if (held != null) onHeld(name, held, action) else onSubmitted(name, action)
+    /**
+     * Applies an action to one job, held or submitted. Throws [Refused]. Repeating TERMINATE, HOLD or SUSPEND
+     * after a lost answer succeeds; repeating RELEASE or RESUME is refused, since the job is no longer on hold.
+     */
+    public suspend fun control(name: JobName, action: Action) {
+        if (!sync()) throw unavailable("the state service doesn't answer")
+        val held = sessionRegistry.query(name.session) { it.held(name) } ?: requireSubmitted(name)
+        if (held != null) applyToHeld(name, held, action) else applyToSubmitted(name, action)
     }
 
-    private suspend fun heldNot(name: JobName): HeldJob? {
-        sessionRegistry.look(name.session) { }
+    private suspend fun requireSubmitted(name: JobName): HeldJob? {
+        sessionRegistry.query(name.session) { }
             ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
         if (jobService.show(name.id) == JobResponse.Unknown) {
-            throw Refused(Fault.InvalidJobException, "$name is no job of this session")
+            throw Refused(Fault.InvalidJobException, "$name is not a job of this session")
         }
         return null
     }
 
-    private suspend fun onHeld(name: JobName, held: HeldJob, action: Action) {
+    private suspend fun applyToHeld(name: JobName, held: HeldJob, action: Action) {
         when (action) {
-            Action.TERMINATE -> if (!submissions.end(name, held)) {
-                if (!sync()) throw notNow("the state service doesn't answer")
-                onSubmitted(name, action)
+            Action.TERMINATE -> if (!submissions.cancel(name, held)) {
+                if (!sync()) throw unavailable("the state service doesn't answer")
+                applyToSubmitted(name, action)
             }
 
             Action.RELEASE -> {
-                if (!held.byUser) throw Refused(action.inconsistent, "$name waits for its start time")
+                if (!held.byUser) throw Refused(action.inconsistentFault, "$name awaits its start time")
                 submissions.release(name, held)
             }
 
-            Action.HOLD -> if (!held.byUser) throw Refused(action.inconsistent, "$name waits for its start time")
+            Action.HOLD -> if (!held.byUser) throw Refused(action.inconsistentFault, "$name awaits its start time")
 
-            Action.SUSPEND, Action.RESUME -> throw Refused(action.inconsistent, "$name has not been submitted yet")
+            Action.SUSPEND, Action.RESUME -> throw Refused(action.inconsistentFault, "$name has not been submitted yet")
         }
     }
 
-    private suspend fun onSubmitted(name: JobName, action: Action) {
+    private suspend fun applyToSubmitted(name: JobName, action: Action) {
         when (action) {
-            Action.TERMINATE -> told(name, jobService.cancel(name.id))
-            Action.HOLD -> held(action, hold(name.id, HoldKind.USER, "its user asked for it"))
-            Action.SUSPEND -> held(action, hold(name.id, HoldKind.SUSPENDED, "its user asked for it"))
-            Action.RELEASE -> released(name, action, HoldKind.USER)
-            Action.RESUME -> released(name, action, HoldKind.SUSPENDED)
+            Action.TERMINATE -> requireDone(name, jobService.cancel(name.id))
+            Action.HOLD -> requireHeld(action, hold(name.id, HoldKind.USER, "its user asked for it"))
+            Action.SUSPEND -> requireHeld(action, hold(name.id, HoldKind.SUSPENDED, "its user asked for it"))
+            Action.RELEASE -> releaseSubmitted(name, action, HoldKind.USER)
+            Action.RESUME -> releaseSubmitted(name, action, HoldKind.SUSPENDED)
         }
     }
 
-    private suspend fun released(name: JobName, action: Action, kind: HoldKind) {
+    private suspend fun releaseSubmitted(name: JobName, action: Action, kind: HoldKind) {
         val answer = jobService.release(name.id) { it.kind == kind }
-        if (answer != JobResponse.Unknown) return told(name, answer)
+        if (answer != JobResponse.Unknown) return requireDone(name, answer)
         val open = jobService.lookup(name.id) as? JobLookup.Open
-        val rule = open?.hold?.takeIf { it.kind == HoldKind.ATTEMPTS }
-        if (rule != null) throw Refused(Fault.DeniedByDrmException, rule.reason)
+        val attemptsHold = open?.hold?.takeIf { it.kind == HoldKind.ATTEMPTS }
+        if (attemptsHold != null) throw Refused(Fault.DeniedByDrmException, attemptsHold.reason)
         throw Refused(
-            action.inconsistent,
+            action.inconsistentFault,
             if (open == null) {
                 "$name has ended"
             } else {
@@ -104,36 +108,35 @@
         )
     }
 
-    private fun told(name: JobName, answer: JobResponse) {
+    private fun requireDone(name: JobName, answer: JobResponse) {
         when (answer) {
             is JobResponse.State, is JobResponse.Accepted -> Unit
-            JobResponse.Unknown -> throw Refused(Fault.InvalidJobException, "$name is no job of this session")
-            is JobResponse.NotNow -> throw notNow(answer.reason)
-            else -> throw notNow("the job can't be changed now")
+            JobResponse.Unknown -> throw Refused(Fault.InvalidJobException, "$name is not a job of this session")
+            is JobResponse.NotNow -> throw unavailable(answer.reason)
+            else -> throw unavailable("the job can't be changed at the moment")
         }
     }
 
-    private fun held(action: Action, answer: HoldResult) {
+    private fun requireHeld(action: Action, answer: HoldResult) {
         when (answer) {
             HoldResult.Held -> Unit
-            is HoldResult.Inconsistent -> throw Refused(action.inconsistent, answer.reason)
-            HoldResult.NoSuchJob -> throw Refused(action.inconsistent, "the job has ended")
-            is HoldResult.NotNow -> throw notNow(answer.reason)
+            is HoldResult.Inconsistent -> throw Refused(action.inconsistentFault, answer.reason)
+            HoldResult.NoSuchJob -> throw Refused(action.inconsistentFault, "the job has ended")
+            is HoldResult.NotNow -> throw unavailable(answer.reason)
         }
     }
 
     /**
-     * As many jobs of the session as a request has time for, up to [upTo]; the client asks again for what is left. Each
-     * job is a change
-     * or two of the state service, of which there are some dozens a second for everybody: so many thousands take their
-     * minutes.
-     * Throws [Refused] only when nothing could be done.
+     * Applies an action to the session's jobs whose numbers are within [upTo], until [ALL_TIME_LIMIT] is over; the
+     * client repeats the request for the rest. Each job takes one or two writes, of which the state service allows some
+     * dozens a second for all users, so thousands of jobs take minutes. Throws [Refused] only if no job was
+     * reached.
      */
-    public suspend fun all(session: SessionName, action: Action, upTo: Map<ClientTag, Int>): Progress {
-        if (!sync()) throw notNow("the state service doesn't answer")
-        val until = clock.now() + ALL_WITHIN
+    public suspend fun controlAll(session: SessionName, action: Action, upTo: Map<ClientTag, Int>): ControlProgress {
+        if (!sync()) throw unavailable("the state service doesn't answer")
+        val deadline = clock.now() + ALL_TIME_LIMIT
         val jobs =
-            sessionRegistry.look(session) { view ->
+            sessionRegistry.query(session) { view ->
                 (
                     view.state.openJobs(upTo) +
                         view.heldJobs().filter { it.number <= (upTo[it.tag] ?: -1) }
@@ -142,35 +145,36 @@
                 ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
         var done = 0
         var refused = 0
-        for ((n, name) in jobs.withIndex()) {
-            if (clock.now() > until) return Progress(done, jobs.size - n, refused)
+        for ((index, name) in jobs.withIndex()) {
+            if (clock.now() > deadline) return ControlProgress(done, jobs.size - index, refused)
             try {
-                val held = sessionRegistry.look(session) { it.held(name) }
-                if (held != null) onHeld(name, held, action) else onSubmitted(name, action)
+                val held = sessionRegistry.query(session) { it.held(name) }
+                if (held != null) applyToHeld(name, held, action) else applyToSubmitted(name, action)
                 done++
             } catch (e: Refused) {
                 if (e.fault == Fault.DrmCommunicationException) {
-                    return if (n > 0) {
-                        Progress(done, jobs.size - n, refused)
+                    return if (index > 0) {
+                        ControlProgress(done, jobs.size - index, refused)
                     } else {
                         throw e
                     }
                 }
-                // A job to which the action doesn't apply is left as it is.
+                // The action doesn't apply to this job.
                 refused++
             }
         }
-        return Progress(done, 0, refused)
+        return ControlProgress(done, 0, refused)
     }
 
-    public suspend fun upTo(session: SessionName): Map<ClientTag, Int> = sessionRegistry.look(session) { it.upTo() }
-        ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
+    public suspend fun highestNumbers(session: SessionName): Map<ClientTag, Int> =
+        sessionRegistry.query(session) { it.highestNumbers() }
+            ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
 
     /** Throws [Refused]. */
     public suspend fun status(result: ResultName): ProgramStatus {
         val name = result.job
-        if (!sync()) throw notNow("the state service doesn't answer")
-        val (held, completed) = sessionRegistry.look(name.session) { it.held(name) to it.state.completed(result) }
+        if (!sync()) throw unavailable("the state service doesn't answer")
+        val (held, completed) = sessionRegistry.query(name.session) { it.held(name) to it.state.isCompleted(result) }
             ?: throw Refused(Fault.NoActiveSessionException, "the session was closed")
         if (held != null) {
             return if (!held.byUser) {
@@ -182,32 +186,32 @@
             }
         }
         if (completed) return ProgramStatus.DONE
-        return when (val shown = jobService.show(name.id)) {
-            JobResponse.Unknown -> throw Refused(Fault.InvalidJobException, "$name is no job of this session")
+        return when (val response = jobService.show(name.id)) {
+            JobResponse.Unknown -> throw Refused(Fault.InvalidJobException, "$name is not a job of this session")
 
-            is JobResponse.State -> when (val known = jobService.lookup(name.id)) {
-                is JobLookup.Open -> open(known)
-                else -> if (shown.status.phase == JobPhase.DONE) ProgramStatus.DONE else ProgramStatus.FAILED
+            is JobResponse.State -> when (val job = jobService.lookup(name.id)) {
+                is JobLookup.Open -> open(job)
+                else -> if (response.status.phase == JobPhase.DONE) ProgramStatus.DONE else ProgramStatus.FAILED
             }
 
-            is JobResponse.NotNow -> throw notNow(shown.reason)
+            is JobResponse.NotNow -> throw unavailable(response.reason)
 
-            else -> throw notNow("the job's state can't be told now")
+            else -> throw unavailable("the job's state is not available at the moment")
         }
     }
 
-    private fun open(known: JobLookup.Open): ProgramStatus = when {
-        known.hold?.kind == HoldKind.USER -> ProgramStatus.USER_ON_HOLD
-        known.hold?.kind == HoldKind.SUSPENDED -> ProgramStatus.USER_SUSPENDED
-        known.status.running > 0 -> ProgramStatus.RUNNING
-        known.hold != null -> ProgramStatus.SYSTEM_ON_HOLD
+    private fun open(job: JobLookup.Open): ProgramStatus = when {
+        job.hold?.kind == HoldKind.USER -> ProgramStatus.USER_ON_HOLD
+        job.hold?.kind == HoldKind.SUSPENDED -> ProgramStatus.USER_SUSPENDED
+        job.status.running > 0 -> ProgramStatus.RUNNING
+        job.hold != null -> ProgramStatus.SYSTEM_ON_HOLD
         else -> ProgramStatus.QUEUED_ACTIVE
     }
 
-    private fun notNow(reason: String) = Refused(Fault.DrmCommunicationException, reason)
+    private fun unavailable(reason: String) = Refused(Fault.DrmCommunicationException, reason)
 
     private companion object {
-        /** A request should be answered before its client loses patience, and what was done be told. */
-        val ALL_WITHIN = 2.seconds
+        /** Short enough that the answer, with its progress, arrives before the client's request times out. */
+        val ALL_TIME_LIMIT = 2.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Names.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Names.kt
@@ -4,9 +4,7 @@
 import org.elderhitch.jobs.JobCodec
 import org.elderhitch.jobs.JobId
 
-/**
- * A DRMAA session. Its name is derived from what its client chose, so that an opening that is repeated opens it once.
- */
+/** Names a DRMAA session. Derived from the nonce that its client sent, so that a repeated `open` opens it once. */
 @JvmInline
 public value class SessionName(public val text: String) : Comparable<SessionName> {
     override fun compareTo(other: SessionName): Int = text.compareTo(other.text)
@@ -14,13 +12,13 @@
 
     public companion object {
         public const val LENGTH: Int = 12
-        private val FORM = Regex("[a-z0-9]{$LENGTH}")
+        private val PATTERN = Regex("[a-z0-9]{$LENGTH}")
 
-        public fun parse(text: String): SessionName? = if (FORM.matches(text)) SessionName(text) else null
+        public fun parse(text: String): SessionName? = if (PATTERN.matches(text)) SessionName(text) else null
     }
 }
 
-/** One run of a client program; several may share a session. */
+/** Identifies one run of a client program; several may share a session. */
 @JvmInline
 public value class ClientTag(public val text: String) : Comparable<ClientTag> {
     override fun compareTo(other: ClientTag): Int = text.compareTo(other.text)
@@ -28,13 +26,13 @@
 
     public companion object {
         public const val LENGTH: Int = 8
-        private val FORM = Regex("[a-z0-9]{$LENGTH}")
+        private val PATTERN = Regex("[a-z0-9]{$LENGTH}")
 
-        public fun parse(text: String): ClientTag? = if (FORM.matches(text)) ClientTag(text) else null
+        public fun parse(text: String): ClientTag? = if (PATTERN.matches(text)) ClientTag(text) else null
     }
 }
 
-/** One thing that a client asked for: repeated under the same number, it is the same thing. */
+/** Identifies a client's request: a retry carries the same id and is carried out only once. */
 public data class RequestId(val tag: ClientTag, val number: Int) {
     override fun toString(): String = "$tag-$number"
 
@@ -43,16 +41,15 @@
             val tag = ClientTag.parse(text.substringBefore('-')) ?: return null
             return RequestId(
                 tag,
-                text.substringAfter('-', "").toIntOrNull()?.takeIf { it in 0..JobName.LARGEST } ?: return null,
+                text.substringAfter('-', "").toIntOrNull()?.takeIf { it in 0..JobName.MAX_NUMBER } ?: return null,
             )
         }
     }
 }
 
 /**
- * The job that a client's request [number] submitted. All that tells to whom a job belongs, and how many members a bulk
- * job has,
- * stands in its id: it costs no change in the state service, and it outlives the job's record.
+ * The job that a client's request [number] submitted. Its id carries the session, the client and the number of members
+ * of a bulk job, which therefore need no write to the state service and outlive the job's record.
  */
 public data class JobName(val session: SessionName, val tag: ClientTag, val number: Int, val members: Int?) {
     public val id: JobId get() = JobId(toString())
@@ -62,9 +59,9 @@
 
     public companion object {
         public const val PREFIX: String = "req-d"
-        public const val LARGEST: Int = 99_999_999
+        public const val MAX_NUMBER: Int = 99_999_999
         private const val DIGITS = 8
-        private val FORM =
+        private val PATTERN =
             Regex(
                 "$PREFIX([a-z0-9]{${SessionName.LENGTH}})-([a-z0-9]{${ClientTag.LENGTH}})-" +
                     "([0-9]{$DIGITS})(?:x([1-9][0-9]{0,5}))?",
@@ -73,7 +70,7 @@
         /** Null for a job that no session submitted. */
         public fun parse(id: JobId): JobName? {
             if (!id.text.startsWith(PREFIX)) return null
-            val (session, tag, number, members) = FORM.matchEntire(id.text)?.destructured ?: return null
+            val (session, tag, number, members) = PATTERN.matchEntire(id.text)?.destructured ?: return null
             val count = if (members.isEmpty()) {
                 null
             } else {
@@ -85,11 +82,11 @@
     }
 }
 
-/** What a client waits for and takes away once: a job, or a member of a bulk job. */
+/** A result that a client waits for and takes once: of a job, or of a member of a bulk job. */
 public data class ResultName(val job: JobName, val member: Int?) {
     override fun toString(): String = if (member == null) job.toString() else "$job/$member"
 
-    /** The block of results that it is taken from, one value of the state service each. */
+    /** The block of results that this one belongs to; each block is one value in the state service. */
     public val block: ReapKey
         get() = if (member == null) {
             ReapKey(job.session, job.tag, null, CompletedTasks.blockOf(job.number))
@@ -97,7 +94,7 @@
             ReapKey(job.session, job.tag, job.number, CompletedTasks.blockOf(member))
         }
 
-    /** Its place in the block. */
+    /** Index within the block. */
     public val place: Int get() = (member ?: job.number) % CompletedTasks.BLOCK
 
     public companion object {
@@ -110,21 +107,19 @@
     }
 }
 
-/**
- * Names a value that says which results of a client (or, with [bulk], which members of its bulk job) were taken away.
- */
+/** Key of a block that records which results of a client, or with [bulk] of that bulk job's members, were taken. */
 public data class ReapKey(val session: SessionName, val tag: ClientTag, val bulk: Int?, val block: Int) {
     override fun toString(): String = "$PREFIX$session/$tag" + (bulk?.let { ".$it" } ?: "") + "/$block"
 
     public companion object {
         private const val PREFIX = "v/drmaa/r/"
-        private const val PARTS = 3
+        private const val PART_COUNT = 3
 
         public fun prefix(session: SessionName): String = "$PREFIX$session/"
 
         public fun parse(key: String): ReapKey? {
             val parts = key.removePrefix(PREFIX).split('/')
-            if (!key.startsWith(PREFIX) || parts.size != PARTS) return null
+            if (!key.startsWith(PREFIX) || parts.size != PART_COUNT) return null
             val session = SessionName.parse(parts[0]) ?: return null
             val tag = ClientTag.parse(parts[1].substringBefore('.')) ?: return null
             val bulk = if ('.' in parts[1]) parts[1].substringAfter('.').toIntOrNull() ?: return null else null
@@ -133,7 +128,7 @@
     }
 }
 
-/** The other names of this direction in the state service. */
+/** The other keys of DRMAA in the state service. */
 public object DrmaaKeys {
     private const val SESSION = "v/a/drmaa/s/"
     private const val HELD = "v/a/drmaa/h/"
@@ -156,6 +151,6 @@
     public fun closedOf(key: String): SessionName? =
         if (key.startsWith(CLOSED)) SessionName.parse(key.substring(CLOSED.length)) else null
 
-    /** Where the endings of a session's jobs stand. */
+    /** Prefix of the terminal records of a session's jobs. */
     public fun endings(name: SessionName): String = "v/z/end/${JobName.PREFIX}$name-"
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/ReapBlock.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/ReapBlock.kt
@@ -6,16 +6,15 @@
 import org.elderhitch.store.Revision
 
 /**
- * Which results of one block were taken away, and by which of the latest requests. A value of the state service that is
- * only ever
- * replaced under its own version: of two who take the same result, one finds the version changed, reads again, and sees
- * that it is gone.
+ * Records which results of a block were taken, and which of the latest requests took them. The value is only ever
+ * replaced on condition of its version: of two concurrent requests for a result, the second finds the version changed,
+ * reads the block again and sees that the result was taken.
  */
 public class ReapBlock private constructor(
     private val taken: CompletedTasks,
     /**
-     * The latest requests and the places that each took, the latest last; -1: it took many, and says no more than that
-     * it was it.
+     * The latest requests, oldest first, each with the index that it took, or -1 if it took several: their indices are
+     * not recorded.
      */
     private val by: List<Pair<RequestId, Int>>,
     public val version: Revision,
@@ -24,20 +23,20 @@
 
     public operator fun contains(place: Int): Boolean = place in taken
 
-    /** The place that a request took before its answer was lost; null: none, or so long ago that the block forgot. */
+    /** The index that [request] took; null if it took none or several, or is no longer among the latest requests. */
     public fun takenBy(request: RequestId): Int? = by.lastOrNull { it.first == request && it.second >= 0 }?.second
 
-    /** Whether a result that is gone went to this very request. */
+    /** Whether the result was taken by [request]. */
     public fun wentTo(place: Int, request: RequestId): Boolean =
         place in taken && by.any { it.first == request && (it.second == place || it.second == MANY) }
 
-    /** [request]: null when nobody took them: they were kept for too long. */
+    /** The block with [places] taken; [request] is null for results that expired. */
     public fun plus(places: Collection<Int>, request: RequestId?): ReapBlock {
         val all = CompletedTasks(CompletedTasks.BLOCK)
         all.addAll(taken)
         places.forEach(all::add)
         val latest = if (request == null) by else by + (request to (places.singleOrNull() ?: MANY))
-        return ReapBlock(all, latest.distinct().takeLast(REMEMBERED), version)
+        return ReapBlock(all, latest.distinct().takeLast(MAX_REQUESTS), version)
     }
 
     public fun at(version: Revision): ReapBlock = ReapBlock(taken, by, version)
@@ -51,13 +50,13 @@
         private const val MANY = -1
 
         /**
-         * More than the clients of a session have under way at once; at 24 characters each they fit a value beside the
-         * bitmap.
+         * More than the clients of a session have in flight at once; at 24 characters each they fit into the value next
+         * to the bitmap.
          */
-        public const val REMEMBERED: Int = 100
+        public const val MAX_REQUESTS: Int = 100
         public val EMPTY: ReapBlock = ReapBlock(CompletedTasks(CompletedTasks.BLOCK), emptyList(), Revision.ABSENT)
 
-        /** Null for a value that this program did not write. */
+        /** Null if the value is malformed. */
         public fun decode(value: JsonObject, version: Revision): ReapBlock? {
             val taken = CompletedTasks(CompletedTasks.BLOCK)
             return try {
--- a/src/main/kotlin/org/elderhitch/drmaa/Reaper.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Reaper.kt
@@ -15,27 +15,29 @@
 import org.elderhitch.store.Write
 import org.slf4j.LoggerFactory
 
-/** A result as its client is told it. */
-public class Result(public val name: ResultName, public val ended: TerminalState, public val record: TerminalRecord?) {
-    /** A member that completed before its job was withdrawn completed, whatever became of the others. */
-    public val done: Boolean get() = ended == TerminalState.DONE
+/** The result of a job or of a bulk job's member, as reported to its client. */
+public class JobResult(
+    public val name: ResultName,
+    public val ended: TerminalState,
+    public val record: TerminalRecord?,
+) {
+    /** A member that completed before its job was cancelled counts as done. */
+    public val isDone: Boolean get() = ended == TerminalState.DONE
 }
 
 public sealed interface Reaped {
     public class Taken(public val places: Collection<ResultName>) : Reaped
 
-    /** Some went to another request. */
+    /** Some were taken by another request, or had expired; nothing was taken now. */
     public class Gone(public val gone: Collection<ResultName>) : Reaped
-    public class NotNow(public val reason: String) : Reaped
+    public class Unavailable(public val reason: String) : Reaped
 }
 
 /**
- * Takes results away, each once. The value of a block is replaced under the version that was read: of two requests for
- * one result
- * the second finds another version, reads, and sees that it is gone. An answer that was lost is the same when it is
- * asked for again,
- * since the block says by which request a result was taken; and a transaction that is carried out late finds another
- * version as well.
+ * Takes results, each at most once. A block is replaced on condition of the version that was read: of two concurrent
+ * requests for a result, the second finds another version, reads the block again and sees that the result was taken.
+ * The block records which request took a result, so a retry after a lost answer gets the same result. A transaction
+ * that is carried out late fails on the version as well.
  */
 public class Reaper(
     private val sessionRegistry: SessionRegistry,
@@ -44,54 +46,54 @@
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
 
-    /** Takes results of one block; all of them, or none. */
+    /** Takes [results], all of the block [key]: either all of them or none. */
     public suspend fun take(
         key: ReapKey,
         results: Collection<ResultName>,
         request: RequestId?,
-        purpose: RequestPriority = RequestPriority.RECORD,
+        priority: RequestPriority = RequestPriority.RECORD,
     ): Reaped {
-        repeat(TRIES) {
+        repeat(MAX_ATTEMPTS) {
             val block =
-                sessionRegistry.look(key.session) { it.state.block(key) }
-                    ?: return Reaped.NotNow("the session was closed")
+                sessionRegistry.query(key.session) { it.state.block(key) }
+                    ?: return Reaped.Unavailable("the session was closed")
             val gone = results.filter { it.place in block }
-            val others = if (request == null) gone else gone.filter { !block.wentTo(it.place, request) }
-            if (others.isNotEmpty()) return Reaped.Gone(others)
+            val takenByOthers = if (request == null) gone else gone.filter { !block.wentTo(it.place, request) }
+            if (takenByOthers.isNotEmpty()) return Reaped.Gone(takenByOthers)
             if (gone.size == results.size) return Reaped.Taken(results)
             val next = block.plus(results.map { it.place }, request)
             val outcome = client.commit(
                 listOf(Condition(key.toString(), block.version)),
                 listOf(Write.Put(key.toString(), next.encode())),
-                purpose,
+                priority,
             )
             when (outcome) {
                 is CommitOutcome.Committed -> {
-                    sessionRegistry.tell(BookMessage.Took(key, next.at(outcome.revision)))
+                    sessionRegistry.tell(RegistryMessage.ResultsTaken(key, next.at(outcome.revision)))
                     if (log.isDebugEnabled) log.debug("results taken request={} results={}", request, results)
                     return Reaped.Taken(results)
                 }
 
-                // Somebody else's, or an earlier try of this one: what the state service holds now decides.
-                is CommitOutcome.Conflict, CommitOutcome.Unknown -> if (!read(
+                // Another request or an earlier attempt of this one may have been stored: check the stored block.
+                is CommitOutcome.Conflict, CommitOutcome.Unknown -> if (!readBlock(
                         key,
                     )
                 ) {
-                    return Reaped.NotNow("the state service doesn't answer")
+                    return Reaped.Unavailable("the state service doesn't answer")
                 }
 
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Reaped.NotNow(
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Reaped.Unavailable(
                     "the state service takes no record now",
                 )
             }
         }
-        return Reaped.NotNow("the state service doesn't answer")
+        return Reaped.Unavailable("the state service doesn't answer")
     }
 
-    private suspend fun read(key: ReapKey): Boolean =
+    private suspend fun readBlock(key: ReapKey): Boolean =
         when (val read = client.read(key.toString(), RequestPriority.RECORD)) {
             is ReadOutcome.Found -> ReapBlock.decode(read.entry.value, read.entry.version)?.let {
-                sessionRegistry.tell(BookMessage.Took(key, it))
+                sessionRegistry.tell(RegistryMessage.ResultsTaken(key, it))
                 true
             } ?: false
 
@@ -101,15 +103,15 @@
         }
 
     /**
-     * What there is to tell of a result that has ended; read before it is taken, as a result that can't be told must
-     * stay. Null: not now.
+     * Reads the outcome of a result that has ended. To be called before the result is taken, since a result that can't
+     * be read must not be taken. Null if it is not available now.
      */
-    public suspend fun result(name: ResultName): Result? {
-        val completed = sessionRegistry.look(name.job.session) { it.state.completed(name) } ?: return null
+    public suspend fun readResult(name: ResultName): JobResult? {
+        val completed = sessionRegistry.query(name.job.session) { it.state.isCompleted(name) } ?: return null
         val record = when (val known = jobService.lookup(name.job.id)) {
             is JobLookup.Ended -> known.record
 
-            // A member may be done while others run.
+            // A member may be done while others still run.
             is JobLookup.Open -> if (completed && name.member != null) null else return null
 
             else -> if (jobService.show(name.job.id) is JobResponse.State) {
@@ -120,21 +122,21 @@
             }
         }
         val ended = if (name.member != null && completed) TerminalState.DONE else record?.state ?: return null
-        return Result(name, ended, record)
+        return JobResult(name, ended, record)
     }
 
     private companion object {
-        const val TRIES = 6
+        const val MAX_ATTEMPTS = 6
     }
 }
 
-/** Reads what is only known of sessions in use: their endings, and what was taken of them. */
+/** Loads what a node only knows of the sessions used on it: terminal records and taken results. */
 public class SessionLoader(private val sessionRegistry: SessionRegistry, private val client: StateClient) {
     private val loading = HashMap<SessionName, CompletableDeferred<Boolean>>()
 
-    /** Afterwards all that was recorded of the session when this was called is known here; false: not now. */
+    /** Makes all that was recorded of the session before this call known on this node; false if that failed. */
     public suspend fun load(session: SessionName): Boolean {
-        if (sessionRegistry.look(session) { it.loaded } != false) return true
+        if (sessionRegistry.query(session) { it.loaded } != false) return true
         loading[session]?.let { return it.await() }
         val done = CompletableDeferred<Boolean>()
         loading[session] = done
@@ -150,7 +152,8 @@
 
     private suspend fun read(session: SessionName): Boolean {
         val epoch = sessionRegistry.epoch
-        // Changes that come while the lists are read are told to the book as well: all of it only ever adds.
+        // Changes that arrive during the read reach the registry as well. Their order doesn't matter: the state of a
+        // job only moves forward.
         val endings = list(DrmaaKeys.endings(session)) { entry ->
             SessionRegistry.jobOf(entry.key)?.let { job ->
                 TerminalRecord.decode(entry.value)?.let {
@@ -162,8 +165,8 @@
         val blocks = list(ReapKey.prefix(session)) { entry ->
             ReapKey.parse(entry.key)?.let { key -> ReapBlock.decode(entry.value, entry.version)?.let { key to it } }
         } ?: return false
-        sessionRegistry.tell(BookMessage.Loaded(session, epoch, endings, blocks))
-        return sessionRegistry.look(session) { it.loaded } != false
+        sessionRegistry.tell(RegistryMessage.Loaded(session, epoch, endings, blocks))
+        return sessionRegistry.query(session) { it.loaded } != false
     }
 
     private suspend fun <T> list(prefix: String, read: (Entry) -> T?): List<T>? {
--- a/src/main/kotlin/org/elderhitch/drmaa/SessionRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/SessionRegistry.kt
@@ -16,7 +16,7 @@
 import org.elderhitch.time.WallTime
 import org.slf4j.LoggerFactory
 
-/** A session as the state service keeps it. [used]: to within the hour. */
+/** A session as recorded in the state service. [used]: the last use, to within an hour. */
 public data class SessionRecord(val team: TeamName, val opened: WallTime, val used: WallTime, val version: Revision) {
     public fun encode(): Map<String, Any?> = linkedMapOf("team" to team.text, "opened" to opened.ms, "used" to used.ms)
 
@@ -34,7 +34,7 @@
     }
 }
 
-/** A job that is recorded and not submitted yet: until its user releases it, or until [startAt]. */
+/** A job that is recorded but not submitted until its user releases it or [startAt] has come. */
 public class HeldJob(
     public val body: JsonObject,
     public val byUser: Boolean,
@@ -57,51 +57,53 @@
     }
 }
 
-public sealed interface BookMessage {
-    public class Snapshot(public val entries: List<Entry>) : BookMessage
-    public class Changed(public val changes: List<Change>) : BookMessage
+public sealed interface RegistryMessage {
+    public class Snapshot(public val entries: List<Entry>) : RegistryMessage
+    public class Changed(public val changes: List<Change>) : RegistryMessage
 
-    /** What the lists said that were read for a session that had not been used here. */
+    /** What [SessionLoader] read of a session; [epoch] is the registry's epoch before the read. */
     public class Loaded(
         public val session: SessionName,
         public val epoch: Int,
         public val endings: List<Pair<JobName, TerminalRecord>>,
         public val blocks: List<Pair<ReapKey, ReapBlock>>,
-    ) : BookMessage
+    ) : RegistryMessage
 
-    /** This node itself submitted it: counted before the feed brings it. */
-    public class Submitted(public val job: JobName) : BookMessage
+    /** A job that this node submitted, made known ahead of the state service's change feed. */
+    public class Submitted(public val job: JobName) : RegistryMessage
 
-    /** This node itself took results away: known before the feed brings it. */
-    public class Took(public val key: ReapKey, public val block: ReapBlock) : BookMessage
+    /** A block as this node wrote or read it, made known ahead of the state service's change feed. */
+    public class ResultsTaken(public val key: ReapKey, public val block: ReapBlock) : RegistryMessage
 
-    /** Reads, and claims, within one session. The look has no business beyond it. */
-    public class Look<T>(
+    /** Runs [query] within the actor, to read a session or to claim its results; replies null if it is not open. */
+    public class Query<T>(
         public val session: SessionName,
         public val reply: CompletableDeferred<T?>,
-        public val look: (SessionView) -> T,
-    ) : BookMessage {
+        public val query: (SessionView) -> T,
+    ) : RegistryMessage {
         internal fun answer(view: SessionView?) {
-            reply.complete(view?.let(look))
+            reply.complete(view?.let(query))
         }
     }
 
-    /** Others may take the result that a request had claimed. */
-    public class Unclaim(public val result: ResultName) : BookMessage
+    /** Gives up a request's claim to a result. */
+    public class Unclaim(public val result: ResultName) : RegistryMessage
 
-    /** Woken at the next thing that happens in the session. */
-    public class Await(public val session: SessionName, public val woken: CompletableDeferred<Unit>) : BookMessage
-    public class Done(public val session: SessionName, public val woken: CompletableDeferred<Unit>) : BookMessage
+    /** Completes [signal] at the session's next change. */
+    public class AddWaiter(public val session: SessionName, public val signal: CompletableDeferred<Unit>) :
+        RegistryMessage
+    public class RemoveWaiter(public val session: SessionName, public val signal: CompletableDeferred<Unit>) :
+        RegistryMessage
 
-    public class Sessions(public val reply: CompletableDeferred<Map<SessionName, SessionRecord>>) : BookMessage
-    public class HeldJobs(public val reply: CompletableDeferred<Map<JobName, HeldJob>>) : BookMessage
+    public class Sessions(public val reply: CompletableDeferred<Map<SessionName, SessionRecord>>) : RegistryMessage
+    public class HeldJobs(public val reply: CompletableDeferred<Map<JobName, HeldJob>>) : RegistryMessage
 }
 
-/** One session, as those see it that serve a request. */
+/** A session as seen by [SessionRegistry.query]; only to be used within the query. */
 public class SessionView internal constructor(
     public val record: SessionRecord,
     public val state: SessionState,
-    /** Its endings and taken results are known here, not just its open jobs. */
+    /** Whether its terminal records and taken results are known on this node, not just its open jobs. */
     public val loaded: Boolean,
     private val held: Map<JobName, HeldJob>,
 ) {
@@ -109,47 +111,49 @@
 
     public fun heldJobs(): List<JobName> = held.keys.filter { it.session == state.name }
 
-    /** The highest number of each client, held jobs included: what "all jobs so far" are. */
-    public fun upTo(): Map<ClientTag, Int> = state.upTo().toMutableMap().apply {
+    /** Each client's highest job number, held jobs included; bounds what "all jobs so far" means. */
+    public fun highestNumbers(): Map<ClientTag, Int> = state.highestNumbers().toMutableMap().apply {
         heldJobs().forEach { merge(it.tag, it.number, ::maxOf) }
     }
 
-    public fun heldOfTeam(sessions: Set<SessionName>): Int = held.keys.count { it.session in sessions }
+    public fun heldCount(sessions: Set<SessionName>): Int = held.keys.count { it.session in sessions }
 }
 
 /**
- * Follows what the state service says of all sessions: records, open and held jobs; and of those in use here, endings
- * and what was taken.
+ * Follows the state service's change feed: of all sessions the records, open jobs and held jobs, and of those used on
+ * this node also terminal records and taken results.
  */
-public class SessionRegistry(scope: CoroutineScope) : Actor<BookMessage>(scope) {
+public class SessionRegistry(scope: CoroutineScope) : Actor<RegistryMessage>(scope) {
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
     private val records = HashMap<SessionName, SessionRecord>()
     private val states = HashMap<SessionName, SessionState>()
     private val loaded = HashSet<SessionName>()
     private val held = LinkedHashMap<JobName, HeldJob>()
-    private val waiting = HashMap<SessionName, LinkedHashSet<CompletableDeferred<Unit>>>()
+    private val waiters = HashMap<SessionName, LinkedHashSet<CompletableDeferred<Unit>>>()
 
-    /** Counts the gaps in what was followed: lists that were read across one may miss what happened in it. */
+    /** Counts snapshots, each of which follows a gap in the feed: a list read across a gap may lack its changes. */
     public var epoch: Int = 0
         private set
 
-    /** Sessions in use here, and all: for /status. */
-    public val inUse: Int get() = loaded.size
+    /** Sessions that are loaded on this node. */
+    public val loadedCount: Int get() = loaded.size
+
+    /** All open sessions. */
     public val open: Int get() = records.size
 
-    override fun receive(message: BookMessage) {
+    override fun receive(message: RegistryMessage) {
         when (message) {
-            is BookMessage.Snapshot -> snapshot(message.entries)
+            is RegistryMessage.Snapshot -> onSnapshot(message.entries)
 
-            is BookMessage.Changed -> message.changes.forEach(::changed)
+            is RegistryMessage.Changed -> message.changes.forEach(::onChange)
 
-            is BookMessage.Loaded -> loaded(message)
+            is RegistryMessage.Loaded -> onLoaded(message)
 
-            is BookMessage.Submitted -> state(message.job.session).opened(message.job)
+            is RegistryMessage.Submitted -> state(message.job.session).markOpened(message.job)
 
-            is BookMessage.Took -> took(message.key, message.block)
+            is RegistryMessage.ResultsTaken -> onResultsTaken(message.key, message.block)
 
-            is BookMessage.Look<*> -> message.answer(
+            is RegistryMessage.Query<*> -> message.answer(
                 records[message.session]?.let {
                     SessionView(
                         it,
@@ -160,81 +164,80 @@
                 },
             )
 
-            is BookMessage.Unclaim -> {
+            is RegistryMessage.Unclaim -> {
                 states[message.result.job.session]?.unclaim(message.result)
-                wake(message.result.job.session)
+                notifyWaiters(message.result.job.session)
             }
 
-            is BookMessage.Await -> waiting.getOrPut(message.session) { LinkedHashSet() }.add(message.woken)
+            is RegistryMessage.AddWaiter -> waiters.getOrPut(message.session) { LinkedHashSet() }.add(message.signal)
 
-            is BookMessage.Done -> waiting[message.session]?.let {
-                it.remove(message.woken)
-                if (it.isEmpty()) waiting.remove(message.session)
+            is RegistryMessage.RemoveWaiter -> waiters[message.session]?.let {
+                it.remove(message.signal)
+                if (it.isEmpty()) waiters.remove(message.session)
             }
 
-            is BookMessage.Sessions -> message.reply.complete(HashMap(records))
+            is RegistryMessage.Sessions -> message.reply.complete(HashMap(records))
 
-            is BookMessage.HeldJobs -> message.reply.complete(LinkedHashMap(held))
+            is RegistryMessage.HeldJobs -> message.reply.complete(LinkedHashMap(held))
         }
     }
 
     private fun state(session: SessionName) = states.getOrPut(session) { SessionState(session) }
 
-    private fun snapshot(entries: List<Entry>) {
-        // What ended, and what was taken, since the last news is in no list: each session is read again when it is next
-        // used.
+    private fun onSnapshot(entries: List<Entry>) {
+        // A snapshot holds no terminal records or taken results, so each session is loaded again when it is next used.
         epoch++
         records.clear()
         states.clear()
         loaded.clear()
         held.clear()
-        entries.sortedBy { if (Keys.parse(it.key) is StoredKey.Job) 0 else 1 }.forEach { put(it, listed = true) }
-        wakeAll()
+        entries.sortedBy { if (Keys.parse(it.key) is StoredKey.Job) 0 else 1 }.forEach { put(it, fromSnapshot = true) }
+        notifyAllWaiters()
     }
 
-    private fun changed(change: Change) {
+    private fun onChange(change: Change) {
         when (change) {
-            is Change.Put -> put(change.entry, listed = false)
-            is Change.Drop -> dropped(change.key)
+            is Change.Put -> put(change.entry, fromSnapshot = false)
+            is Change.Drop -> onDropped(change.key)
         }
     }
 
-    private fun dropped(key: String) {
+    private fun onDropped(key: String) {
         DrmaaKeys.sessionOf(key)?.let { session ->
             records.remove(session)
             states.remove(session)
             loaded.remove(session)
-            wake(session)
+            notifyWaiters(session)
         }
         DrmaaKeys.heldOf(key)?.let { job ->
             held.remove(job)
-            wake(job.session)
+            notifyWaiters(job.session)
         }
     }
 
-    private fun put(entry: Entry, listed: Boolean) {
+    private fun put(entry: Entry, fromSnapshot: Boolean) {
         val key = entry.key
-        DrmaaKeys.sessionOf(key)?.let { return putSession(it, entry, listed) }
+        DrmaaKeys.sessionOf(key)?.let { return putSession(it, entry, fromSnapshot) }
         DrmaaKeys.heldOf(key)?.let { return putHeld(it, entry) }
-        ReapKey.parse(key)?.let { return putTaken(it, entry) }
+        ReapKey.parse(key)?.let { return putTakenBlock(it, entry) }
         when (val subject = Keys.parse(key)) {
-            is StoredKey.Job -> JobName.parse(subject.id)?.let { state(it.session).opened(it) }
+            is StoredKey.Job -> JobName.parse(subject.id)?.let { state(it.session).markOpened(it) }
 
             is StoredKey.CompletedTasks -> JobName.parse(subject.id)?.let { putCompleted(it, subject.block, entry) }
 
             is StoredKey.TerminalRecord -> JobName.parse(subject.id)?.let { job ->
-                TerminalRecord.decode(entry.value)?.let { ended(job, it) }
+                TerminalRecord.decode(entry.value)?.let { onEnded(job, it) }
             }
 
             else -> Unit
         }
     }
 
-    private fun putSession(session: SessionName, entry: Entry, listed: Boolean) {
+    private fun putSession(session: SessionName, entry: Entry, fromSnapshot: Boolean) {
         val record = SessionRecord.decode(entry.value, entry.version)
         if (record == null) return log.error("session malformed key={}", entry.key)
-        // One that is seen being opened has nothing that would have to be read.
-        if (!listed && session !in records) loaded.add(session)
+        // A session that has just been opened has nothing to load.
+        if (!fromSnapshot && session !in records) loaded.add(session)
         records[session] = record
     }
 
@@ -244,62 +247,62 @@
         held[job] = record
     }
 
-    private fun putTaken(reap: ReapKey, entry: Entry) {
-        // Of sessions that nobody uses here, nothing is kept that would have to be read anyway.
+    private fun putTakenBlock(reap: ReapKey, entry: Entry) {
+        // Sessions that are not loaded read their taken blocks when they are loaded.
         if (reap.session !in loaded) return
         val block = ReapBlock.decode(entry.value, entry.version)
         if (block == null) return log.error("taken results malformed key={}", entry.key)
-        took(reap, block)
+        onResultsTaken(reap, block)
     }
 
     private fun putCompleted(job: JobName, block: Int, entry: Entry) {
         val value = entry.value.raw("f") as? String ?: return
         if (job.members == null) return
-        if (!state(job.session).finished(job, block, value)) log.error("finished block malformed key={}", entry.key)
-        wake(job.session)
+        if (!state(job.session).addCompleted(job, block, value)) log.error("finished block malformed key={}", entry.key)
+        notifyWaiters(job.session)
     }
 
-    private fun ended(job: JobName, record: TerminalRecord) {
-        // In use or not: a job that is no longer listed as open must be known to have ended, once it is known at all.
-        state(job.session).ended(job, record.state)
-        wake(job.session)
+    private fun onEnded(job: JobName, record: TerminalRecord) {
+        // Also for sessions that are not loaded: otherwise the job would still count as open.
+        state(job.session).markEnded(job, record.state)
+        notifyWaiters(job.session)
     }
 
-    private fun took(key: ReapKey, block: ReapBlock) {
-        state(key.session).taken(key, block)
-        wake(key.session)
+    private fun onResultsTaken(key: ReapKey, block: ReapBlock) {
+        state(key.session).updateBlock(key, block)
+        notifyWaiters(key.session)
     }
 
-    private fun loaded(message: BookMessage.Loaded) {
+    private fun onLoaded(message: RegistryMessage.Loaded) {
         if (message.session !in records || message.epoch != epoch) return
         val state = state(message.session)
-        message.endings.forEach { (job, record) -> state.ended(job, record.state) }
-        message.blocks.forEach { (key, block) -> state.taken(key, block) }
+        message.endings.forEach { (job, record) -> state.markEnded(job, record.state) }
+        message.blocks.forEach { (key, block) -> state.updateBlock(key, block) }
         loaded.add(message.session)
     }
 
-    private fun wake(session: SessionName) {
-        waiting.remove(session)?.forEach { it.complete(Unit) }
+    private fun notifyWaiters(session: SessionName) {
+        waiters.remove(session)?.forEach { it.complete(Unit) }
     }
 
-    private fun wakeAll() {
-        waiting.keys.toList().forEach(::wake)
+    private fun notifyAllWaiters() {
+        waiters.keys.toList().forEach(::notifyWaiters)
     }
 
-    /** Null: no such session is open. */
-    public suspend fun <T> look(session: SessionName, look: (SessionView) -> T): T? {
+    /** Runs [query] on the session; null if it is not open. */
+    public suspend fun <T> query(session: SessionName, query: (SessionView) -> T): T? {
         val reply = CompletableDeferred<T?>()
-        tell(BookMessage.Look(session, reply, look))
+        tell(RegistryMessage.Query(session, reply, query))
         return reply.await()
     }
 
     public suspend fun sessions(): Map<SessionName, SessionRecord> =
         CompletableDeferred<Map<SessionName, SessionRecord>>().also {
-            tell(BookMessage.Sessions(it))
+            tell(RegistryMessage.Sessions(it))
         }.await()
 
     public suspend fun heldJobs(): Map<JobName, HeldJob> = CompletableDeferred<Map<JobName, HeldJob>>().also {
-        tell(BookMessage.HeldJobs(it))
+        tell(RegistryMessage.HeldJobs(it))
     }.await()
 
     internal companion object {
--- a/src/main/kotlin/org/elderhitch/drmaa/SessionState.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/SessionState.kt
@@ -5,9 +5,9 @@
 import java.util.BitSet
 import java.util.TreeMap
 
-/** How a result stands, for who waits for it. */
+/** The state of a result from a waiting client's view. */
 public enum class ResultState {
-    /** Not a result of the session, as far as is known here. */
+    /** Not a result of the session as far as this node knows. */
     UNKNOWN,
     OPEN,
     ENDED,
@@ -15,148 +15,154 @@
 }
 
 /**
- * What a node knows of a session's jobs: a few bits each, since a session may have many thousands. Everything in it
- * only ever
- * grows (open, ended, taken), so it doesn't matter in which order the state service's lists and changes are told.
+ * A node's view of a session's jobs, kept in a few bits per job since a session may have many thousands. The state of a
+ * job only moves forward (open, ended, taken), so lists and changes from the state service may arrive in any order.
  */
 public class SessionState(public val name: SessionName) {
-    private class Members(val count: Int) {
-        val finished = CompletedTasks(count)
+    private class BulkJob(val count: Int) {
+        val completed = CompletedTasks(count)
         var ending: TerminalState? = null
 
-        /** All before it are taken, for ever: they are passed no more. */
-        var firstLeft = 0
+        /** All members before it are taken, so scans start here. */
+        var firstUntaken = 0
     }
 
     private class Client {
-        /** By number: submitted and not ended; ended. */
+        /** Jobs submitted and not ended, by number. */
         val open = BitSet()
+
+        /** Jobs that have ended, by number. */
         val ended = BitSet()
-        val bulks = TreeMap<Int, Members>()
+        val bulks = TreeMap<Int, BulkJob>()
 
-        /** Ended, and all of its results are taken: found out when it is next passed, and then passed no more. */
-        val gone = BitSet()
+        /** Ended jobs all of whose results are taken, as found by an earlier scan; later scans skip them. */
+        val exhausted = BitSet()
 
-        /** The first job from [from] on that may have results left; -1: none. */
+        /** The first job number from [from] on that may have untaken results; -1 if there is none. */
         fun next(from: Int): Int {
             var at = from
             while (true) {
                 val first = open.nextSetBit(at)
                 val second = ended.nextSetBit(at)
-                val n = if (first < 0) {
+                val number = if (first < 0) {
                     second
                 } else if (second < 0) {
                     first
                 } else {
                     minOf(first, second)
                 }
-                if (n < 0 || !gone[n]) return n
-                at = gone.nextClearBit(n)
+                if (number < 0 || !exhausted[number]) return number
+                at = exhausted.nextClearBit(number)
             }
         }
 
-        fun left(): Sequence<Int> = generateSequence(next(0).takeIf { it >= 0 }) { n -> next(n + 1).takeIf { it >= 0 } }
+        fun remaining(): Sequence<Int> = generateSequence(next(0).takeIf { it >= 0 }) { number ->
+            next(number + 1).takeIf {
+                it >=
+                    0
+            }
+        }
     }
 
     private val clients = TreeMap<ClientTag, Client>()
     private val blocks = HashMap<ReapKey, ReapBlock>()
 
-    /** Results that a request is just taking: others choose another one. */
+    /** Results that a request is about to take; other requests choose different ones. */
     private val claimed = HashSet<ResultName>()
 
     private fun client(tag: ClientTag) = clients.getOrPut(tag) { Client() }
 
-    private fun Client.bulk(job: JobName): Members? = job.members?.let { count ->
-        bulks.getOrPut(job.number) { Members(count) }
+    private fun Client.bulk(job: JobName): BulkJob? = job.members?.let { count ->
+        bulks.getOrPut(job.number) { BulkJob(count) }
     }
 
-    public fun opened(job: JobName) {
+    public fun markOpened(job: JobName) {
         val client = client(job.tag)
-        if (differs(job)) return
+        if (conflictsWith(job)) return
         client.bulk(job)
         if (!client.ended[job.number]) client.open.set(job.number)
     }
 
-    public fun ended(job: JobName, how: TerminalState) {
+    public fun markEnded(job: JobName, state: TerminalState) {
         val client = client(job.tag)
         client.open.clear(job.number)
         client.ended.set(job.number)
-        client.bulk(job)?.ending = how
+        client.bulk(job)?.ending = state
     }
 
-    /** A recorded block of finished tasks; of jobs other than bulk ones only the end counts. */
-    public fun finished(job: JobName, block: Int, value: String): Boolean =
-        client(job.tag).bulk(job)?.finished?.unpack(block, value) ?: true
+    /** Merges a recorded block of a bulk job's completed tasks; no-op for other jobs. False if [value] is malformed. */
+    public fun addCompleted(job: JobName, block: Int, value: String): Boolean =
+        client(job.tag).bulk(job)?.completed?.unpack(block, value) ?: true
 
-    public fun taken(key: ReapKey, block: ReapBlock) {
+    public fun updateBlock(key: ReapKey, block: ReapBlock) {
         val known = blocks[key]
         if (known == null || known.version < block.version) blocks[key] = block
     }
 
     public fun block(key: ReapKey): ReapBlock = blocks[key] ?: ReapBlock.EMPTY
 
-    public fun has(job: JobName): Boolean =
+    public fun isKnown(job: JobName): Boolean =
         clients[job.tag]?.let { it.open[job.number] || it.ended[job.number] } ?: false
 
-    /** Whether the number stands for another job, with other members: a client's mistake. */
-    public fun differs(job: JobName): Boolean =
-        has(job) && clients[job.tag]?.bulks?.get(job.number)?.count != job.members
+    /** Whether the number belongs to a job with another number of members, which is a client's mistake. */
+    public fun conflictsWith(job: JobName): Boolean =
+        isKnown(job) && clients[job.tag]?.bulks?.get(job.number)?.count != job.members
 
-    /** Whether the member of a bulk job that has ended, or has not, completed by itself. */
-    public fun completed(result: ResultName): Boolean {
-        val members = clients[result.job.tag]?.bulks?.get(result.job.number) ?: return false
-        return members.ending == TerminalState.DONE || result.member != null && result.member in members.finished
+    /** Whether a bulk job's member completed, be the job ended or not; false for jobs that are not bulk jobs. */
+    public fun isCompleted(result: ResultName): Boolean {
+        val bulk = clients[result.job.tag]?.bulks?.get(result.job.number) ?: return false
+        return bulk.ending == TerminalState.DONE || result.member != null && result.member in bulk.completed
     }
 
     public fun stateOf(result: ResultName): ResultState {
         val client = clients[result.job.tag] ?: return ResultState.UNKNOWN
         if (!client.open[result.job.number] && !client.ended[result.job.number]) return ResultState.UNKNOWN
-        // An id that gives another count of members than the job has is no name of it.
+        // An id with another number of members than the job has doesn't name it.
         if (client.bulks[result.job.number]?.count != result.job.members) return ResultState.UNKNOWN
         return when {
             result.place in block(result.block) -> ResultState.TAKEN
-            client.ended[result.job.number] || completed(result) -> ResultState.ENDED
+            client.ended[result.job.number] || isCompleted(result) -> ResultState.ENDED
             else -> ResultState.OPEN
         }
     }
 
-    /** The first result that has ended, is not taken, and is not just being taken. */
-    public fun anyEnded(): ResultName? {
+    /** The first result that has ended and is neither taken nor claimed. */
+    public fun nextEnded(): ResultName? {
         for ((tag, client) in clients) {
-            for (n in client.left()) {
-                endedIn(tag, client, n)?.let { return it }
-                if (allTaken(tag, client, n)) client.gone.set(n)
+            for (number in client.remaining()) {
+                firstEndedOf(tag, client, number)?.let { return it }
+                if (isExhausted(tag, client, number)) client.exhausted.set(number)
             }
         }
         return null
     }
 
-    /** Those of a job that may not be taken yet. */
-    private fun results(tag: ClientTag, client: Client, n: Int): Sequence<ResultName> {
-        val members = client.bulks[n]
-        val job = JobName(name, tag, n, members?.count)
-        if (members == null) return sequenceOf(ResultName(job, null))
-        while (members.firstLeft < members.count &&
-            ResultName(job, members.firstLeft).let { it.place in block(it.block) }
+    /** The results of a job, without the leading members of a bulk job that are taken. */
+    private fun results(tag: ClientTag, client: Client, number: Int): Sequence<ResultName> {
+        val bulk = client.bulks[number]
+        val job = JobName(name, tag, number, bulk?.count)
+        if (bulk == null) return sequenceOf(ResultName(job, null))
+        while (bulk.firstUntaken < bulk.count &&
+            ResultName(job, bulk.firstUntaken).let { it.place in block(it.block) }
         ) {
-            members.firstLeft++
+            bulk.firstUntaken++
         }
-        return (members.firstLeft until members.count).asSequence().map { ResultName(job, it) }
+        return (bulk.firstUntaken until bulk.count).asSequence().map { ResultName(job, it) }
     }
 
-    private fun endedIn(tag: ClientTag, client: Client, n: Int): ResultName? {
-        val members = client.bulks[n]
-        if (!client.ended[n] && (members == null || members.finished.count == 0)) return null
-        return results(tag, client, n).firstOrNull { stateOf(it) == ResultState.ENDED && it !in claimed }
+    private fun firstEndedOf(tag: ClientTag, client: Client, number: Int): ResultName? {
+        val bulk = client.bulks[number]
+        if (!client.ended[number] && (bulk == null || bulk.completed.count == 0)) return null
+        return results(tag, client, number).firstOrNull { stateOf(it) == ResultState.ENDED && it !in claimed }
     }
 
-    private fun allTaken(tag: ClientTag, client: Client, n: Int): Boolean =
-        client.ended[n] && results(tag, client, n).all { stateOf(it) == ResultState.TAKEN }
+    private fun isExhausted(tag: ClientTag, client: Client, number: Int): Boolean =
+        client.ended[number] && results(tag, client, number).all { stateOf(it) == ResultState.TAKEN }
 
-    /** Whether anything of the session is left to wait for. */
-    public fun anyLeft(): Boolean = clients.any { (tag, client) ->
-        client.left().any { n ->
-            results(tag, client, n).any {
+    /** Whether the session has results that are not taken, ended or not. */
+    public fun hasResultsLeft(): Boolean = clients.any { (tag, client) ->
+        client.remaining().any { number ->
+            results(tag, client, number).any {
                 stateOf(it) !=
                     ResultState.TAKEN
             }
@@ -169,49 +175,49 @@
         claimed.remove(result)
     }
 
-    /** The result that a request took before; null: none that is remembered. */
+    /** The one result that an earlier attempt of [request] took; null if none is recorded. */
     public fun takenBy(request: RequestId): ResultName? {
         for ((key, block) in blocks) {
             val place = block.takenBy(request) ?: continue
             val client = clients[key.tag] ?: continue
-            val at = key.block * CompletedTasks.BLOCK + place
+            val index = key.block * CompletedTasks.BLOCK + place
             return if (key.bulk == null) {
-                ResultName(JobName(name, key.tag, at, null), null)
+                ResultName(JobName(name, key.tag, index, null), null)
             } else {
-                val members = client.bulks[key.bulk] ?: continue
-                ResultName(JobName(name, key.tag, key.bulk, members.count), at)
+                val bulk = client.bulks[key.bulk] ?: continue
+                ResultName(JobName(name, key.tag, key.bulk, bulk.count), index)
             }
         }
         return null
     }
 
-    /** The highest number of each client: what "all jobs so far" are. */
-    public fun upTo(): Map<ClientTag, Int> = clients.mapValues { (_, client) ->
+    /** Each client's highest job number; bounds what "all jobs so far" means. */
+    public fun highestNumbers(): Map<ClientTag, Int> = clients.mapValues { (_, client) ->
         maxOf(client.open.length(), client.ended.length()) -
             1
     }
 
-    /** Jobs that have not ended, of those up to [upTo]; null: of all. */
+    /** Jobs that have not ended, with numbers up to [upTo] of their client; null: all. */
     public fun openJobs(upTo: Map<ClientTag, Int>? = null): Sequence<JobName> =
         clients.asSequence().flatMap { (tag, client) ->
-            val most = if (upTo == null) Int.MAX_VALUE else upTo[tag] ?: -1
+            val maxNumber = if (upTo == null) Int.MAX_VALUE else upTo[tag] ?: -1
             client.open.stream().iterator().asSequence().takeWhile {
-                it <= most
+                it <= maxNumber
             }.map { JobName(name, tag, it, client.bulks[it]?.count) }
         }
 
-    /** Results that have ended and are not taken, of jobs up to [upTo]. */
-    public fun untaken(upTo: Map<ClientTag, Int>? = null): Sequence<ResultName> =
+    /** Results that have ended and are not taken, of jobs with numbers up to [upTo] of their client; null: all. */
+    public fun endedResults(upTo: Map<ClientTag, Int>? = null): Sequence<ResultName> =
         clients.asSequence().flatMap { (tag, client) ->
-            val most = if (upTo == null) Int.MAX_VALUE else upTo[tag] ?: -1
-            client.left()
+            val maxNumber = if (upTo == null) Int.MAX_VALUE else upTo[tag] ?: -1
+            client.remaining()
                 .takeWhile {
-                    it <= most
-                }.flatMap { n -> results(tag, client, n) }.filter { stateOf(it) == ResultState.ENDED }
+                    it <= maxNumber
+                }.flatMap { number -> results(tag, client, number) }.filter { stateOf(it) == ResultState.ENDED }
         }
 
-    /** Open jobs and results that nobody took, a bulk job by its members; what the bound of a session counts. */
-    public fun load(): Int = clients.values.sumOf {
+    /** Open jobs and untaken results, each member of a bulk job counted; the session's limit applies to this count. */
+    public fun outstandingCount(): Int = clients.values.sumOf {
         it.open.cardinality() + it.ended.cardinality() +
             it.bulks.values.sumOf { bulk -> bulk.count - 1 }
     } -
--- a/src/main/kotlin/org/elderhitch/drmaa/Sessions.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Sessions.kt
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.hours
 
-/** Opens, touches and closes sessions; on any node. */
+/** Opens and closes sessions and records their last use, on any node. */
 public class Sessions(
     private val sessionRegistry: SessionRegistry,
     private val client: StateClient,
@@ -20,7 +20,7 @@
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
 
-    /** Opens the session, unless an earlier try has. Throws [Refused]. */
+    /** Opens the session unless an earlier attempt has. Throws [Refused]. */
     public suspend fun open(session: SessionName, team: TeamName) {
         val open = sessionRegistry.sessions()
         if (session in open) return
@@ -28,14 +28,14 @@
         if (ofTeam >= settings.sessionsPerTeam) {
             throw Refused(
                 Fault.TryLaterException,
-                "the team has $ofTeam sessions open, of ${settings.sessionsPerTeam}",
+                "the team has $ofTeam open sessions, the limit is ${settings.sessionsPerTeam}",
             )
         }
         val now = wallClock.now()
         val key = DrmaaKeys.session(session)
-        // A session that was closed stays so: its name leads nowhere any more.
+        // A closed session can't be opened again: its name is not reused.
         val conditions = listOf(Condition(key, Revision.ABSENT), Condition(DrmaaKeys.closed(session), Revision.ABSENT))
-        repeat(TRIES) {
+        repeat(MAX_ATTEMPTS) {
             when (
                 val outcome = client.commit(
                     conditions,
@@ -65,10 +65,10 @@
         throw Refused(Fault.DrmCommunicationException, "the state service doesn't answer")
     }
 
-    /** Whether an hour has passed since word was left that the session is in use. */
-    public fun isUnmarked(record: SessionRecord): Boolean = wallClock.now() - record.used >= TOUCH_EVERY
+    /** Whether the recorded time of last use is at least an hour old. */
+    public fun isTouchDue(record: SessionRecord): Boolean = wallClock.now() - record.used >= TOUCH_INTERVAL
 
-    /** Leaves word that the session is in use; that it can't be left now is no reason to refuse anything. */
+    /** Records that the session is in use. A failure is ignored: it is no reason to refuse the request. */
     public suspend fun touch(session: SessionName, record: SessionRecord) {
         val now = wallClock.now()
         client.commit(
@@ -78,23 +78,28 @@
         )
     }
 
-    /** Closes the session for good, and writes down why and what it let go. True if it is closed now. */
-    public suspend fun close(session: SessionName, why: String, more: List<Condition> = emptyList()): Boolean {
-        repeat(TRIES) {
-            val (record, left) = sessionRegistry.look(session) { it.record to it.state.load() } ?: return true
+    /** Closes the session for good, recording why and how many jobs and results were left. True if it is closed now. */
+    public suspend fun close(
+        session: SessionName,
+        reason: String,
+        extraConditions: List<Condition> = emptyList(),
+    ): Boolean {
+        repeat(MAX_ATTEMPTS) {
+            val (record, left) = sessionRegistry.query(session) { it.record to it.state.outstandingCount() }
+                ?: return true
             val outcome = client.commit(
                 listOf(
                     Condition(DrmaaKeys.session(session), record.version),
                     Condition(DrmaaKeys.closed(session), Revision.ABSENT),
                 ) +
-                    more,
+                    extraConditions,
                 listOf(
                     Write.Drop(DrmaaKeys.session(session)),
                     Write.Put(
                         DrmaaKeys.closed(session),
                         linkedMapOf(
                             "team" to record.team.text,
-                            "why" to why,
+                            "why" to reason,
                             "at" to wallClock.now().ms,
                             "left" to left,
                         ),
@@ -104,7 +109,7 @@
             )
             when (outcome) {
                 is CommitOutcome.Committed -> {
-                    log.info("session closed session={} team={} why={} left={}", session, record.team, why, left)
+                    log.info("session closed session={} team={} why={} left={}", session, record.team, reason, left)
                     return true
                 }
 
@@ -119,7 +124,7 @@
     }
 
     private companion object {
-        const val TRIES = 3
-        val TOUCH_EVERY = 1.hours
+        const val MAX_ATTEMPTS = 3
+        val TOUCH_INTERVAL = 1.hours
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
@@ -22,9 +22,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Jobs of sessions on their way to the core. What is to start later, or when its user says so, is recorded beside the
- * core under a
- * key of its own, and goes over to it in one transaction: it is held, or submitted, and never both or neither.
+ * Submits the jobs of sessions. A job with a start time or on user hold is first recorded under a key of its own, and
+ * is submitted in the transaction that deletes this key: it is always either held or submitted, never both or neither.
  */
 public class Submissions(
     private val sessionRegistry: SessionRegistry,
@@ -37,39 +36,39 @@
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.drmaa")
 
-    /** Submits or holds what was checked. A repeat of an accepted request changes nothing. Throws [Refused]. */
-    public suspend fun submit(name: JobName, checked: Checked) {
-        val (known, differs) = sessionRegistry.look(name.session) {
-            (it.held(name) != null || it.state.has(name)) to
-                it.state.differs(name)
+    /** Submits or holds a checked job. A retry of an accepted request changes nothing. Throws [Refused]. */
+    public suspend fun submit(name: JobName, checked: CheckedTemplate) {
+        val (known, conflicts) = sessionRegistry.query(name.session) {
+            (it.held(name) != null || it.state.isKnown(name)) to
+                it.state.conflictsWith(name)
         }
-            ?: throw closed()
-        if (differs) throw Refused(Fault.DeniedByDrmException, "the request's number stands for another job")
+            ?: throw sessionClosed()
+        if (conflicts) throw Refused(Fault.DeniedByDrmException, "the request's number belongs to another job")
         if (known) return
-        // Of a session that isn't loaded here only what is open counts; its results are bounded where it is used.
-        val load = sessionRegistry.look(name.session) { it.state.load() } ?: throw closed()
-        if (load + (name.members ?: 1) > settings.resultsPerSession) {
-            // A repeat of what is recorded already is not refused for it.
+        // Of a session that isn't loaded only open jobs count here; its results are limited on the nodes that use it.
+        val outstanding = sessionRegistry.query(name.session) { it.state.outstandingCount() } ?: throw sessionClosed()
+        if (outstanding + (name.members ?: 1) > settings.resultsPerSession) {
+            // The limit doesn't apply to a retry of a recorded submission.
             if (jobService.show(name.id) is JobResponse.State) return
             throw Refused(
                 Fault.TryLaterException,
-                "the session has $load jobs and results that nobody took, of ${settings.resultsPerSession}: take some",
+                "the session has $outstanding jobs and untaken results, the limit is ${settings.resultsPerSession}",
             )
         }
         if (checked.onHold || checked.startAt != null) return hold(name, checked)
-        accepted(jobService.submit(checked.spec, checked.extra))
-        sessionRegistry.tell(BookMessage.Submitted(name))
+        requireAccepted(jobService.submit(checked.spec, checked.extra))
+        sessionRegistry.tell(RegistryMessage.Submitted(name))
     }
 
-    private suspend fun hold(name: JobName, checked: Checked) {
-        if (!sync()) throw notNow("the state service doesn't answer")
+    private suspend fun hold(name: JobName, checked: CheckedTemplate) {
+        if (!sync()) throw unavailable("the state service doesn't answer")
         val sessions = sessionRegistry.sessions()
         val team = sessions.filterValues { it.team == checked.spec.team }.keys
-        val held = sessionRegistry.look(name.session) { it.heldOfTeam(team) } ?: throw closed()
+        val held = sessionRegistry.query(name.session) { it.heldCount(team) } ?: throw sessionClosed()
         if (held >= settings.heldPerTeam) {
-            throw Refused(Fault.TryLaterException, "the team has $held held jobs, of ${settings.heldPerTeam}")
+            throw Refused(Fault.TryLaterException, "the team has $held held jobs, the limit is ${settings.heldPerTeam}")
         }
-        jobService.refusal(checked.spec)?.let { accepted(it) }
+        jobService.refusal(checked.spec)?.let { requireAccepted(it) }
         val value = linkedMapOf<String, Any?>(
             "job" to JobCodec.encode(checked.spec) + checked.extra,
             "user" to checked.onHold,
@@ -83,68 +82,68 @@
             listOf(DrmaaKeys.held(name), Keys.job(name.id), Keys.terminalRecord(name.id)).map {
                 Condition(it, Revision.ABSENT)
             } +
-                Condition(DrmaaKeys.session(name.session), sessions[name.session]?.version ?: throw closed())
+                Condition(DrmaaKeys.session(name.session), sessions[name.session]?.version ?: throw sessionClosed())
         writeHeld(name, conditions, Write.Put(DrmaaKeys.held(name), value))
     }
 
     private suspend fun writeHeld(name: JobName, conditions: List<Condition>, write: Write) {
-        repeat(TRIES) {
+        repeat(MAX_ATTEMPTS) {
             when (val outcome = client.commit(conditions, listOf(write), RequestPriority.RECORD)) {
                 is CommitOutcome.Committed -> return
 
                 is CommitOutcome.Conflict -> {
-                    // Recorded by an earlier try, or already on from there.
+                    // Recorded by an earlier attempt, and possibly submitted or ended since.
                     if (outcome.failed.any { it != DrmaaKeys.session(name.session) }) return
-                    throw Refused(Fault.TryLaterException, "the session is just being changed")
+                    throw Refused(Fault.TryLaterException, "the session's record was changed at the same time")
                 }
 
                 CommitOutcome.Unknown -> Unit
 
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw notNow(
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw unavailable(
                     "the state service takes no record now",
                 )
             }
         }
-        throw notNow("the state service doesn't answer")
+        throw unavailable("the state service doesn't answer")
     }
 
-    /** Throws [Refused] unless the core took the job. */
-    private fun accepted(answer: JobResponse) {
+    /** Throws [Refused] unless the job was accepted. */
+    private fun requireAccepted(answer: JobResponse) {
         when (answer) {
             is JobResponse.Accepted, is JobResponse.State -> Unit
             is JobResponse.Malformed -> throw Refused(Fault.InvalidAttributeValueException, answer.reason)
             is JobResponse.NeverRuns -> throw Refused(Fault.DeniedByDrmException, answer.reason)
             JobResponse.Unknown -> throw Refused(Fault.InvalidJobException, "no such job")
-            is JobResponse.NotNow -> throw notNow(answer.reason)
+            is JobResponse.NotNow -> throw unavailable(answer.reason)
             JobResponse.Full -> throw Refused(
                 Fault.TryLaterException,
-                "as many jobs are open as the controllers can hold",
+                "the controllers have reached their limit of open jobs",
             )
         }
     }
 
-    /** Gives a held job to the core. True if it is there now, false if it was not held any more. Throws [Refused]. */
+    /** Submits a held job; always returns true. Throws [Refused]. */
     public suspend fun release(name: JobName, held: HeldJob): Boolean {
-        val (spec, extra) = described(held)
+        val (spec, extra) = decodeHeld(held)
             ?: throw Refused(Fault.DeniedByDrmException, "the held job's record can't be read")
-        val beside =
+        val heldKeyRemoval =
             ExtraWrites(listOf(Condition(DrmaaKeys.held(name), held.version)), listOf(Write.Drop(DrmaaKeys.held(name))))
-        accepted(jobService.submit(spec, extra, beside))
+        requireAccepted(jobService.submit(spec, extra, heldKeyRemoval))
         log.info("held job submitted job={}", name)
         return true
     }
 
-    private fun described(held: HeldJob): Pair<JobSpec, Map<String, Any?>>? = try {
+    private fun decodeHeld(held: HeldJob): Pair<JobSpec, Map<String, Any?>>? = try {
         JobCodec.decode(held.body) to (held.body.raw("drmaa")?.let { mapOf("drmaa" to it) }.orEmpty())
     } catch (e: MalformedJson) {
         log.error("held job malformed reason=\"{}\"", e.message)
         null
     }
 
-    /** Ends a job that was never submitted. False: it is no longer held. Throws [Refused]. */
-    public suspend fun end(name: JobName, held: HeldJob): Boolean {
+    /** Ends a held job without submitting it; false if it is no longer held. Throws [Refused]. */
+    public suspend fun cancel(name: JobName, held: HeldJob): Boolean {
         val spec =
-            described(held)?.first ?: throw Refused(Fault.DeniedByDrmException, "the held job's record can't be read")
+            decodeHeld(held)?.first ?: throw Refused(Fault.DeniedByDrmException, "the held job's record can't be read")
         val account = JobAccount(spec.team, spec.jobClass, 0, 0, 0.0, 0.0, null, wallClock.now(), lowerBound = false)
         val conditions =
             listOf(
@@ -156,7 +155,7 @@
                 Write.Put(Keys.terminalRecord(name.id), TerminalRecord(TerminalState.CANCELLED, 0, account).encode()),
                 Write.Drop(DrmaaKeys.held(name)),
             )
-        repeat(TRIES) {
+        repeat(MAX_ATTEMPTS) {
             when (client.commit(conditions, writes, RequestPriority.RECORD)) {
                 is CommitOutcome.Committed -> return true
 
@@ -164,15 +163,15 @@
 
                 CommitOutcome.Unknown -> Unit
 
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw notNow(
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw unavailable(
                     "the state service takes no record now",
                 )
             }
         }
-        throw notNow("the state service doesn't answer")
+        throw unavailable("the state service doesn't answer")
     }
 
-    /** The leader's part: what was to start by now is submitted. */
+    /** Submits the held jobs whose start time has come; called on the leader. */
     public suspend fun startDue(now: WallTime) {
         val due = sessionRegistry.heldJobs().filterValues { held ->
             !held.byUser &&
@@ -188,11 +187,11 @@
         }
     }
 
-    private fun closed() = Refused(Fault.NoActiveSessionException, "the session was closed")
+    private fun sessionClosed() = Refused(Fault.NoActiveSessionException, "the session was closed")
 
-    private fun notNow(reason: String) = Refused(Fault.DrmCommunicationException, reason)
+    private fun unavailable(reason: String) = Refused(Fault.DrmCommunicationException, reason)
 
     private companion object {
-        const val TRIES = 3
+        const val MAX_ATTEMPTS = 3
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Tokens.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Tokens.kt
@@ -9,28 +9,27 @@
 import java.io.IOException
 import java.security.MessageDigest
 
-/** What a token entitles to. */
+/** The rights that a token grants. */
 public sealed interface Claim {
     public val team: TeamName
 
-    /** To open sessions of a team, until [until] if that is set. */
+    /** The right to open sessions of a team, until [until] if that is set. */
     public data class Grant(override val team: TeamName, val until: WallTime?) : Claim
 
-    /** To use one session, whoever opened it. */
+    /** The right to use one session. */
     public data class InSession(override val team: TeamName, val session: SessionName) : Claim
 }
 
-/** Why a token isn't one; fit for whoever sent it. */
+/** A token is not valid; the message is safe to send to the client. */
 public class BadToken(message: String) : Exception(message)
 
-/** The key file can't be used; the message names the file and the line. */
-public class BadKeys(message: String, cause: Throwable? = null) : Exception(message, cause)
+/** The key file can't be used; the message names the file and, where one is at fault, the line. */
+public class InvalidKeyFile(message: String, cause: Throwable? = null) : Exception(message, cause)
 
 /**
- * Tokens: what they say, and a MAC over it under a key of the operators. Two keys may be valid at once: the first
- * signs, both
- * verify, so a key is changed by putting the new one before the old one, and taking the old one out once its tokens are
- * gone.
+ * Issues and verifies tokens, which consist of a claim and its MAC under a key of the operators. Two keys may be valid
+ * at once: the first signs, both verify. A key is rotated by putting the new one before the old one, and removing the
+ * old one once its tokens are no longer in use.
  */
 public class Tokens(keys: List<Pair<String, ByteArray>>) {
     private val keys = keys.map { (id, secret) -> Key(id, secret) }
@@ -43,70 +42,73 @@
 
     public fun issue(claim: Claim): String {
         val key = keys.first()
-        val said = when (claim) {
-            is Claim.Grant -> "g.${packed(claim.team)}.${claim.until?.ms ?: 0}"
-            is Claim.InSession -> "s.${packed(claim.team)}.${claim.session}"
+        val payload = when (claim) {
+            is Claim.Grant -> "g.${encoded(claim.team)}.${claim.until?.ms ?: 0}"
+            is Claim.InSession -> "s.${encoded(claim.team)}.${claim.session}"
         }
-        val body = "${key.id}.$said"
+        val body = "${key.id}.$payload"
         return "$body.${key.sign(body)}"
     }
 
-    /** Throws [BadToken]. Nothing of what a token says is looked at before its MAC is. */
+    /** Throws [BadToken]. Only a token's form and key id are looked at before its MAC is verified. */
     public fun verify(token: String, now: WallTime): Claim {
-        if (token.length > LONGEST) throw BadToken("not a token")
+        if (token.length > MAX_LENGTH) throw BadToken("not a token")
         val parts = token.split('.')
-        if (parts.size != PARTS) throw BadToken("not a token")
+        if (parts.size != PART_COUNT) throw BadToken("not a token")
         val key = keys.firstOrNull { it.id == parts[0] } ?: throw BadToken("a token of a key that is not valid here")
-        val signed = key.sign(token.substringBeforeLast('.'))
-        if (!MessageDigest.isEqual(signed.toByteArray(), parts.last().toByteArray())) {
+        val expectedMac = key.sign(token.substringBeforeLast('.'))
+        if (!MessageDigest.isEqual(expectedMac.toByteArray(), parts.last().toByteArray())) {
             throw BadToken("not a token of ours")
         }
-        val team = TeamName(String(Base64.decodeBase64(parts[TEAM]), Charsets.UTF_8))
+        val team = TeamName(String(Base64.decodeBase64(parts[TEAM_PART]), Charsets.UTF_8))
         return when (parts[1]) {
             "g" -> {
-                val until = parts[SUBJECT].toLongOrNull() ?: throw BadToken("not a token of ours")
-                if (until != 0L && now > WallTime(until)) throw BadToken("the grant has run out")
+                val until = parts[SUBJECT_PART].toLongOrNull() ?: throw BadToken("not a token of ours")
+                if (until != 0L && now > WallTime(until)) throw BadToken("the grant has expired")
                 Claim.Grant(team, if (until == 0L) null else WallTime(until))
             }
 
-            "s" -> Claim.InSession(team, SessionName.parse(parts[SUBJECT]) ?: throw BadToken("not a token of ours"))
+            "s" -> Claim.InSession(
+                team,
+                SessionName.parse(parts[SUBJECT_PART]) ?: throw BadToken("not a token of ours"),
+            )
 
             else -> throw BadToken("not a token of ours")
         }
     }
 
-    /** The session that a client's opening with this number leads to, each time the same. */
+    /** The name of the session that an `open` request with [nonce] opens; the same for a retry. */
     public fun sessionFor(team: TeamName, nonce: String): SessionName {
-        // Under no key: a change of keys between an opening and its repeat must not open another session.
+        // Independent of the token keys: a key rotation between a request and its retry must not open another session.
         val hash = HmacUtils(HmacAlgorithms.HMAC_SHA_256, "elderhitch session").hmac("${team.text}\u0000$nonce")
         val digits = StringBuilder(SessionName.LENGTH)
-        for (n in 0 until SessionName.LENGTH) digits.append(ALPHABET[(hash[n].toInt() and BYTE) % ALPHABET.length])
+        for (n in 0 until SessionName.LENGTH) digits.append(ALPHABET[(hash[n].toInt() and BYTE_MASK) % ALPHABET.length])
         return SessionName(digits.toString())
     }
 
-    private fun packed(team: TeamName): String = Base64.encodeBase64URLSafeString(team.text.toByteArray())
+    private fun encoded(team: TeamName): String = Base64.encodeBase64URLSafeString(team.text.toByteArray())
 
     public companion object {
-        /** Parts of a token: key, kind, team, session or end of the grant, MAC. */
-        private const val TEAM = 2
-        private const val SUBJECT = 3
-        private const val PARTS = 5
-        private const val LONGEST = 1000
-        private const val BYTE = 0xff
-        private const val MOST_KEYS = 2
-        private const val LEAST_SECRET = 16
+        /** Parts of a token: key id, kind, team, session or expiry of the grant, MAC. */
+        private const val TEAM_PART = 2
+        private const val SUBJECT_PART = 3
+        private const val PART_COUNT = 5
+        private const val MAX_LENGTH = 1000
+        private const val BYTE_MASK = 0xff
+        private const val MAX_KEYS = 2
+        private const val MIN_SECRET_BYTES = 16
         private const val ALPHABET = "abcdefghijklmnopqrstuvwxyz0123456789"
         private val ID = Regex("[A-Za-z0-9_-]{1,16}")
 
         /**
-         * A key a line: a name, a space and at least 16 bytes in base64. Empty lines and those that begin with # don't
-         * count. Throws [BadKeys].
+         * Reads a file with one key per line: a name, white space and at least 16 bytes in base64. Blank lines and
+         * those that begin with # are ignored. Throws [InvalidKeyFile].
          */
         public fun load(file: File): Tokens {
             val lines = try {
                 file.readLines()
             } catch (e: IOException) {
-                throw BadKeys("$file can't be read: ${e.message}", e)
+                throw InvalidKeyFile("can't read $file: ${e.message}", e)
             }
             return parse(file.name, lines)
         }
@@ -116,17 +118,19 @@
             for ((n, line) in lines.withIndex()) {
                 if (line.isBlank() || line.startsWith("#")) continue
                 val (id, secret) = line.trim().split(Regex("\\s+")).takeIf { it.size == 2 }
-                    ?: throw BadKeys("$name:${n + 1}: not a name and a secret")
-                if (!ID.matches(id)) throw BadKeys("$name:${n + 1}: the key's name must match $ID")
-                if (keys.any { it.first == id }) throw BadKeys("$name:${n + 1}: the name $id is taken")
+                    ?: throw InvalidKeyFile("$name:${n + 1}: must be a name and a secret")
+                if (!ID.matches(id)) throw InvalidKeyFile("$name:${n + 1}: the key's name must match $ID")
+                if (keys.any { it.first == id }) throw InvalidKeyFile("$name:${n + 1}: the name $id is used twice")
                 val bytes = if (Base64.isBase64(secret)) Base64.decodeBase64(secret) else ByteArray(0)
-                if (bytes.size < LEAST_SECRET) {
-                    throw BadKeys("$name:${n + 1}: the secret is no base64 of at least $LEAST_SECRET bytes")
+                if (bytes.size < MIN_SECRET_BYTES) {
+                    throw InvalidKeyFile(
+                        "$name:${n + 1}: the secret must be at least $MIN_SECRET_BYTES bytes in base64",
+                    )
                 }
                 keys.add(id to bytes)
             }
-            if (keys.isEmpty()) throw BadKeys("$name: holds no key")
-            if (keys.size > MOST_KEYS) throw BadKeys("$name: holds more than $MOST_KEYS keys")
+            if (keys.isEmpty()) throw InvalidKeyFile("$name: no key")
+            if (keys.size > MAX_KEYS) throw InvalidKeyFile("$name: more than $MAX_KEYS keys")
             return Tokens(keys)
         }
     }
--- a/src/main/kotlin/org/elderhitch/drmaa/Waits.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Waits.kt
@@ -9,85 +9,84 @@
 import kotlin.time.Duration.Companion.seconds
 
 public sealed interface WaitAnswer {
-    public class Ended(public val result: Result) : WaitAnswer
+    public class Ended(public val result: JobResult) : WaitAnswer
 
-    /** All that were waited for have ended, and are taken if that was asked for. */
+    /** All awaited results have ended, and were taken if that was requested. */
     public data object AllEnded : WaitAnswer
 
-    /** Nothing yet. [upTo]: what "all" means from now on. */
-    public class NotYet(public val upTo: Map<ClientTag, Int>) : WaitAnswer
-    public class NotNow(public val reason: String) : WaitAnswer
+    /** Not yet. [upTo]: the highest job numbers that "all jobs" covers, to be sent with the next request. */
+    public class Pending(public val upTo: Map<ClientTag, Int>) : WaitAnswer
+    public class Unavailable(public val reason: String) : WaitAnswer
 }
 
 /**
- * Waits of clients. A wait holds a coroutine and its client's socket, no thread; and no more than [most] are held at a
- * time:
- * the others are told at once when to come back. It learns of an end through the feed, and asks the state service for
- * nothing meanwhile.
+ * Serves clients that wait for results (long polling). A wait occupies a coroutine and its client's socket but no
+ * thread. At most [maxCount] wait at a time; further ones are refused at once, to be retried later. A wait learns of an
+ * end through the change feed and sends no requests to the state service meanwhile.
  */
 public class Waits(
     private val sessionRegistry: SessionRegistry,
     private val reaper: Reaper,
     private val sync: suspend () -> Boolean,
     private val clock: SteadyClock,
-    public val most: Int,
+    public val maxCount: Int,
 ) {
-    /** How many are held just now. */
-    public var held: Int = 0
+    /** Number of requests that are waiting now. */
+    public var activeCount: Int = 0
         private set
 
-    /** For any result of the session, taken by [request]. Throws [Refused]. */
-    public suspend fun any(session: SessionName, request: RequestId, hold: Duration): WaitAnswer =
-        until(session, hold) {
-            again(session, request)?.let { return@until it }
-            val (found, left) = look(session) { view ->
-                view.state.anyEnded()?.also { view.state.claim(it) } to
-                    (view.state.anyLeft() || view.heldJobs().isNotEmpty())
+    /** Waits for any result of the session and takes it for [request]. Throws [Refused]. */
+    public suspend fun awaitAny(session: SessionName, request: RequestId, hold: Duration): WaitAnswer =
+        awaitAnswer(session, hold) {
+            earlierAnswer(session, request)?.let { return@awaitAnswer it }
+            val (found, left) = queryLoaded(session) { view ->
+                view.state.nextEnded()?.also { view.state.claim(it) } to
+                    (view.state.hasResultsLeft() || view.heldJobs().isNotEmpty())
             }
             if (found == null) {
-                if (!left) throw Refused(Fault.InvalidJobException, "nothing of the session is left to wait for")
-                return@until null
+                if (!left) throw Refused(Fault.InvalidJobException, "the session has no results left to wait for")
+                return@awaitAnswer null
             }
             try {
-                taken(found, request)
+                take(found, request)
             } finally {
-                sessionRegistry.tell(BookMessage.Unclaim(found))
+                sessionRegistry.tell(RegistryMessage.Unclaim(found))
             }
         }
 
-    /** For one result, taken by [request]. Throws [Refused]. */
-    public suspend fun one(name: ResultName, request: RequestId, hold: Duration): WaitAnswer =
-        until(name.job.session, hold) {
-            again(name.job.session, request)?.let { return@until it }
-            when (state(name)) {
-                ResultState.ENDED -> taken(name, request) ?: throw gone(name)
+    /** Waits for one result and takes it for [request]. Throws [Refused]. */
+    public suspend fun awaitOne(name: ResultName, request: RequestId, hold: Duration): WaitAnswer =
+        awaitAnswer(name.job.session, hold) {
+            earlierAnswer(name.job.session, request)?.let { return@awaitAnswer it }
+            when (resultState(name)) {
+                ResultState.ENDED -> take(name, request) ?: throw alreadyTaken(name)
                 ResultState.OPEN -> null
-                ResultState.TAKEN -> throw gone(name)
-                ResultState.UNKNOWN -> throw Refused(Fault.InvalidJobException, "$name is no result of this session")
+                ResultState.TAKEN -> throw alreadyTaken(name)
+                ResultState.UNKNOWN -> throw Refused(Fault.InvalidJobException, "$name is not a result of this session")
             }
         }
 
-    private suspend fun again(session: SessionName, request: RequestId): WaitAnswer? {
-        val before = look(session) { it.state.takenBy(request) } ?: return null
-        return reaper.result(before)?.let { WaitAnswer.Ended(it) } ?: WaitAnswer.NotNow("the result can't be read now")
+    private suspend fun earlierAnswer(session: SessionName, request: RequestId): WaitAnswer? {
+        val before = queryLoaded(session) { it.state.takenBy(request) } ?: return null
+        return reaper.readResult(before)?.let { WaitAnswer.Ended(it) }
+            ?: WaitAnswer.Unavailable("the result can't be read at the moment")
     }
 
-    /** Null: somebody else was faster. */
-    private suspend fun taken(name: ResultName, request: RequestId): WaitAnswer? {
-        val result = reaper.result(name) ?: return WaitAnswer.NotNow("the result can't be read now")
+    /** Null if another request took the result first. */
+    private suspend fun take(name: ResultName, request: RequestId): WaitAnswer? {
+        val result = reaper.readResult(name) ?: return WaitAnswer.Unavailable("the result can't be read at the moment")
         return when (val reaped = reaper.take(name.block, listOf(name), request)) {
             is Reaped.Taken -> WaitAnswer.Ended(result)
             is Reaped.Gone -> null
-            is Reaped.NotNow -> WaitAnswer.NotNow(reaped.reason)
+            is Reaped.Unavailable -> WaitAnswer.Unavailable(reaped.reason)
         }
     }
 
     /**
-     * For all of [names], or for all that the session has up to [upTo] (null: has now). With [dispose] they are taken,
-     * a block at a
-     * time: one change for up to 4,096. Throws [Refused].
+     * Waits for all of [names], or if that is null for all of the session's jobs with numbers up to [upTo] (null: those
+     * it has now). With [dispose] the results are taken, with one write per block of up to 4,096. Throws [Refused].
      */
-    public suspend fun all(
+    public suspend fun awaitAll(
         session: SessionName,
         names: Collection<ResultName>?,
         upTo: Map<ClientTag, Int>?,
@@ -95,27 +94,27 @@
         dispose: Boolean,
         hold: Duration,
     ): WaitAnswer {
-        val bound = upTo ?: look(session) { it.upTo() }
-        return until(session, hold, bound) {
-            val mine = if (names == null) null else names.filter { name -> mine(name, request, dispose) }
-            val ready = if (mine == null) {
-                look(session) { view ->
-                    view.state.openJobs(bound).none() &&
-                        view.heldJobs().none { it.number <= (bound[it.tag] ?: -1) }
+        val upToNumbers = upTo ?: queryLoaded(session) { it.highestNumbers() }
+        return awaitAnswer(session, hold, upToNumbers) {
+            val pending = if (names == null) null else names.filter { name -> isPending(name, request, dispose) }
+            val ready = if (pending == null) {
+                queryLoaded(session) { view ->
+                    view.state.openJobs(upToNumbers).none() &&
+                        view.heldJobs().none { it.number <= (upToNumbers[it.tag] ?: -1) }
                 }
             } else {
-                look(session) { view ->
-                    mine.all {
+                queryLoaded(session) { view ->
+                    pending.all {
                         view.state.stateOf(it) != ResultState.OPEN &&
                             view.held(it.job) == null
                     }
                 }
             }
-            if (!ready) return@until null
+            if (!ready) return@awaitAnswer null
             if (dispose) {
-                disposed(
-                    mine ?: look(session) {
-                        it.state.untaken(bound).toList()
+                disposeAll(
+                    pending ?: queryLoaded(session) {
+                        it.state.endedResults(upToNumbers).toList()
                     },
                     request,
                 )
@@ -125,101 +124,103 @@
         }
     }
 
-    /** Whether there is still something to wait for, or to take, in a result that was named. */
-    private suspend fun mine(name: ResultName, request: RequestId, dispose: Boolean): Boolean = when (state(name)) {
-        ResultState.UNKNOWN -> throw Refused(Fault.InvalidJobException, "$name is no result of this session")
+    /** Whether a named result is still to be waited for or taken. */
+    private suspend fun isPending(name: ResultName, request: RequestId, dispose: Boolean): Boolean =
+        when (resultState(name)) {
+            ResultState.UNKNOWN -> throw Refused(Fault.InvalidJobException, "$name is not a result of this session")
 
-        // Taken by an earlier try of this very request: as good as taken now.
-        ResultState.TAKEN -> if (dispose &&
-            look(name.job.session) { it.state.block(name.block).wentTo(name.place, request) }
-        ) {
-            false
-        } else {
-            throw gone(name)
-        }
+            // Taken by an earlier attempt of this request.
+            ResultState.TAKEN -> if (dispose &&
+                queryLoaded(name.job.session) { it.state.block(name.block).wentTo(name.place, request) }
+            ) {
+                false
+            } else {
+                throw alreadyTaken(name)
+            }
 
-        else -> true
-    }
+            else -> true
+        }
 
-    private suspend fun disposed(names: Collection<ResultName>, request: RequestId): WaitAnswer {
+    private suspend fun disposeAll(names: Collection<ResultName>, request: RequestId): WaitAnswer {
         for ((key, results) in names.groupBy { it.block }) {
             var left: Collection<ResultName> = results
             while (left.isNotEmpty()) {
                 when (val reaped = reaper.take(key, left, request, RequestPriority.END)) {
                     is Reaped.Taken -> left = emptyList()
 
-                    // What another wait of the session took meanwhile is disposed of too.
+                    // Results that another request took meanwhile need no disposal.
                     is Reaped.Gone -> left = left - reaped.gone.toSet()
 
-                    is Reaped.NotNow -> return WaitAnswer.NotNow(reaped.reason)
+                    is Reaped.Unavailable -> return WaitAnswer.Unavailable(reaped.reason)
                 }
             }
         }
         return WaitAnswer.AllEnded
     }
 
-    private suspend fun state(name: ResultName): ResultState = look(name.job.session) { view ->
+    private suspend fun resultState(name: ResultName): ResultState = queryLoaded(name.job.session) { view ->
         if (view.held(name.job) != null) ResultState.OPEN else view.state.stateOf(name)
     }
 
-    /** Only where all of the session is known: what lost track in between would call results unknown that are not. */
-    private suspend fun <T> look(session: SessionName, look: (SessionView) -> T): T {
-        val (loaded, seen) = sessionRegistry.look(session) { view ->
+    /** Queries a loaded session only: after a gap in the feed, known results would appear unknown. */
+    private suspend fun <T> queryLoaded(session: SessionName, query: (SessionView) -> T): T {
+        val (loaded, seen) = sessionRegistry.query(session) { view ->
             view.loaded to
-                (if (view.loaded) look(view) else null)
+                (if (view.loaded) query(view) else null)
         }
-            ?: throw closed()
+            ?: throw sessionClosed()
         @Suppress("UNCHECKED_CAST")
         return if (loaded) {
             seen as T
         } else {
             throw Refused(
                 Fault.DrmCommunicationException,
-                "this node reads the session again",
+                "this node must load the session again",
             )
         }
     }
 
-    private fun closed() = Refused(Fault.NoActiveSessionException, "the session was closed")
+    private fun sessionClosed() = Refused(Fault.NoActiveSessionException, "the session was closed")
 
-    private fun gone(name: ResultName) = Refused(Fault.InvalidJobException, "$name: its result was taken before")
+    private fun alreadyTaken(name: ResultName) =
+        Refused(Fault.InvalidJobException, "$name: its result has already been taken")
 
-    /** Tries, and tries again whenever something happens in the session, until there is an answer or [hold] is over. */
-    private suspend fun until(
+    /** Runs [attempt] now and after each change in the session, until it gives an answer or [hold] is over. */
+    private suspend fun awaitAnswer(
         session: SessionName,
         hold: Duration,
         upTo: Map<ClientTag, Int> = emptyMap(),
         attempt: suspend () -> WaitAnswer?,
     ): WaitAnswer {
-        if (!sync()) return WaitAnswer.NotNow("the state service doesn't answer")
+        if (!sync()) return WaitAnswer.Unavailable("the state service doesn't answer")
         val deadline = clock.now() + hold
         while (true) {
-            val woken = CompletableDeferred<Unit>()
-            // Before the look: what happens after it wakes, and nothing falls in between.
-            sessionRegistry.tell(BookMessage.Await(session, woken))
+            val signal = CompletableDeferred<Unit>()
+            // Registered before the attempt, so that no change between the attempt and the wait is missed.
+            sessionRegistry.tell(RegistryMessage.AddWaiter(session, signal))
             try {
                 attempt()?.let { return it }
-                if (!awaitChange(woken, deadline)) return WaitAnswer.NotYet(upTo)
+                if (!awaitSignal(signal, deadline)) return WaitAnswer.Pending(upTo)
             } finally {
-                sessionRegistry.tell(BookMessage.Done(session, woken))
+                sessionRegistry.tell(RegistryMessage.RemoveWaiter(session, signal))
             }
         }
     }
 
-    private suspend fun awaitChange(woken: CompletableDeferred<Unit>, deadline: MonotonicInstant): Boolean {
+    private suspend fun awaitSignal(signal: CompletableDeferred<Unit>, deadline: MonotonicInstant): Boolean {
         val left = deadline - clock.now()
         if (!left.isPositive()) return false
-        if (held >= most) throw Refused(Fault.TryLaterException, "as many waits are held as this node has sockets for")
-        held++
+        if (activeCount >= maxCount) throw Refused(Fault.TryLaterException, "this node has reached its limit of waits")
+        activeCount++
         try {
-            return withTimeoutOrNull(left) { woken.await() } != null
+            return withTimeoutOrNull(left) { signal.await() } != null
         } finally {
-            held--
+            activeCount--
         }
     }
 
     public companion object {
-        /** A client that waits longer asks again, and each time may find another node. */
-        public val LONGEST_HOLD: Duration = 20.seconds
+        /** The longest hold of one request; a client that waits longer repeats it, possibly at another node. */
+        public val MAX_HOLD: Duration = 20.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/client/ClientSession.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/client/ClientSession.kt
@@ -20,56 +20,64 @@
 import java.util.IdentityHashMap
 import java.util.concurrent.atomic.AtomicInteger
 
-/** What [SessionFactory.getFactory] finds without configuration. */
+/** The default factory of [SessionFactory.getFactory]. */
 public class ClientSessionFactory : SessionFactory() {
-    private val only: Session by lazy { ClientSession(HttpLine(), SystemClientClock, System.getenv(CONTACT)) }
+    private val clientSession: Session by lazy {
+        ClientSession(HttpTransport(), SystemClientClock, System.getenv(CONTACT))
+    }
 
-    override fun getSession(): Session = only
+    override fun getSession(): Session = clientSession
 
     private companion object {
         const val CONTACT = "ELDERHITCH_DRMAA_CONTACT"
     }
 }
 
-/** Speaks to the controllers; safe for several threads. */
+/** A DRMAA session served by the controllers over HTTP; thread-safe. */
 internal class ClientSession(
-    private val line: Line,
+    private val transport: Line,
     private val clock: ClientClock,
     private val defaultContact: String?,
-    /** Letters and digits of so many characters, each time others. */
+    /** Returns a random string of letters and digits of the given length. */
     private val newTag: (Int) -> String = ::randomTag,
 ) : Session {
-    private class Active(val contact: ContactString, val wire: Wire, val owner: Boolean, val tag: String) {
-        val numbers = AtomicInteger()
+    private class ActiveSession(val contact: ContactString, val wire: Wire, val isOwner: Boolean, val tag: String) {
+        val nextNumber = AtomicInteger()
         val templates: MutableSet<JobTemplate> = Collections.synchronizedSet(
             Collections.newSetFromMap(IdentityHashMap()),
         )
 
-        /** A number of its own for each thing that is asked for; the same one however often it has to be asked. */
-        fun request(): String = "$tag-${numbers.getAndIncrement()}"
+        /** A new id for each request; retries of the request keep it. */
+        fun nextRequestId(): String = "$tag-${nextNumber.getAndIncrement()}"
     }
 
     @Volatile
-    private var active: Active? = null
+    private var active: ActiveSession? = null
 
-    private fun active(): Active = active ?: throw NoActiveSessionException("init was not called")
+    private fun active(): ActiveSession = active ?: throw NoActiveSessionException("init was not called")
 
     @Synchronized
     override fun init(contact: String?) {
-        if (active != null) throw AlreadyActiveSessionException("exit first")
+        if (active != null) throw AlreadyActiveSessionException("a session is already active; call exit first")
         val text = contact?.takeIf { it.isNotBlank() } ?: defaultContact?.takeIf { it.isNotBlank() }
             ?: throw NoDefaultContactStringException("no contact string, and ELDERHITCH_DRMAA_CONTACT is not set")
-        val given = ContactString.parse(text)
-        val opened = Wire(given, line, clock).ask("open", mapOf("nonce" to newTag(NONCE)), PATIENCE_MS)
-        val own = ContactString(given.nodes, read { opened.string("token") })
-        active = Active(own, Wire(own, line, clock), read { opened.boolean("owner") }, newTag(TAG))
+        val givenContact = ContactString.parse(text)
+        val answer = Wire(givenContact, transport, clock)
+            .ask("open", mapOf("nonce" to newTag(NONCE_LENGTH)), RETRY_LIMIT_MS)
+        val sessionContact = ContactString(givenContact.nodes, readField { answer.string("token") })
+        active = ActiveSession(
+            sessionContact,
+            Wire(sessionContact, transport, clock),
+            readField { answer.boolean("owner") },
+            newTag(TAG_LENGTH),
+        )
     }
 
-    /** The program that opened the session closes it: nobody can wait for its jobs any more. Others only leave it. */
+    /** Closes the session if this program opened it, after which nobody can wait for its jobs; others only leave it. */
     @Synchronized
     override fun exit() {
         val session = active()
-        if (session.owner) session.wire.ask("close", emptyMap(), PATIENCE_MS)
+        if (session.isOwner) session.wire.ask("close", emptyMap(), RETRY_LIMIT_MS)
         active = null
     }
 
@@ -79,9 +87,9 @@
         if (!active().templates.remove(jobTemplate)) throw InvalidJobTemplateException("not a template of this session")
     }
 
-    private fun fields(session: Active, template: JobTemplate): Map<String, Any?> {
+    private fun fields(session: ActiveSession, template: JobTemplate): Map<String, Any?> {
         if (template !in session.templates) {
-            throw InvalidJobTemplateException("not a template of this session, or deleted")
+            throw InvalidJobTemplateException("not a template of this session, or a deleted one")
         }
         return (template as Template).fields()
     }
@@ -91,12 +99,12 @@
         val answer = session.wire.ask(
             "run",
             mapOf(
-                "request" to session.request(),
+                "request" to session.nextRequestId(),
                 "template" to fields(session, jobTemplate),
             ),
-            PATIENCE_MS,
+            RETRY_LIMIT_MS,
         )
-        return read { answer.string("job") }
+        return readField { answer.string("job") }
     }
 
     override fun runBulkJobs(jobTemplate: JobTemplate, start: Int, end: Int, incr: Int): List<String> {
@@ -105,38 +113,38 @@
         val answer = session.wire.ask(
             "run",
             mapOf(
-                "request" to session.request(),
+                "request" to session.nextRequestId(),
                 "template" to fields(session, jobTemplate),
                 "bulk" to bulk,
             ),
-            PATIENCE_MS,
+            RETRY_LIMIT_MS,
         )
-        val job = read { answer.string("job") }
-        return List(read { answer.count("members") }.toInt()) { "$job/$it" }
+        val job = readField { answer.string("job") }
+        return List(readField { answer.count("members") }.toInt()) { "$job/$it" }
     }
 
     override fun control(jobId: String, action: Int) {
         val session = active()
-        val word = ACTIONS.getOrNull(action) ?: throw IllegalArgumentException("no action $action")
-        val fields = linkedMapOf<String, Any?>("job" to jobId, "action" to word)
+        val actionName = ACTIONS.getOrNull(action) ?: throw IllegalArgumentException("unknown action $action")
+        val fields = linkedMapOf<String, Any?>("job" to jobId, "action" to actionName)
         if (jobId != Session.JOB_IDS_SESSION_ALL) {
-            session.wire.ask("control", fields, PATIENCE_MS, CONTROL_MS)
+            session.wire.ask("control", fields, RETRY_LIMIT_MS, CONTROL_TIMEOUT_MS)
             return
         }
-        // Thousands of jobs take minutes at the state service's rate; as long as some get done it goes on.
+        // Thousands of jobs take minutes at the state service's write rate: repeat as long as there is progress.
         var done = 0L
-        var idleSince = clock.nowMs()
+        var lastProgressMs = clock.nowMs()
         while (true) {
-            val answer = session.wire.ask("control", fields, PATIENCE_MS, CONTROL_MS)
-            val now = read { answer.count("done") }
-            val left = read { answer.count("left") }
-            done += now
+            val answer = session.wire.ask("control", fields, RETRY_LIMIT_MS, CONTROL_TIMEOUT_MS)
+            val doneNow = readField { answer.count("done") }
+            val left = readField { answer.count("left") }
+            done += doneNow
             if (left == 0L) return
-            if (now > 0) idleSince = clock.nowMs()
-            if (clock.nowMs() - idleSince > PATIENCE_MS) {
-                throw TryLaterException("$word of all jobs: $done are done, $left are not yet")
+            if (doneNow > 0) lastProgressMs = clock.nowMs()
+            if (clock.nowMs() - lastProgressMs > RETRY_LIMIT_MS) {
+                throw TryLaterException("$actionName of all jobs: $done are done, $left are not yet")
             }
-            read { answer.objectOrNull("upto") }?.let { upTo ->
+            readField { answer.objectOrNull("upto") }?.let { upTo ->
                 fields["upto"] =
                     upTo.names.associateWith { upTo.raw(it) }
             }
@@ -147,16 +155,16 @@
         val session = active()
         val deadline = deadline(timeout)
         if (jobIds.isEmpty()) return
-        val pieces = if (jobIds.any { it == Session.JOB_IDS_SESSION_ALL }) {
+        val batches = if (jobIds.any { it == Session.JOB_IDS_SESSION_ALL }) {
             listOf(listOf(Session.JOB_IDS_SESSION_ALL))
         } else {
-            jobIds.chunked(PIECE)
+            jobIds.chunked(SYNC_BATCH_SIZE)
         }
-        for (piece in pieces) {
-            until(
+        for (batch in batches) {
+            pollUntil(
                 deadline,
                 "sync",
-                linkedMapOf("request" to session.request(), "jobs" to piece, "dispose" to dispose),
+                linkedMapOf("request" to session.nextRequestId(), "jobs" to batch, "dispose" to dispose),
                 session,
             )
         }
@@ -164,34 +172,44 @@
 
     override fun wait(jobId: String, timeout: Long): JobInfo {
         val session = active()
-        return Info(
-            until(deadline(timeout), "wait", linkedMapOf("request" to session.request(), "job" to jobId), session),
+        return ResultInfo(
+            pollUntil(
+                deadline(timeout),
+                "wait",
+                linkedMapOf("request" to session.nextRequestId(), "job" to jobId),
+                session,
+            ),
         )
     }
 
-    /** Milliseconds on the client's clock; null: for ever. */
+    /** The deadline in milliseconds on [clock]; null: none. */
     private fun deadline(timeout: Long): Long? = when {
         timeout == Session.TIMEOUT_WAIT_FOREVER -> null
-        timeout < 0 -> throw IllegalArgumentException("timeout: below 0")
-        else -> clock.nowMs() + minOf(timeout, LONGEST_S) * MS
+        timeout < 0 -> throw IllegalArgumentException("timeout: must not be negative")
+        else -> clock.nowMs() + minOf(timeout, MAX_TIMEOUT_S) * MS_PER_S
     }
 
-    private fun until(deadline: Long?, path: String, fields: LinkedHashMap<String, Any?>, session: Active): JsonObject {
+    private fun pollUntil(
+        deadline: Long?,
+        path: String,
+        fields: LinkedHashMap<String, Any?>,
+        session: ActiveSession,
+    ): JsonObject {
         while (true) {
             val left = deadline?.let { it - clock.nowMs() }
-            val hold = minOf(left ?: HOLD_MS, HOLD_MS).coerceAtLeast(0)
+            val hold = minOf(left ?: MAX_HOLD_MS, MAX_HOLD_MS).coerceAtLeast(0)
             fields["holdMs"] = hold
-            // While there is time, an outage is waited out like everything else.
-            val patience = minOf(left ?: OUTAGE_MS, OUTAGE_MS).coerceAtLeast(LEAST_PATIENCE_MS)
+            // An outage of the controllers counts as waiting time.
+            val retryLimitMs = minOf(left ?: WAIT_RETRY_LIMIT_MS, WAIT_RETRY_LIMIT_MS).coerceAtLeast(MIN_RETRY_LIMIT_MS)
             val answer = try {
-                session.wire.ask(path, fields, patience, hold + ANSWER_MS)
+                session.wire.ask(path, fields, retryLimitMs, hold + RESPONSE_MARGIN_MS)
             } catch (e: TryLaterException) {
-                // The nodes hold as many waits as they can: the time is not over for that.
+                // All nodes have reached their limit of waits: retry until the deadline.
                 if (deadline == null || clock.nowMs() < deadline) null else throw e
             }
-            if (answer != null && read { answer.booleanOrNull("waiting") } != true) return answer
-            if (deadline != null && clock.nowMs() >= deadline) throw ExitTimeoutException("not within the time given")
-            read { answer?.objectOrNull("upto") }?.let { upTo ->
+            if (answer != null && readField { answer.booleanOrNull("waiting") } != true) return answer
+            if (deadline != null && clock.nowMs() >= deadline) throw ExitTimeoutException("the timeout expired")
+            readField { answer?.objectOrNull("upto") }?.let { upTo ->
                 fields["upto"] =
                     upTo.names.associateWith { upTo.raw(it) }
             }
@@ -199,8 +217,8 @@
     }
 
     override fun getJobProgramStatus(jobId: String): Int {
-        val answer = active().wire.ask("status", mapOf("job" to jobId), PATIENCE_MS)
-        return read { answer.long("status") }.toInt()
+        val answer = active().wire.ask("status", mapOf("job" to jobId), RETRY_LIMIT_MS)
+        return readField { answer.long("status") }.toInt()
     }
 
     override fun getContact(): String = active?.contact?.toString() ?: defaultContact.orEmpty()
@@ -211,13 +229,13 @@
 
     override fun getDrmaaImplementation(): String = "elderhitch DRMAA 1.0"
 
-    private fun <T> read(field: () -> T): T = try {
+    private fun <T> readField(field: () -> T): T = try {
         field()
     } catch (e: MalformedJson) {
-        throw DrmCommunicationException("the daemon's answer can't be read: ${e.message}").apply { initCause(e) }
+        throw DrmCommunicationException("malformed answer from the controller: ${e.message}").apply { initCause(e) }
     }
 
-    private class Info(private val answer: JsonObject) : JobInfo {
+    private class ResultInfo(private val answer: JsonObject) : JobInfo {
         private val done = answer.raw("done") == true
 
         override fun getJobId(): String = answer.raw("job").toString()
@@ -227,11 +245,11 @@
             val account = try {
                 answer.objectOrNull("account")
             } catch (e: MalformedJson) {
-                throw DrmCommunicationException("the daemon's answer can't be read: ${e.message}").apply {
+                throw DrmCommunicationException("malformed answer from the controller: ${e.message}").apply {
                     initCause(e)
                 }
             }
-            val counted = USAGE.mapNotNull { (field, name) -> account?.raw(field)?.let { name to it.toString() } }
+            val counted = USAGE_NAMES.mapNotNull { (field, name) -> account?.raw(field)?.let { name to it.toString() } }
             return counted.toMap() + (answer.raw("tasks")?.let { mapOf("tasks_done" to it.toString()) }.orEmpty())
         }
 
@@ -248,7 +266,7 @@
         override fun wasAborted(): Boolean = !done
 
         private companion object {
-            val USAGE = mapOf(
+            val USAGE_NAMES = mapOf(
                 "tries" to "attempts",
                 "lost" to "attempts_lost",
                 "useful" to "useful_task_seconds",
@@ -262,28 +280,28 @@
 
     internal companion object {
         private val ACTIONS = listOf("SUSPEND", "RESUME", "HOLD", "RELEASE", "TERMINATE")
-        private const val MS = 1000L
-        private const val NONCE = 24
-        private const val TAG = 8
+        private const val MS_PER_S = 1000L
+        private const val NONCE_LENGTH = 24
+        private const val TAG_LENGTH = 8
 
-        /** As long as native users repeat a submission (PROTOCOL). */
-        private const val PATIENCE_MS = 60_000L
+        /** Retries of a request end after this time, as native users' retries of a submission do. */
+        private const val RETRY_LIMIT_MS = 60_000L
 
-        /** A wait outlasts longer outages: nothing is lost by asking on. */
-        private const val OUTAGE_MS = 300_000L
-        private const val LEAST_PATIENCE_MS = 1_000L
-        private const val HOLD_MS = 20_000L
-        private const val ANSWER_MS = 4_000L
-        private const val CONTROL_MS = 12_000L
-        private const val LONGEST_S = 1_000_000_000L
+        /** Waits are retried for longer, to survive longer outages: a repeated wait loses nothing. */
+        private const val WAIT_RETRY_LIMIT_MS = 300_000L
+        private const val MIN_RETRY_LIMIT_MS = 1_000L
+        private const val MAX_HOLD_MS = 20_000L
+        private const val RESPONSE_MARGIN_MS = 4_000L
+        private const val CONTROL_TIMEOUT_MS = 12_000L
+        private const val MAX_TIMEOUT_S = 1_000_000_000L
 
-        /** Ids of so many jobs fit a request of 64 KiB. */
-        private const val PIECE = 1000
-        private const val LETTERS = "abcdefghijklmnopqrstuvwxyz0123456789"
+        /** The ids of so many jobs fit into a request of 64 KiB. */
+        private const val SYNC_BATCH_SIZE = 1000
+        private const val TAG_ALPHABET = "abcdefghijklmnopqrstuvwxyz0123456789"
 
         fun randomTag(length: Int): String {
             val random = SecureRandom()
-            return String(CharArray(length) { LETTERS[random.nextInt(LETTERS.length)] })
+            return String(CharArray(length) { TAG_ALPHABET[random.nextInt(TAG_ALPHABET.length)] })
         }
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/client/Template.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/client/Template.kt
@@ -8,7 +8,7 @@
 import org.ggf.drmaa.PartialTimestamp
 import org.ggf.drmaa.UnsupportedAttributeException
 
-/** A template, checked as far as that needs no daemon when an attribute is set. */
+/** A job template. Setters check whatever can be checked without a controller. */
 @Suppress("TooManyFunctions")
 internal class Template : JobTemplate {
     private var remoteCommand: String? = null
@@ -27,7 +27,7 @@
     private var output: String? = null
     private var error: String? = null
     private var join = false
-    private var softRun = 0L
+    private var softRunLimitS = 0L
 
     override fun setRemoteCommand(remoteCommand: String?) {
         this.remoteCommand = remoteCommand
@@ -43,7 +43,7 @@
 
     override fun setJobSubmissionState(state: Int) {
         if (state != JobTemplate.HOLD_STATE && state != JobTemplate.ACTIVE_STATE) {
-            throw InvalidAttributeValueException("jobSubmissionState: neither HOLD_STATE nor ACTIVE_STATE")
+            throw InvalidAttributeValueException("jobSubmissionState: must be HOLD_STATE or ACTIVE_STATE")
         }
         this.state = state
     }
@@ -59,13 +59,15 @@
     override fun setWorkingDirectory(wd: String?) {
         if (wd != null && !wd.startsWith("/") && !wd.startsWith(JobTemplate.HOME_DIRECTORY)) {
             throw InvalidAttributeFormatException(
-                "workingDirectory: neither absolute nor beginning with the home directory's placeholder",
+                "workingDirectory: must be absolute or begin with the home directory placeholder",
             )
         }
         if (wd != null && JobTemplate.WORKING_DIRECTORY in wd) {
-            throw InvalidAttributeFormatException("workingDirectory: can't be relative to itself")
+            throw InvalidAttributeFormatException(
+                "workingDirectory: must not contain the working directory placeholder",
+            )
         }
-        placeholders("workingDirectory", wd)
+        checkPlaceholders("workingDirectory", wd)
         directory = wd
     }
 
@@ -84,7 +86,9 @@
     override fun getNativeSpecification(): String? = native
 
     override fun setEmail(email: Set<String>?) {
-        email?.firstOrNull { '@' !in it }?.let { throw InvalidAttributeFormatException("email: \"$it\" is no address") }
+        email?.firstOrNull {
+            '@' !in it
+        }?.let { throw InvalidAttributeFormatException("email: \"$it\" is not an address") }
         this.email = email?.toSet()
     }
 
@@ -104,7 +108,7 @@
 
     override fun setJobName(name: String?) {
         if (name != null && !isJobName(name)) {
-            throw InvalidAttributeValueException("jobName: letters, digits, _ - and . only, at most $LONGEST_NAME")
+            throw InvalidAttributeValueException("jobName: letters, digits, _ - and . only, at most $MAX_NAME_LENGTH")
         }
         this.name = name
     }
@@ -112,22 +116,22 @@
     override fun getJobName(): String? = name
 
     private fun isJobName(text: String): Boolean =
-        text.length in 1..LONGEST_NAME && text.all { it.isLetterOrDigit() || it in "_-." }
+        text.length in 1..MAX_NAME_LENGTH && text.all { it.isLetterOrDigit() || it in "_-." }
 
     override fun setInputPath(inputPath: String?) {
-        input = path("inputPath", inputPath)
+        input = checkedPath("inputPath", inputPath)
     }
 
     override fun getInputPath(): String? = input
 
     override fun setOutputPath(outputPath: String?) {
-        output = path("outputPath", outputPath)
+        output = checkedPath("outputPath", outputPath)
     }
 
     override fun getOutputPath(): String? = output
 
     override fun setErrorPath(errorPath: String?) {
-        error = path("errorPath", errorPath)
+        error = checkedPath("errorPath", errorPath)
     }
 
     override fun getErrorPath(): String? = error
@@ -148,8 +152,8 @@
 
     override fun getDeadlineTime(): PartialTimestamp? = deadline
 
-    // A limit that nobody enforces would be a promise that nobody keeps: the estimate is the one that the scheduler has
-    // a use for.
+    // The scheduler enforces no limits, so setting one would have no effect. It only uses the soft run duration, as an
+    // estimate.
     override fun setHardWallclockTimeLimit(hardWallclockLimit: Long): Unit = unsupported("hardWallclockTimeLimit")
 
     override fun getHardWallclockTimeLimit(): Long = unsupported("hardWallclockTimeLimit")
@@ -163,35 +167,35 @@
     override fun getHardRunDurationLimit(): Long = unsupported("hardRunDurationLimit")
 
     override fun setSoftRunDurationLimit(softRunLimit: Long) {
-        if (softRunLimit < 0) throw InvalidAttributeValueException("softRunDurationLimit: below 0")
-        softRun = softRunLimit
+        if (softRunLimit < 0) throw InvalidAttributeValueException("softRunDurationLimit: must not be negative")
+        softRunLimitS = softRunLimit
     }
 
-    override fun getSoftRunDurationLimit(): Long = softRun
+    override fun getSoftRunDurationLimit(): Long = softRunLimitS
 
-    override fun getAttributeNames(): Set<String> = NAMES
+    override fun getAttributeNames(): Set<String> = ATTRIBUTE_NAMES
 
     private fun unsupported(attribute: String): Nothing =
         throw UnsupportedAttributeException("$attribute: not supported")
 
-    private fun path(attribute: String, path: String?): String? {
+    private fun checkedPath(attribute: String, path: String?): String? {
         if (path == null) return null
-        if (':' !in path) throw InvalidAttributeFormatException("$attribute: not of the form [HOST]:PATH")
-        placeholders(attribute, path.substringAfter(':'))
+        if (':' !in path) throw InvalidAttributeFormatException("$attribute: must have the form [HOST]:PATH")
+        checkPlaceholders(attribute, path.substringAfter(':'))
         return path
     }
 
-    private fun placeholders(attribute: String, path: String?) {
-        for (place in listOf(JobTemplate.HOME_DIRECTORY, JobTemplate.WORKING_DIRECTORY)) {
-            if (path != null && path.lastIndexOf(place) > 0) {
-                throw InvalidAttributeFormatException("$attribute: $place stands at the beginning only")
+    private fun checkPlaceholders(attribute: String, path: String?) {
+        for (placeholder in listOf(JobTemplate.HOME_DIRECTORY, JobTemplate.WORKING_DIRECTORY)) {
+            if (path != null && path.lastIndexOf(placeholder) > 0) {
+                throw InvalidAttributeFormatException("$attribute: $placeholder is only allowed at the beginning")
             }
         }
     }
 
     /**
-     * As the daemon takes it. Times are worked out here, in the zone of whoever set them. Throws
-     * [InvalidJobTemplateException].
+     * The template's fields in a request. Partial times are resolved here, in the user's time zone. Throws
+     * [InvalidJobTemplateException] if neither a command nor a category is set.
      */
     fun fields(): Map<String, Any?> {
         if (remoteCommand == null && category == null) {
@@ -210,21 +214,21 @@
                     null
                 }
                 ),
-            "startAt" to startTime?.let { moment("startTime", it) },
-            "deadlineAt" to deadline?.let { moment("deadlineTime", it) },
-            "softRunS" to (if (softRun > 0) softRun else null),
+            "startAt" to startTime?.let { instantMs("startTime", it) },
+            "deadlineAt" to deadline?.let { instantMs("deadlineTime", it) },
+            "softRunS" to (if (softRunLimitS > 0) softRunLimitS else null),
         ).filterValues { it != null }
     }
 
-    private fun moment(attribute: String, time: PartialTimestamp): Long = try {
+    private fun instantMs(attribute: String, time: PartialTimestamp): Long = try {
         time.getTimeInMillis()
     } catch (e: IllegalArgumentException) {
         throw InvalidAttributeValueException("$attribute: ${e.message}").apply { initCause(e) }
     }
 
     private companion object {
-        const val LONGEST_NAME = 1023
-        val NAMES = setOf(
+        const val MAX_NAME_LENGTH = 1023
+        val ATTRIBUTE_NAMES = setOf(
             "remoteCommand",
             "args",
             "jobSubmissionState",
--- a/src/main/kotlin/org/elderhitch/drmaa/client/Wire.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/client/Wire.kt
@@ -26,7 +26,7 @@
 import java.net.http.HttpResponse
 import java.time.Duration
 
-/** Where the controllers are, and by which right they are asked: `elderhitch://HOST:PORT,HOST:PORT?token=TOKEN`. */
+/** Addresses of the controllers and the token for them: `elderhitch://HOST:PORT,HOST:PORT?token=TOKEN`. */
 internal data class ContactString(val nodes: List<String>, val token: String) {
     override fun toString(): String = "$SCHEME${nodes.joinToString(",")}?$TOKEN$token"
 
@@ -35,14 +35,14 @@
         private const val TOKEN = "token="
         private val NODE = Regex("[A-Za-z0-9.:\\[\\]-]+:[0-9]{1,5}")
 
-        /** Throws [InvalidContactStringException]; the message holds nothing of the token. */
+        /** Throws [InvalidContactStringException]; the message doesn't contain the token. */
         fun parse(text: String): ContactString {
             val rest = text.trim()
-            if (!rest.startsWith(SCHEME)) throw InvalidContactStringException("a contact string begins with $SCHEME")
+            if (!rest.startsWith(SCHEME)) throw InvalidContactStringException("contact string must begin with $SCHEME")
             val nodes = rest.removePrefix(SCHEME).substringBefore('?').split(',')
             val token = rest.substringAfter("?$TOKEN", "")
             if (nodes.isEmpty() || nodes.any { !NODE.matches(it) }) {
-                throw InvalidContactStringException("the contact string names no addresses of the form HOST:PORT")
+                throw InvalidContactStringException("the contact string must name addresses of the form HOST:PORT")
             }
             if (token.isEmpty() || token.any { it <= ' ' }) {
                 throw InvalidContactStringException("the contact string has no token")
@@ -52,19 +52,19 @@
     }
 }
 
-/** One node's answer; [retryAfterS]: when it wants to be asked again. */
+/** A node's HTTP response; [retryAfterS]: its Retry-After header, in seconds. */
 internal class NodeAnswer(val status: Int, val body: ByteArray, val retryAfterS: Long?)
 
-/** Carries a request to a node; null: no answer, and nobody knows whether it was carried out. */
+/** Sends a request to a node; null if there is no answer, in which case it may or may not have been carried out. */
 internal fun interface Line {
     fun post(node: String, path: String, body: ByteArray, timeoutMs: Long): NodeAnswer?
 }
 
-/** The JDK's own client: a program needs nothing else on its class path. */
-internal class HttpLine : Line {
+/** Uses the HTTP client of the JDK, so that programs need no other library on their class path. */
+internal class HttpTransport : Line {
     private val client = HttpClient.newBuilder().version(
         HttpClient.Version.HTTP_1_1,
-    ).connectTimeout(Duration.ofMillis(CONNECT_MS)).build()
+    ).connectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MS)).build()
 
     override fun post(node: String, path: String, body: ByteArray, timeoutMs: Long): NodeAnswer? = try {
         val request = HttpRequest.newBuilder(URI("http://$node$path")).timeout(Duration.ofMillis(timeoutMs))
@@ -83,11 +83,11 @@
     }
 
     private companion object {
-        const val CONNECT_MS = 2_000L
+        const val CONNECT_TIMEOUT_MS = 2_000L
     }
 }
 
-/** Injected, so that tests need not wait. */
+/** The clock for retries and deadlines; tests replace it to avoid real waiting. */
 internal interface ClientClock {
     fun nowMs(): Long
 
@@ -95,7 +95,7 @@
 }
 
 internal object SystemClientClock : ClientClock {
-    override fun nowMs(): Long = System.nanoTime() / NANOS
+    override fun nowMs(): Long = System.nanoTime() / NANOS_PER_MS
 
     override fun sleep(ms: Long) {
         try {
@@ -106,64 +106,68 @@
         }
     }
 
-    private const val NANOS = 1_000_000L
+    private const val NANOS_PER_MS = 1_000_000L
 }
 
 /**
- * Asks the controllers until one answers. Each request carries its own number, so that asking again, and asking another
- * node, is
- * harmless: what was carried out before its answer was lost is not carried out twice.
+ * Sends requests to the controllers, retrying until one answers. Requests that must not be carried out twice carry an
+ * id that stays the same on a retry, so it is safe to retry after a lost answer, also at another node.
  */
-internal class Wire(private val contact: ContactString, private val line: Line, private val clock: ClientClock) {
+internal class Wire(private val contact: ContactString, private val transport: Line, private val clock: ClientClock) {
     @Volatile
-    private var preferred = 0
-
-    /** Asks again for as long as [patienceMs] lasts. Throws what the daemon names, or [DrmCommunicationException]. */
-    fun ask(path: String, fields: Map<String, Any?>, patienceMs: Long, timeoutMs: Long = REQUEST_MS): JsonObject {
+    private var preferredNode = 0
+
+    /** Retries for up to [retryLimitMs]. Throws the exception named by a controller or [DrmCommunicationException]. */
+    fun ask(
+        path: String,
+        fields: Map<String, Any?>,
+        retryLimitMs: Long,
+        timeoutMs: Long = REQUEST_TIMEOUT_MS,
+    ): JsonObject {
         val body = Json.bytes(linkedMapOf<String, Any?>("token" to contact.token) + fields)
-        if (body.size > MOST_BYTES) throw InvalidAttributeValueException("the request is larger than $MOST_BYTES bytes")
-        val until = clock.nowMs() + patienceMs
-        var failure: DrmaaException = DrmCommunicationException("none of ${contact.nodes} answers")
-        var tries = 0
+        if (body.size > MAX_BYTES) throw InvalidAttributeValueException("the request is larger than $MAX_BYTES bytes")
+        val deadline = clock.nowMs() + retryLimitMs
+        var failure: DrmaaException = DrmCommunicationException("no answer from any of ${contact.nodes}")
+        var attempts = 0
         while (true) {
-            val at = preferred
-            val answer = line.post(contact.nodes[at % contact.nodes.size], "/drmaa/$path", body, timeoutMs)
-            tries++
-            var pause = 0L
+            val index = preferredNode
+            val answer = transport.post(contact.nodes[index % contact.nodes.size], "/drmaa/$path", body, timeoutMs)
+            attempts++
+            var pauseMs = 0L
             if (answer == null) {
-                preferred = at + 1
-                if (tries % contact.nodes.size == 0) pause = AGAIN_MS
-            } else if (answer.status == BUSY || answer.status == TOO_MANY) {
-                failure = fault(answer)
-                preferred = at + 1
-                // The next node may do better at once; after a round of refusals they say when to come back.
-                if (tries % contact.nodes.size == 0) pause = (answer.retryAfterS ?: 1) * MS
+                preferredNode = index + 1
+                if (attempts % contact.nodes.size == 0) pauseMs = RETRY_PAUSE_MS
+            } else if (answer.status == SERVICE_UNAVAILABLE || answer.status == TOO_MANY_REQUESTS) {
+                failure = exceptionOf(answer)
+                preferredNode = index + 1
+                // Tries the next node at once; pauses as Retry-After says once all nodes were tried.
+                if (attempts % contact.nodes.size == 0) pauseMs = (answer.retryAfterS ?: 1) * MS_PER_S
             } else if (answer.status == OK) {
-                return decoded(answer.body)
+                return decode(answer.body)
             } else {
-                throw fault(answer)
+                throw exceptionOf(answer)
             }
-            if (clock.nowMs() + pause >= until) throw failure
-            if (pause > 0) clock.sleep(pause)
+            if (clock.nowMs() + pauseMs >= deadline) throw failure
+            if (pauseMs > 0) clock.sleep(pauseMs)
         }
     }
 
-    private fun decoded(body: ByteArray): JsonObject = try {
+    private fun decode(body: ByteArray): JsonObject = try {
         Json.parseObject(body)
     } catch (e: MalformedJson) {
-        throw DrmCommunicationException("the daemon's answer can't be read: ${e.message}").apply { initCause(e) }
+        throw DrmCommunicationException("malformed answer from the controller: ${e.message}").apply { initCause(e) }
     }
 
-    private fun fault(answer: NodeAnswer): DrmaaException {
-        val said = try {
+    private fun exceptionOf(answer: NodeAnswer): DrmaaException {
+        val fields = try {
             Json.parseObject(answer.body)
         } catch (_: MalformedJson) {
             return DrmCommunicationException(
-                "status ${answer.status}, and no word why: is this a controller of elderhitch?",
+                "status ${answer.status} without a reason; is this an elderhitch controller?",
             )
         }
-        val reason = (said.raw("error") as? String) ?: "status ${answer.status}"
-        return when (said.raw("exception") as? String) {
+        val reason = (fields.raw("error") as? String) ?: "status ${answer.status}"
+        return when (fields.raw("exception") as? String) {
             "InvalidContactStringException" -> InvalidContactStringException(reason)
 
             "InvalidAttributeFormatException" -> InvalidAttributeFormatException(reason)
@@ -172,7 +176,7 @@
 
             "ConflictingAttributeValuesException" -> ConflictingAttributeValuesException(reason)
 
-            // The binding has no checked exception for it.
+            // The Java binding uses IllegalArgumentException here.
             "InvalidArgumentException" -> throw IllegalArgumentException(reason)
 
             "AuthorizationException" -> AuthorizationException(reason)
@@ -206,11 +210,11 @@
     private companion object {
         const val OK = 200
         const val NOT_FOUND = 404
-        const val TOO_MANY = 429
-        const val BUSY = 503
-        const val MS = 1000L
-        const val REQUEST_MS = 8_000L
-        const val AGAIN_MS = 500L
-        const val MOST_BYTES = 64 * 1024
+        const val TOO_MANY_REQUESTS = 429
+        const val SERVICE_UNAVAILABLE = 503
+        const val MS_PER_S = 1000L
+        const val REQUEST_TIMEOUT_MS = 8_000L
+        const val RETRY_PAUSE_MS = 500L
+        const val MAX_BYTES = 64 * 1024
     }
 }
--- a/src/test/kotlin/org/elderhitch/drmaa/ChecksTest.kt
+++ b/src/test/kotlin/org/elderhitch/drmaa/InputChecksTest.kt
@@ -15,7 +15,7 @@
 import kotlin.test.assertTrue
 import kotlin.time.Duration.Companion.seconds
 
-class ChecksTest {
+class InputChecksTest {
     private val team = TeamName("team one")
     private val now = WallTime(1_000_000)
     private val name = JobName(SessionName("abcdefghijkl"), ClientTag("aaaaaaaa"), 3, null)
@@ -88,7 +88,7 @@
     }
 
     @Test
-    fun `contradictions, unknown fields and bad values name the attribute`() {
+    fun `refusals of conflicting, unknown and invalid attributes name the attribute`() {
         val cases = listOf(
             Triple(mapOf("category" to "nothing"), Fault.InvalidAttributeValueException, "jobCategory"),
             Triple(mapOf("command" to "i", "native" to "cores"), Fault.InvalidAttributeFormatException, "no key=value"),
@@ -142,10 +142,10 @@
             Triple(mapOf("nothing" to "x"), Fault.InvalidAttributeValueException, "nothing"),
             Triple(mapOf("native" to "cores=1"), Fault.InvalidAttributeValueException, "catchImage"),
         )
-        for ((template, fault, told) in cases) {
+        for ((template, fault, expected) in cases) {
             val (got, reason) = fault(template)
             assertEquals(fault, got, "$template: $reason")
-            assertTrue(told in reason && '\n' !in reason, "$template: $reason")
+            assertTrue(expected in reason && '\n' !in reason, "$template: $reason")
         }
         assertEquals(
             Fault.ConflictingAttributeValuesException,
@@ -158,7 +158,7 @@
     }
 
     @Test
-    fun `any template is taken or refused, and never anything else`() {
+    fun `every random template is either accepted or refused`() {
         val random = Random(11)
         val keys =
             listOf("command", "args", "env", "category", "native", "hold", "startAt", "deadlineAt", "softRunS", "x")
@@ -187,7 +187,7 @@
     }
 
     @Test
-    fun `bulk ranges count as the specification says`() {
+    fun `bulk ranges have the members that the specification defines`() {
         val random = Random(3)
         repeat(2000) {
             val (start, end, step) = Triple(random.nextLong(-3, 40), random.nextLong(-3, 40), random.nextLong(-4, 5))
@@ -219,7 +219,7 @@
     }
 
     @Test
-    fun `a token holds under both keys, for what it says and no longer`() {
+    fun `a token is valid under both keys, only unchanged and until it expires`() {
         val old = "old AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA"
         val new = "new BBBBBBBBBBBBBBBBBBBBBBBBBBBBBBBB"
         val grant = Claim.Grant(team, now + 60.seconds)
@@ -233,7 +233,7 @@
             val token = before.issue(claim)
             for (n in token.indices) {
                 val changed = token.toCharArray().also { it[n] = if (it[n] == 'A') 'B' else 'A' }.concatToString()
-                // The last character of base64 may hold bits that count for nothing: what is compared is the text.
+                // The last base64 character may have unused bits; the text is compared, so they count as well.
                 assertFailsWith<BadToken>(changed) { before.verify(changed, now) }
             }
         }
@@ -248,7 +248,7 @@
     }
 
     @Test
-    fun `key files and the section are checked, naming file, line and key`() {
+    fun `errors in key files and the settings section name file, line and key`() {
         val bad = mapOf(
             listOf("one") to "keys:1",
             listOf("a AAAA") to "keys:1",
@@ -257,9 +257,9 @@
             List(3) { "k$it AAAAAAAAAAAAAAAAAAAAAAAA" } to "more than 2",
             List(2) { "k AAAAAAAAAAAAAAAAAAAAAAAA" } to "keys:2",
         )
-        for ((lines, told) in bad) {
+        for ((lines, expected) in bad) {
             assertTrue(
-                told in assertFailsWith<BadKeys>("$lines") {
+                expected in assertFailsWith<InvalidKeyFile>("$lines") {
                     Tokens.parse("keys", lines)
                 }.message.orEmpty(),
                 "$lines",
@@ -287,9 +287,9 @@
                     "drmaa.categories.a.id: unknown",
                 "return { drmaa = { keys = 'keys', held_per_team = -1 } }" to "drmaa.held_per_team",
             )
-            for ((script, told) in scripts) {
+            for ((script, expected) in scripts) {
                 assertTrue(
-                    told in assertFailsWith<BadScript>(script) {
+                    expected in assertFailsWith<BadScript>(script) {
                         FeaturesFile.parse(file, script)
                     }.message.orEmpty(),
                     script,
@@ -301,7 +301,7 @@
     }
 
     @Test
-    fun `networks of both families, and IPv4 told as IPv6`() {
+    fun `IPv4, IPv6 and IPv4-mapped addresses are matched`() {
         val networks = Networks.of(listOf("10.1.0.0/16", "192.168.7.9", "fd00:1::/32", "::1"))
         for (inside in listOf(
             "10.1.255.3",
--- a/src/test/kotlin/org/elderhitch/drmaa/SessionStateTest.kt
+++ b/src/test/kotlin/org/elderhitch/drmaa/SessionStateTest.kt
@@ -18,7 +18,7 @@
 
     private fun name(random: Random, numbers: Int) = tags[random.nextInt(2)].let { tag ->
         val number = random.nextInt(numbers)
-        // A number stands for the same kind of job in each draw.
+        // A number always gets the same kind of job.
         JobName(session, tag, number, if (number % 3 == 0) 1 + number % 7 else null)
     }
 
@@ -28,9 +28,9 @@
         (0 until job.members).map { ResultName(job, it) }
     }
 
-    /** The same facts, told in any order and any number of times, against plain sets. */
+    /** Compares the state with plain sets after the same events in random order, some of them repeated. */
     @Test
-    fun `what is known of a session doesn't depend on the order in which it is told`() {
+    fun `session state doesn't depend on the order of events`() {
         for (seed in 1..60) {
             val random = Random(seed)
             val state = SessionState(session)
@@ -45,14 +45,14 @@
                 val job = name(random, numbers)
                 when (random.nextInt(5)) {
                     0, 1 -> {
-                        state.opened(job)
+                        state.markOpened(job)
                         opened.add(job)
                     }
 
                     2 -> if (job in opened && job !in ended) {
                         val how = TerminalState.entries[random.nextInt(2)]
                         ended[job] = how
-                        state.ended(job, how)
+                        state.markEnded(job, how)
                     }
 
                     3 -> if (job in opened && job !in ended && job.members != null) {
@@ -61,10 +61,10 @@
                         val member = random.nextInt(job.members)
                         finished.add(member)
                         done.add(ResultName(job, member))
-                        state.finished(job, 0, finished.pack(0))
+                        state.addCompleted(job, 0, finished.pack(0))
                     }
 
-                    else -> state.anyEnded()?.let { result ->
+                    else -> state.nextEnded()?.let { result ->
                         assertTrue(result.job in ended || result in done, "seed $seed: $result has not ended")
                         assertTrue(taken.add(result), "seed $seed: $result is given twice")
                         val block = (blocks[result.block] ?: ReapBlock.EMPTY).plus(
@@ -72,12 +72,12 @@
                             RequestId(tags[0], it),
                         ).at(Revision(++version))
                         val before = blocks.put(result.block, block)
-                        state.taken(result.block, block)
-                        // An older version that is told late takes nothing back.
-                        before?.let { old -> state.taken(result.block, old) }
+                        state.updateBlock(result.block, block)
+                        // An older version that arrives late changes nothing.
+                        before?.let { old -> state.updateBlock(result.block, old) }
                     }
                 }
-                if (random.nextBoolean()) state.opened(job).also { opened.add(job) }
+                if (random.nextBoolean()) state.markOpened(job).also { opened.add(job) }
             }
             for (job in opened) {
                 for (result in results(job)) {
@@ -89,7 +89,7 @@
                     assertEquals(expected, state.stateOf(result), "seed $seed: $result")
                     assertEquals(
                         ended[job] == TerminalState.DONE || result in done,
-                        state.completed(result) || ended[job] == TerminalState.DONE && job.members == null,
+                        state.isCompleted(result) || ended[job] == TerminalState.DONE && job.members == null,
                         "seed $seed: $result",
                     )
                 }
@@ -99,48 +99,48 @@
                 opened.flatMap(::results).filter {
                     (it.job in ended || it in done) && it !in taken
                 }.toSet(),
-                state.untaken().toSet(),
+                state.endedResults().toSet(),
                 "seed $seed",
             )
-            assertEquals(opened.flatMap(::results).count() - taken.size, state.load(), "seed $seed")
-            assertEquals(opened.flatMap(::results).any { it !in taken }, state.anyLeft(), "seed $seed")
+            assertEquals(opened.flatMap(::results).count() - taken.size, state.outstandingCount(), "seed $seed")
+            assertEquals(opened.flatMap(::results).any { it !in taken }, state.hasResultsLeft(), "seed $seed")
         }
     }
 
     @Test
-    fun `a result that is claimed is not offered, and an earlier number that is told late is`() {
+    fun `a claimed result is not offered, and an earlier number that ends later is`() {
         val state = SessionState(session)
         val later = JobName(session, tags[0], 5, null)
-        state.ended(later, TerminalState.DONE)
-        val result = assertNotNull(state.anyEnded())
+        state.markEnded(later, TerminalState.DONE)
+        val result = assertNotNull(state.nextEnded())
         assertTrue(state.claim(result))
-        assertNull(state.anyEnded())
-        state.taken(result.block, ReapBlock.EMPTY.plus(listOf(result.place), null).at(Revision(1)))
+        assertNull(state.nextEnded())
+        state.updateBlock(result.block, ReapBlock.EMPTY.plus(listOf(result.place), null).at(Revision(1)))
         state.unclaim(result)
-        assertNull(state.anyEnded())
+        assertNull(state.nextEnded())
         val earlier = JobName(session, tags[0], 2, null)
-        state.ended(earlier, TerminalState.CANCELLED)
-        assertEquals(ResultName(earlier, null), state.anyEnded())
+        state.markEnded(earlier, TerminalState.CANCELLED)
+        assertEquals(ResultName(earlier, null), state.nextEnded())
         assertEquals(ResultState.UNKNOWN, state.stateOf(ResultName(JobName(session, tags[0], 2, 4), 1)))
     }
 
     @Test
-    fun `fifty thousand ended jobs take a few bits each`() {
+    fun `fifty thousand ended jobs are found`() {
         val state = SessionState(session)
-        repeat(50_000) { state.ended(JobName(session, tags[0], it, null), TerminalState.DONE) }
-        assertEquals(50_000, state.untaken().count())
-        assertEquals(JobName(session, tags[0], 0, null), state.anyEnded()?.job)
+        repeat(50_000) { state.markEnded(JobName(session, tags[0], it, null), TerminalState.DONE) }
+        assertEquals(50_000, state.endedResults().count())
+        assertEquals(JobName(session, tags[0], 0, null), state.nextEnded()?.job)
     }
 
     @Test
-    fun `names survive their texts, and what is none is refused`() {
+    fun `names round-trip through text, and malformed ones are rejected`() {
         val random = Random(5)
         repeat(500) {
             val job =
                 JobName(
                     session,
                     tags[random.nextInt(2)],
-                    random.nextInt(JobName.LARGEST),
+                    random.nextInt(JobName.MAX_NUMBER),
                     if (random.nextBoolean()) {
                         1 +
                             random.nextInt(100_000)
@@ -173,7 +173,7 @@
     }
 
     @Test
-    fun `a block says who took what, as long as it remembers, and fits a value`() {
+    fun `a block records the latest requests that took results, and fits into a value`() {
         val random = Random(7)
         var block = ReapBlock.EMPTY
         val by = LinkedHashMap<RequestId, Int>()
@@ -185,7 +185,7 @@
         val read = assertNotNull(ReapBlock.decode(JsonObject.of(block.encode()), Revision(3)))
         assertTrue(org.elderhitch.json.Json.bytes(block.encode()).size < 4096)
         assertEquals(600, read.count)
-        for ((request, place) in by.entries.drop(600 - ReapBlock.REMEMBERED)) {
+        for ((request, place) in by.entries.drop(600 - ReapBlock.MAX_REQUESTS)) {
             assertEquals(place, read.takenBy(request))
             assertTrue(read.wentTo(place, request) && !read.wentTo(place, RequestId(request.tag, 9999)))
         }
