--- a/src/main/kotlin/org/ggf/drmaa/Exceptions.kt
+++ b/src/main/kotlin/org/ggf/drmaa/Exceptions.kt
@@ -1,17 +1,17 @@
 // The exceptions of the DRMAA 1.0 Java binding as the Open Grid Forum published it; written from the specification.
 package org.ggf.drmaa
 
-/** What every DRMAA operation may throw. */
+/** Base class of the exceptions of DRMAA operations. */
 public abstract class DrmaaException @JvmOverloads constructor(message: String? = null) : Exception(message)
 
-/** The session is not in the state that the operation needs. */
+/** The session is not in the state that the operation requires. */
 public abstract class SessionException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
-/** The job is not in the state that the action needs. */
+/** The job is not in the state that the action requires. */
 public abstract class InconsistentStateException @JvmOverloads constructor(message: String? = null) :
     DrmaaException(message)
 
-/** An attribute of a job template can't be what it was set to. */
+/** An attribute of a job template is not valid. */
 public abstract class InvalidAttributeException @JvmOverloads constructor(message: String? = null) :
     DrmaaException(message)
 
@@ -36,41 +36,41 @@
 /** The scheduler can't be reached, or doesn't answer. */
 public class DrmCommunicationException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
-/** The session could not be left in order. */
+/** The session could not be left cleanly. */
 public class DrmsExitException @JvmOverloads constructor(message: String? = null) : SessionException(message)
 
 /** The session could not be entered. */
 public class DrmsInitException @JvmOverloads constructor(message: String? = null) : SessionException(message)
 
-/** What was waited for did not come within the time given. */
+/** A wait exceeded its timeout. */
 public class ExitTimeoutException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
 /** The job can't be held in its present state. */
 public class HoldInconsistentStateException @JvmOverloads constructor(message: String? = null) :
     InconsistentStateException(message)
 
-/** Something went wrong that no other exception names. */
+/** A failure that no other exception describes. */
 public class InternalException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
-/** The text of an attribute has not the form that it needs. */
+/** An attribute's value does not have the required format. */
 public class InvalidAttributeFormatException @JvmOverloads constructor(message: String? = null) :
     InvalidAttributeException(message)
 
-/** The value of an attribute is out of its range. */
+/** An attribute's value is not allowed. */
 public class InvalidAttributeValueException @JvmOverloads constructor(message: String? = null) :
     InvalidAttributeException(message)
 
-/** The contact string is none. */
+/** The contact string is malformed. */
 public class InvalidContactStringException @JvmOverloads constructor(message: String? = null) :
     SessionException(message)
 
-/** No such job in this session, or its result is gone. */
+/** The job does not exist in this session, or its result was already taken. */
 public class InvalidJobException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
-/** The template was deleted, is of another session, or lacks what every job needs. */
+/** The template was deleted, belongs to another session, or lacks a required attribute. */
 public class InvalidJobTemplateException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
-/** [Session.init] was not called, or the session is over. */
+/** [Session.init] was not called, or the session has ended. */
 public class NoActiveSessionException @JvmOverloads constructor(message: String? = null) : SessionException(message)
 
 /** No contact string was given, and there is no default. */
@@ -89,9 +89,9 @@
 public class SuspendInconsistentStateException @JvmOverloads constructor(message: String? = null) :
     InconsistentStateException(message)
 
-/** The scheduler can't take it now; later it may. */
+/** The scheduler can't accept the request now, but may later. */
 public class TryLaterException @JvmOverloads constructor(message: String? = null) : DrmaaException(message)
 
-/** An optional attribute that this implementation doesn't have. */
+/** An optional attribute that this implementation doesn't support. */
 public class UnsupportedAttributeException @JvmOverloads constructor(message: String? = null) :
     InvalidAttributeException(message)
--- a/src/main/kotlin/org/ggf/drmaa/JobTemplate.kt
+++ b/src/main/kotlin/org/ggf/drmaa/JobTemplate.kt
@@ -1,7 +1,7 @@
-// The DRMAA 1.0 Java binding as the Open Grid Forum published it: names and meanings, in a text of our own.
+// The DRMAA 1.0 Java binding published by the Open Grid Forum: its names and meaning, documented independently.
 package org.ggf.drmaa
 
-/** What a job is to be. Attributes that are not set are null, or the default of their type. */
+/** Describes a job to submit. Attributes that are not set are null or have the default of their type. */
 @Suppress("TooManyFunctions")
 public interface JobTemplate {
     @Throws(DrmaaException::class)
@@ -109,7 +109,7 @@
     @Throws(DrmaaException::class)
     public fun getDeadlineTime(): PartialTimestamp?
 
-    /** Optional; in seconds, as the three that follow. */
+    /** Optional; in seconds, as the other three limits. */
     @Throws(DrmaaException::class)
     public fun setHardWallclockTimeLimit(hardWallclockLimit: Long)
 
@@ -134,7 +134,7 @@
     @Throws(DrmaaException::class)
     public fun getSoftRunDurationLimit(): Long
 
-    /** The attributes that this implementation has. */
+    /** Names of the attributes that this implementation supports. */
     public fun getAttributeNames(): Set<String>
 
     public companion object {
--- a/src/main/kotlin/org/ggf/drmaa/PartialTimestamp.kt
+++ b/src/main/kotlin/org/ggf/drmaa/PartialTimestamp.kt
@@ -1,4 +1,4 @@
-// The DRMAA 1.0 Java binding as the Open Grid Forum published it: names and meanings, in a text of our own.
+// The DRMAA 1.0 Java binding published by the Open Grid Forum: its names and meaning, documented independently.
 package org.ggf.drmaa
 
 import java.text.ParseException
@@ -12,11 +12,9 @@
 import java.util.Date
 
 /**
- * A time of which only a part may be given. What is not given is filled so that the time is the next one of its kind
- * that has not
- * passed: "11:30" is today, or tomorrow if it is past that; the 29th of a month that has none is that of the next month
- * that does.
- * Months count from 0, as in [java.util.Calendar]. The zone is the user's own unless an offset (in minutes) is set.
+ * A time of which only some fields may be set. The others are filled in to give the next matching time that has not
+ * passed: "11:30" is today, or tomorrow if that has passed; the 29th is in the next month that has such a day. Months
+ * count from 0, as in [java.util.Calendar]. The user's time zone applies unless an offset (in minutes) is set.
  */
 @Suppress("LongParameterList")
 public class PartialTimestamp() :
@@ -77,7 +75,7 @@
         set(ZONE_OFFSET, zoneOffset)
     }
 
-    /** [IllegalArgumentException] for a value out of the field's range; [UNSET] takes the field away. */
+    /** Throws [IllegalArgumentException] for a value out of the field's range; [UNSET] clears the field. */
     public fun set(field: Int, value: Int) {
         val range = RANGES.getOrNull(field) ?: throw IllegalArgumentException("no field $field")
         require(value == UNSET || value in range) {
@@ -99,7 +97,7 @@
         for (field in 0 until FIELDS) clear(field)
     }
 
-    /** Is added to the field when the time is worked out, over the borders of days, months and years. */
+    /** Added to the field when the time is resolved, with carry into days, months and years. */
     public fun setModifier(field: Int, value: Int) {
         modifiers[field] = value
     }
@@ -110,7 +108,7 @@
         modifiers[field] += amount
     }
 
-    /** Null where the user's own zone counts. */
+    /** Null if the user's time zone applies. */
     private val offset: ZoneId? get() = if (isSet(
             ZONE_OFFSET,
         )
@@ -125,8 +123,8 @@
     public fun getTimeInMillis(): Long = resolve(Instant.now(), offset ?: ZoneId.systemDefault()).toEpochMilli()
 
     /**
-     * The time that is meant at [now] in [zone]: a pure function. Throws [IllegalArgumentException] for a date that
-     * never is.
+     * Resolves the timestamp at [now] in [zone]; a pure function. Throws [IllegalArgumentException] for a date that
+     * doesn't exist.
      */
     internal fun resolve(now: Instant, zone: ZoneId): Instant {
         val here = ZonedDateTime.ofInstant(now, zone).toLocalDateTime()
@@ -153,7 +151,7 @@
 
     private data class Guess(val year: Int, val month: Int, val day: Int, val hour: Int)
 
-    /** The times in question, soonest first. A day that not every month has comes up within eight years. */
+    /** Candidate times, soonest first. A day that not every month has occurs within eight years. */
     private fun candidates(here: LocalDateTime): Sequence<Guess> = sequence {
         for (year in years(here)) {
             for (month in fixedOr(MONTH, 0 until MONTHS)) {
@@ -174,7 +172,7 @@
 
     private fun fixedOr(field: Int, all: IntRange): IntRange = if (isSet(field)) fields[field]..fields[field] else all
 
-    /** The days in question of a month; none if it has not as many days as the timestamp asks for. */
+    /** Candidate days of a month; none if the month is too short for the day of the timestamp. */
     private fun daysOf(year: Int, month: Int): IntRange {
         val days = Year.of(year).atMonth(month + 1).lengthOfMonth()
         val day = fields[DAY_OF_MONTH]
@@ -228,12 +226,12 @@
         private val NAMES =
             listOf("century", "year", "month", "day of month", "hour", "minute", "second", "zone offset")
 
-        // A leap second is told as the last of the minute; offsets reach 18 hours either way.
+        // A leap second counts as the last second of its minute; offsets range over 18 hours either way.
         private val RANGES = listOf(0..99, 0..99, 0..11, 1..31, 0..23, 0..59, 0..59, -1080..1080)
     }
 }
 
-/** Partial times as the specification writes them: `[[[[CC]YY/]MM/]DD] hh:mm[:ss] [{-|+}UU:uu]`. */
+/** Parses and formats partial times in the specification's format: `[[[[CC]YY/]MM/]DD] hh:mm[:ss] [{-|+}UU:uu]`. */
 public class PartialTimestampFormat {
     public fun format(time: PartialTimestamp): String = buildString {
         fun two(field: Int) = time.get(field).toString().padStart(2, '0')
--- a/src/main/kotlin/org/ggf/drmaa/Session.kt
+++ b/src/main/kotlin/org/ggf/drmaa/Session.kt
@@ -1,14 +1,14 @@
-// The DRMAA 1.0 Java binding as the Open Grid Forum published it: names and meanings, in a text of our own.
+// The DRMAA 1.0 Java binding published by the Open Grid Forum: its names and meaning, documented independently.
 package org.ggf.drmaa
 
-/** A program's way to the scheduler: submits jobs, controls them, and waits for them. Safe for several threads. */
+/** Submits jobs to the scheduler, controls them and waits for them. Thread-safe. */
 @Suppress("TooManyFunctions")
 public interface Session {
-    /** Enters a session. [contact]: where, and by which right; null or empty: the default. */
+    /** Enters a session. [contact]: addresses and credentials of the scheduler; null or empty for the default. */
     @Throws(DrmaaException::class)
     public fun init(contact: String?)
 
-    /** Leaves the session. Jobs go on. */
+    /** Leaves the session. Its jobs continue. */
     @Throws(DrmaaException::class)
     public fun exit()
 
@@ -30,7 +30,7 @@
     @Throws(DrmaaException::class)
     public fun control(jobId: String, action: Int)
 
-    /** Waits until all have ended; [timeout] in seconds. With [dispose] nobody can wait for them afterwards. */
+    /** Waits until all have ended; [timeout] in seconds. With [dispose] their results are discarded. */
     @Throws(DrmaaException::class)
     public fun synchronize(jobIds: List<String>, timeout: Long, dispose: Boolean)
 
@@ -42,7 +42,7 @@
     public fun getJobProgramStatus(jobId: String): Int
 
     /**
-     * The session's contact string while one is active, with which other programs can enter it; else the default ones.
+     * The contact string of the active session, with which other programs can enter it, or else the default one.
      */
     public fun getContact(): String
 
@@ -79,15 +79,15 @@
     }
 }
 
-/** What became of a job. */
+/** The outcome of a job. */
 public interface JobInfo {
     public fun getJobId(): String
 
-    /** What was counted of the job's work, by name. */
+    /** Resource usage of the job, by name. */
     @Throws(DrmaaException::class)
     public fun getResourceUsage(): Map<String, String>
 
-    /** It ended by itself, and [getExitStatus] tells how. */
+    /** Whether the job ended by itself, so that [getExitStatus] is valid. */
     public fun hasExited(): Boolean
 
     public fun getExitStatus(): Int
@@ -98,18 +98,18 @@
 
     public fun hasCoreDump(): Boolean
 
-    /** It ended without having run to its end. */
+    /** Whether the job ended before it was complete. */
     public fun wasAborted(): Boolean
 }
 
-/** Where programs begin. */
+/** Entry point for programs. */
 public abstract class SessionFactory {
     public abstract fun getSession(): Session
 
     public companion object {
         private const val PROPERTY = "org.ggf.drmaa.SessionFactory"
 
-        /** The factory that the system property of this class's name names, else the one of this library. */
+        /** The factory named by the system property with this class's name, or else the default one of this library. */
         @JvmStatic
         public fun getFactory(): SessionFactory {
             val named = System.getProperty(PROPERTY) ?: "org.elderhitch.drmaa.client.ClientSessionFactory"
@@ -147,7 +147,7 @@
     }
 }
 
-/** Which of a job's streams are files that the scheduler would transfer. */
+/** Selects the streams of a job whose files the scheduler transfers. */
 public class FileTransferMode @JvmOverloads constructor(
     private var inputStream: Boolean = false,
     private var outputStream: Boolean = false,
