--- a/src/main/kotlin/org/elderhitch/standin/StandInPlatform.kt
+++ b/src/main/kotlin/org/elderhitch/standin/StandInPlatform.kt
@@ -17,90 +17,98 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What the stand-in cloud rents out: [machinesPerZone] of each of the [zones], of these [types], up after [boot]. */
+/** The zones, the machines per zone, the boot time and the machine types of the stand-in cloud. */
 public class StandInFleet(
     public val zones: List<String>,
     public val machinesPerZone: Int,
-    public val boot: Duration,
+    public val bootTime: Duration,
     public val types: List<StandInType> = listOf(CloudStandIn.USUAL),
 )
 
-/** State service, cloud and workers together. Tasks run for what their job's estimate says. */
+/** The stand-in state service, cloud and workers together. Each task runs for the estimate of its job. */
 public class StandInPlatform(
     private val scope: CoroutineScope,
     private val clock: SteadyClock,
     private val transportOf: (StandInMachine) -> Transport,
     private val nodes: Map<String, Address>,
-    private val times: WorkerTimeouts,
+    private val timeouts: WorkerTimeouts,
     private val random: Random,
     fleet: StandInFleet,
     private val watch: TaskWatch,
-    /** Where a machine's worker takes commands; empty: nowhere. */
+    /** The address at which a machine's worker accepts commands; empty if it has none. */
     private val addressOf: (StandInMachine) -> String = { "" },
-    /** How fast machines fetch images, in GB a second; null: at once. */
+    /** How fast machines fetch images, in GB/s; null if fetching takes no time. */
     private val fetchRate: Double? = null,
 ) {
     public val state: StateStandIn = StateStandIn(clock)
     public val cloud: CloudStandIn =
-        CloudStandIn(clock, fleet.zones, fleet.machinesPerZone, fleet.boot, ::boot, ::gone, fleet.types)
+        CloudStandIn(
+            clock,
+            fleet.zones,
+            fleet.machinesPerZone,
+            fleet.bootTime,
+            ::startWorker,
+            ::shutDownWorker,
+            fleet.types,
+        )
     private val workers = HashMap<String, Pair<WorkerStandIn, Job>>()
-    private val byAddress = HashMap<String, WorkerStandIn>()
+    private val workersByAddress = HashMap<String, WorkerStandIn>()
 
-    /** What users uploaded for workers to fetch, beyond the jobs that are recorded; null: nothing. */
+    /** The uploaded script of a job that has no record in the state service; null if there is none. */
     public var uploaded: (String) -> TaskScript? = { null }
-    private val scripts = HashMap<String, TaskScript>()
+    private val scriptsByJob = HashMap<String, TaskScript>()
 
     public fun start() {
         scope.launch {
             while (true) {
-                delay(TICK)
+                delay(TICK_INTERVAL)
                 cloud.tick()
             }
         }
     }
 
-    private fun boot(machine: StandInMachine) {
+    private fun startWorker(machine: StandInMachine) {
         machine.address = addressOf(machine)
-        val worker = WorkerStandIn(machine, nodes, transportOf(machine), times, clock, random, ::script, watch)
-        byAddress[machine.address] = worker
+        val worker = WorkerStandIn(machine, nodes, transportOf(machine), timeouts, clock, random, ::scriptOf, watch)
+        workersByAddress[machine.address] = worker
         workers[machine.id] = worker to scope.launch { worker.run() }
     }
 
-    private fun gone(machine: StandInMachine) {
+    private fun shutDownWorker(machine: StandInMachine) {
         val (worker, job) = workers.remove(machine.id) ?: return
-        byAddress.remove(machine.address)
+        workersByAddress.remove(machine.address)
         worker.end()
         job.cancel()
     }
 
-    /** What answers at a worker's own address. */
-    public fun workerAt(address: Address): Handler? = byAddress[address.text]
+    /** The worker that accepts commands at [address]; null if there is none. */
+    public fun workerAt(address: Address): Handler? = workersByAddress[address.text]
 
-    /** The workers of machines that are up. */
+    /** The workers of running machines, by machine id. */
     public fun workers(): Map<String, WorkerStandIn> = workers.mapValues { it.value.first }
 
-    /** The machine stops, with all that is on it, and its worker falls silent. */
+    /** Makes a machine fail: its tasks end, and its worker sends and answers nothing more. */
     public fun kill(machine: String) {
         cloud.machines().firstOrNull { it.id == machine }?.let {
             it.failed = true
             it.up = false
-            gone(it)
+            shutDownWorker(it)
         }
     }
 
-    private fun script(job: String): TaskScript? {
-        scripts[job]?.let { return it }
+    private fun scriptOf(job: String): TaskScript? {
+        scriptsByJob[job]?.let { return it }
         val id = JobId.parse(job) ?: return null
-        val record: JsonObject = state.value(Keys.job(id)) ?: return uploaded(job)?.also { scripts[job] = it }
+        val record: JsonObject = state.value(Keys.job(id)) ?: return uploaded(job)?.also { scriptsByJob[job] = it }
         val script = script(record, fetchRate)
-        scripts[job] = script
+        scriptsByJob[job] = script
         return script
     }
 
     public companion object {
-        private val TICK = 100.milliseconds
+        private val TICK_INTERVAL = 100.milliseconds
 
-        /** What a worker makes of a job's description. Throws [org.elderhitch.json.MalformedJson]. */
+        /** Reads the script from a job's description. Throws [org.elderhitch.json.MalformedJson] if it is invalid. */
         public fun script(job: JsonObject, fetchRate: Double? = null): TaskScript = TaskScript(
             job.string("lotKind"),
             job.amount("haulS").seconds,
--- a/src/main/kotlin/org/elderhitch/standin/WorkerStandIn.kt
+++ b/src/main/kotlin/org/elderhitch/standin/WorkerStandIn.kt
@@ -25,36 +25,39 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** What the stand-in workers know of jobs, since the users of stand-ins upload no descriptions. */
+/** What a stand-in worker needs to know of a job, in place of the description that users upload for real workers. */
 public class TaskScript(
     public val kind: String,
-    public val runs: Duration,
+    public val runTime: Duration,
     public val cores: Double = 0.0,
     public val accelerators: Double = 0.0,
-    /** How long its image takes to fetch. */
-    public val fetch: Duration = Duration.ZERO,
+    /** How long fetching the job's image takes. */
+    public val fetchTime: Duration = Duration.ZERO,
 )
 
-/** Told of each start and end, so that a test can watch over the rules. */
+/** Observes the tasks on all machines, so that a test can check invariants, and can make tasks fail. */
 public interface TaskWatch {
     public fun started(task: String, machine: String)
 
     public fun ended(task: String, machine: String)
 
-    /** It has just completed; [ended] follows. */
+    /** The task has completed; [ended] is called next. */
     public fun completed(task: String): Unit = Unit
 
-    /** It ends with its worker's lease; [ended] follows. */
+    /** The task ends because its worker's lease has expired; [ended] is called next. */
     public fun lapsed(task: String): Unit = Unit
 
-    /** The machine has no room for it. */
+    /** The machine has too few free resources to start the task. */
     public fun refused(task: String, machine: String): Unit = Unit
 
-    /** Whether the task fails on that machine as soon as it runs. */
+    /** Whether the task fails on that machine as soon as it is running. */
     public fun fails(task: String, machine: String): Boolean = false
 }
 
-/** A worker in memory: reports, obeys tokens and leases, and lets tasks run for the time that their script says. */
+/**
+ * An in-memory worker: sends heartbeats, observes fencing tokens and its lease, and runs tasks for the time that their
+ * script gives.
+ */
 public class WorkerStandIn(
     private val machine: StandInMachine,
     private val nodes: Map<String, Address>,
@@ -62,26 +65,26 @@
     private val times: WorkerTimeouts,
     private val clock: SteadyClock,
     private val random: Random,
-    private val script: (String) -> TaskScript?,
+    private val scriptOf: (String) -> TaskScript?,
     private val watch: TaskWatch,
 ) : Handler {
     private class Task(val id: String, val attempt: Long, val script: TaskScript?) {
         var phase = "fetching"
         var cause: String? = null
-        var fetchedAt = MonotonicInstant.NEVER
-        var runsUntil = MonotonicInstant.FOREVER
-        val present: Boolean get() = phase != "ended"
+        var fetchDoneAt = MonotonicInstant.NEVER
+        var runDoneAt = MonotonicInstant.FOREVER
+        val isPresent: Boolean get() = phase != "ended"
     }
 
     private val tasks = LinkedHashMap<String, Task>()
-    private var session = 1L
-    private var sequence = 0L
-    private var token = 0L
-    private var lastAnswered = clock.now()
+    private var agentEpoch = 1L
+    private var heartbeatNumber = 0L
+    private var latestTerm = 0L
+    private var leaseStartedAt = clock.now()
     private var changed = false
     private var node = nodes.keys.elementAt(random.nextInt(nodes.size))
     private val wake = Channel<Unit>(Channel.CONFLATED)
-    private var hangs: CompletableDeferred<Unit>? = null
+    private var resumption: CompletableDeferred<Unit>? = null
 
     public val id: String get() = machine.id
     public val address: String get() = machine.address
@@ -89,11 +92,11 @@
     public var gone: Boolean = false
         private set
 
-    /** When the last report that was answered left it. */
-    public val renewedAt: MonotonicInstant get() = lastAnswered
-    public val hanging: Boolean get() = hangs != null
+    /** When the last heartbeat that was answered was sent. */
+    public val renewedAt: MonotonicInstant get() = leaseStartedAt
+    public val hanging: Boolean get() = resumption != null
 
-    /** The cloud takes the machine back after so long; null: it has not said so. */
+    /** How soon the cloud will preempt the machine, according to its notice; null if it has given none. */
     public var notice: Duration? = null
         set(value) {
             field = value
@@ -101,208 +104,214 @@
             wake.trySend(Unit)
         }
 
-    /** When its first true report after a [lie] left it; null: not yet. */
+    /** When the worker made its first complete heartbeat after a [lie]; null if it hasn't yet. */
     public var truthfulSince: MonotonicInstant? = null
         private set
-    private var lies = false
+    private var omitsTasks = false
 
-    /** Its next report is wrong: it names no task. For tests of a leader whose table contradicts the machines. */
+    /** Makes the next heartbeat omit all tasks. For tests of a leader whose task table contradicts the workers. */
     public fun lie() {
-        lies = true
+        omitsTasks = true
         truthfulSince = null
     }
 
-    private fun named(): Collection<Task> {
-        if (!lies && truthfulSince == null) truthfulSince = clock.now()
-        return if (lies) emptyList<Task>().also { lies = false } else tasks.values
+    private fun reportedTasks(): Collection<Task> {
+        if (!omitsTasks && truthfulSince == null) truthfulSince = clock.now()
+        return if (omitsTasks) emptyList<Task>().also { omitsTasks = false } else tasks.values
     }
 
-    /** What is on the machine, by task and attempt. */
-    public fun present(): Map<String, Long> = tasks.values.filter { it.present }.associate { it.id to it.attempt }
+    /** The attempts of the tasks on the machine, by task id. */
+    public fun present(): Map<String, Long> = tasks.values.filter { it.isPresent }.associate { it.id to it.attempt }
 
     public fun end() {
         gone = true
-        tasks.values.filter { it.present }.forEach { watch.ended(it.id, machine.id) }
+        tasks.values.filter { it.isPresent }.forEach { watch.ended(it.id, machine.id) }
         tasks.clear()
     }
 
-    /** The machine stands still: it executes nothing, and what is sent to it waits; its lease runs on. */
+    /** Suspends the machine: it executes nothing, and requests to it wait until [resume]. Its lease still runs. */
     public fun hang() {
-        if (hangs == null) hangs = CompletableDeferred()
+        if (resumption == null) resumption = CompletableDeferred()
     }
 
     public fun resume() {
-        hangs?.complete(Unit)
-        hangs = null
+        resumption?.complete(Unit)
+        resumption = null
         wake.trySend(Unit)
     }
 
-    private suspend fun awake() {
-        while (true) (hangs ?: return).await()
+    private suspend fun awaitResume() {
+        while (true) (resumption ?: return).await()
     }
 
     public suspend fun run(): Unit = coroutineScope {
         launch {
             while (!gone) {
-                expire()
-                delay(lastAnswered + times.lease - clock.now() + 1.milliseconds)
+                expireLease()
+                delay(leaseStartedAt + times.lease - clock.now() + 1.milliseconds)
             }
         }
-        while (!gone) round()
+        while (!gone) exchangeHeartbeat()
     }
 
-    private suspend fun round() {
-        awake()
+    private suspend fun exchangeHeartbeat() {
+        awaitResume()
         val sent = clock.now()
-        val inSession = session
-        val response = transport.call(nodes.getValue(node), "POST", "/checkin", report(), REPORT_TIMEOUT)
-        awake()
+        val sentInEpoch = agentEpoch
+        val response = transport.call(nodes.getValue(node), "POST", "/checkin", heartbeat(), HEARTBEAT_TIMEOUT)
+        awaitResume()
         if (gone) return
-        // Whoever stood still finds an answer that has come too late.
-        val answer = if (clock.now() - sent > REPORT_TIMEOUT) null else response
-        if (!heed(answer, sent, inSession)) return moveOn()
-        awaitNextReport()
-        val soonest = sent + SOON
-        if (clock.now() < soonest) delay(soonest - clock.now())
+        // After a hang, an answer that arrived later than the timeout counts as none.
+        val answer = if (clock.now() - sent > HEARTBEAT_TIMEOUT) null else response
+        if (!handleAnswer(answer, sent, sentInEpoch)) return tryNextNode()
+        awaitNextHeartbeat()
+        val earliestNext = sent + MIN_GAP
+        if (clock.now() < earliestNext) delay(earliestNext - clock.now())
     }
 
-    /** Does as the [answer] to a report of [inSession] says; false: another node is to be asked. */
-    private fun heed(answer: Response?, sent: MonotonicInstant, inSession: Long): Boolean = when (answer?.status) {
-        OK -> {
-            if (session == inSession) obey(answer.body, sent)
-            true
-        }
+    /** Handles the [answer] to a heartbeat of the agent epoch [sentInEpoch]; false if another node has to be tried. */
+    private fun handleAnswer(answer: Response?, sent: MonotonicInstant, sentInEpoch: Long): Boolean =
+        when (answer?.status) {
+            OK -> {
+                if (agentEpoch == sentInEpoch) applyAnswer(answer.body, sent)
+                true
+            }
 
-        MISDIRECTED -> follow(answer)
+            MISDIRECTED -> followRedirection(answer)
 
-        else -> false
-    }
+            else -> false
+        }
 
-    /** Turns to the node that a [redirection] names; false: it names none that is known and new. */
-    private fun follow(redirection: Response): Boolean {
-        val named = try {
+    /** Switches to the node that a [redirection] names; false if it names no other known node. */
+    private fun followRedirection(redirection: Response): Boolean {
+        val leader = try {
             Json.parseObject(redirection.body).stringOrNull("auctioneer")
         } catch (_: MalformedJson) {
             null
         }
-        if (named == null || named == node || named !in nodes) return false
-        node = named
+        if (leader == null || leader == node || leader !in nodes) return false
+        node = leader
         return true
     }
 
-    /** Lets tasks go on until the next report is due, or until something has changed. */
-    private suspend fun awaitNextReport() {
-        val until =
-            clock.now() + if (changed) SOON else times.heartbeatInterval * (LEAST + random.nextDouble() * SPREAD)
+    /** Advances tasks until the next heartbeat is due or something has changed. */
+    private suspend fun awaitNextHeartbeat() {
+        val heartbeatDueAt =
+            clock.now() +
+                if (changed) MIN_GAP else times.heartbeatInterval * (MIN_FACTOR + random.nextDouble() * JITTER)
         changed = false
-        while (clock.now() < until && !gone && !changed) {
-            val due = minOf(until, tasks.values.minOfOrNull { due(it) } ?: MonotonicInstant.FOREVER)
+        while (clock.now() < heartbeatDueAt && !gone && !changed) {
+            val due = minOf(
+                heartbeatDueAt,
+                tasks.values.minOfOrNull { nextTransitionAt(it) } ?: MonotonicInstant.FOREVER,
+            )
             withTimeoutOrNull(due - clock.now()) { wake.receive() }
-            awake()
-            advance()
+            awaitResume()
+            advanceTasks()
         }
     }
 
-    private fun due(task: Task): MonotonicInstant = when (task.phase) {
-        "fetching" -> task.fetchedAt
-        "running" -> task.runsUntil
+    private fun nextTransitionAt(task: Task): MonotonicInstant = when (task.phase) {
+        "fetching" -> task.fetchDoneAt
+        "running" -> task.runDoneAt
         else -> MonotonicInstant.FOREVER
     }
 
-    /** Commands straight to the worker's own address. */
+    /** Handles requests to the worker's own address. */
     override suspend fun handle(request: Request): Response {
-        awake()
-        // What waited for a machine that was returned meanwhile is gone with it.
+        awaitResume()
+        // The machine was terminated while the request waited, so that no answer can come.
         if (gone) awaitCancellation()
-        expire()
-        if (request.path == "/inspect") return Response(OK, report())
+        expireLease()
+        if (request.path == "/inspect") return Response(OK, heartbeat())
         val body = try {
             Json.parseObject(request.body)
         } catch (_: MalformedJson) {
-            return HttpServer.refusal(BAD, "not JSON")
+            return HttpServer.refusal(BAD_REQUEST, "not JSON")
         }
-        val given = body.longOrNull("gavel")
-        val shift = body.longOrNull("shift")
-        if (given == null || shift == null) return HttpServer.refusal(BAD, "gavel or shift is missing")
-        if (given < token || shift != session) return Response(CONFLICT, report())
-        token = given
+        val term = body.longOrNull("gavel")
+        val epoch = body.longOrNull("shift")
+        if (term == null || epoch == null) return HttpServer.refusal(BAD_REQUEST, "gavel or shift is missing")
+        if (term < latestTerm || epoch != agentEpoch) return Response(CONFLICT, heartbeat())
+        latestTerm = term
         for (command in body.objects("calls")) execute(command)
         wake.trySend(Unit)
-        return Response(OK, report())
+        return Response(OK, heartbeat())
     }
 
-    private suspend fun moveOn() {
+    private suspend fun tryNextNode() {
         delay(1.seconds)
         val names = nodes.keys.toList()
         node = names[(names.indexOf(node) + 1) % names.size]
-        advance()
+        advanceTasks()
     }
 
-    /** The lease ends whether or not the machine hangs. */
-    private fun expire() {
+    /** Ends the lease if it is over, also while the machine hangs. */
+    private fun expireLease() {
         val now = clock.now()
-        while (now > lastAnswered + times.lease) {
-            tasks.values.filter { it.present }.forEach {
+        while (now > leaseStartedAt + times.lease) {
+            tasks.values.filter { it.isPresent }.forEach {
                 watch.lapsed(it.id)
                 watch.ended(it.id, machine.id)
             }
             tasks.clear()
-            session++
-            lastAnswered += times.lease
+            agentEpoch++
+            leaseStartedAt += times.lease
             changed = true
         }
     }
 
-    private fun advance() {
-        expire()
+    private fun advanceTasks() {
+        expireLease()
         val now = clock.now()
         for (task in tasks.values) {
-            if (task.phase == "fetching" && now >= task.fetchedAt) {
+            if (task.phase == "fetching" && now >= task.fetchDoneAt) {
                 task.phase = "running"
-                task.runsUntil =
+                task.runDoneAt =
                     if (task.script == null || task.script.kind == "daemon") {
                         MonotonicInstant.FOREVER
                     } else {
-                        now + task.script.runs
+                        now + task.script.runTime
                     }
                 changed = true
             }
-            if (task.phase == "running" && watch.fails(task.id, machine.id)) end(task, "error")
-            if (task.phase == "running" && now >= task.runsUntil) {
+            if (task.phase == "running" && watch.fails(task.id, machine.id)) endTask(task, "error")
+            if (task.phase == "running" && now >= task.runDoneAt) {
                 watch.completed(task.id)
-                end(task, "done")
+                endTask(task, "done")
             }
         }
     }
 
-    private fun end(task: Task, cause: String) {
+    private fun endTask(task: Task, cause: String) {
         task.phase = "ended"
         task.cause = cause
         changed = true
         watch.ended(task.id, machine.id)
     }
 
-    private fun report(): ByteArray = Json.bytes(
+    private fun heartbeat(): ByteArray = Json.bytes(
         linkedMapOf(
             "stall" to machine.id, "addr" to machine.address.ifEmpty { "127.0.0.1:1" }, "rig" to machine.type,
             "hall" to machine.zone,
-            "borrowedRigs" to machine.spot, "shift" to session, "tallyNo" to ++sequence, "gavel" to token,
+            "borrowedRigs" to machine.spot, "shift" to agentEpoch, "tallyNo" to ++heartbeatNumber,
+            "gavel" to latestTerm,
             "recallS" to notice?.toDouble(DurationUnit.SECONDS),
-            "crates" to named().map {
+            "crates" to reportedTasks().map {
                 linkedMapOf("crate" to it.id, "cast" to it.attempt, "standing" to it.phase, "cause" to it.cause)
             },
         ),
     )
 
-    private fun obey(body: ByteArray, sent: MonotonicInstant) {
+    private fun applyAnswer(body: ByteArray, sent: MonotonicInstant) {
         val answer = Json.parseObject(body)
-        val given = answer.longOrNull("gavel") ?: return
-        if (given < token) return
-        if (given > token) {
-            token = given
+        val answerTerm = answer.longOrNull("gavel") ?: return
+        if (answerTerm < latestTerm) return
+        if (answerTerm > latestTerm) {
+            latestTerm = answerTerm
             changed = true
         }
-        lastAnswered = sent
+        leaseStartedAt = sent
         for (command in answer.objects("calls")) execute(command)
     }
 
@@ -311,37 +320,41 @@
         val attempt = command.long("cast")
         val known = tasks[id]
         when (command.string("call")) {
-            "start" -> if (known == null || !known.present && known.attempt != attempt) start(id, attempt)
-            "kill" -> if (known != null && known.attempt == attempt && known.present) end(known, "stopped")
-            "reap" -> if (known != null && known.attempt == attempt && !known.present) tasks.remove(id)
+            "start" -> if (known == null || !known.isPresent && known.attempt != attempt) startTask(id, attempt)
+            "kill" -> if (known != null && known.attempt == attempt && known.isPresent) endTask(known, "stopped")
+            "reap" -> if (known != null && known.attempt == attempt && !known.isPresent) tasks.remove(id)
         }
     }
 
-    private fun start(id: String, attempt: Long) {
-        val task = Task(id, attempt, script(id.substringBeforeLast('/')))
+    private fun startTask(id: String, attempt: Long) {
+        val task = Task(id, attempt, scriptOf(id.substringBeforeLast('/')))
         changed = true
-        val inUse = tasks.values.filter { it.present }
+        val presentTasks = tasks.values.filter { it.isPresent }
         tasks[id] = task
-        val cores = (inUse + task).sumOf { it.script?.cores ?: 0.0 }
-        val accelerators = (inUse + task).sumOf { it.script?.accelerators ?: 0.0 }
+        val cores = (presentTasks + task).sumOf { it.script?.cores ?: 0.0 }
+        val accelerators = (presentTasks + task).sumOf { it.script?.accelerators ?: 0.0 }
         if (cores > machine.kind.cores || accelerators > machine.kind.accelerators) {
             task.phase = "ended"
             task.cause = "no_room"
             watch.refused(id, machine.id)
             return
         }
-        task.fetchedAt = clock.now() + (task.script?.fetch ?: Duration.ZERO)
+        task.fetchDoneAt = clock.now() + (task.script?.fetchTime ?: Duration.ZERO)
         watch.started(id, machine.id)
     }
 
     private companion object {
         const val OK = 200
-        const val BAD = 400
+        const val BAD_REQUEST = 400
         const val CONFLICT = 409
         const val MISDIRECTED = 421
-        const val LEAST = 0.75
-        const val SPREAD = 0.5
-        val REPORT_TIMEOUT = 4.seconds
-        val SOON = 500.milliseconds
+
+        /** Heartbeat intervals vary evenly around their mean, by a quarter of it at most. */
+        const val MIN_FACTOR = 0.75
+        const val JITTER = 0.5
+        val HEARTBEAT_TIMEOUT = 4.seconds
+
+        /** The shortest time between two heartbeats. */
+        val MIN_GAP = 500.milliseconds
     }
 }
