--- a/src/test/kotlin/org/elderhitch/golden/GoldenDrmaaTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenDrmaaTest.kt
@@ -49,10 +49,10 @@
     private fun assertBytes(name: String, value: Any?) =
         assertEquals(GoldenFiles.text("drmaa/$name"), Json.bytes(value).decodeToString(), name)
 
-    private fun fields(from: JsonObject) = from.names.associateWith { from.raw(it) }
+    private fun fields(record: JsonObject) = record.names.associateWith { record.raw(it) }
 
     @Test
-    fun `keys keep their shapes, there and back`() {
+    fun `keys have a fixed format and are parsed back`() {
         val single = JobName(session, tag, 3, null)
         val bulk = JobName(session, tag, 12_345_678, 100_000)
         assertEquals("req-dabcdefghijkl-aaaaaaaa-00000003", single.toString())
@@ -79,7 +79,7 @@
     }
 
     @Test
-    fun `keys of other shapes are nobody's`() {
+    fun `keys of any other format are not parsed`() {
         for (key in listOf(
             "v/drmaa/r/abcdefghijkl/aaaaaaaa",
             "v/drmaa/r/abcdefghijkl/aaaaaaaa/-1",
@@ -101,12 +101,12 @@
     }
 
     @Test
-    fun `results are named by job and member, and stand in blocks of 4096`() {
-        val member = ResultName.parse("req-dabcdefghijkl-aaaaaaaa-00000003x5000/4097") ?: error("no result")
+    fun `results are named by job and member and stored in blocks of 4096`() {
+        val member = ResultName.parse("req-dabcdefghijkl-aaaaaaaa-00000003x5000/4097") ?: error("not a result name")
         assertEquals("req-dabcdefghijkl-aaaaaaaa-00000003x5000/4097", member.toString())
         assertEquals("v/drmaa/r/abcdefghijkl/aaaaaaaa.3/1", member.block.toString())
         assertEquals(1, member.place)
-        val single = ResultName.parse("req-dabcdefghijkl-aaaaaaaa-00008195") ?: error("no result")
+        val single = ResultName.parse("req-dabcdefghijkl-aaaaaaaa-00008195") ?: error("not a result name")
         assertEquals("v/drmaa/r/abcdefghijkl/aaaaaaaa/2", single.block.toString())
         assertEquals(3, single.place)
         assertNull(ResultName.parse("req-dabcdefghijkl-aaaaaaaa-00000003x5"))
@@ -115,8 +115,8 @@
     }
 
     @Test
-    fun `a session's record is the same again`() {
-        val record = SessionRecord.decode(file("session.json"), version) ?: error("not read")
+    fun `a session record round-trips`() {
+        val record = SessionRecord.decode(file("session.json"), version) ?: error("not decoded")
         assertEquals("team one", record.team.text)
         assertEquals(1_700_000_000_000, record.opened.ms)
         assertEquals(1_700_003_600_000, record.used.ms)
@@ -125,21 +125,25 @@
     }
 
     @Test
-    fun `a session's record that lacks a field or has another type is none`() {
+    fun `a session record with a missing field or a wrong type is not decoded`() {
         assertNull(SessionRecord.decode(json("{}"), version))
         assertNull(SessionRecord.decode(json("""{"team":"t","opened":1}"""), version))
         assertNull(SessionRecord.decode(json("""{"team":5,"opened":1,"used":2}"""), version))
         assertNull(SessionRecord.decode(json("""{"team":"t","opened":1.5,"used":2}"""), version))
         assertNull(SessionRecord.decode(json("""{"team":"t","opened":1,"used":92233720368547758070}"""), version))
-        val more = SessionRecord.decode(json("""{"team":"t","opened":-1,"used":2,"colour":"red"}"""), version)
-        assertEquals(-1, more?.opened?.ms)
-        val torn = GoldenFiles.bytes("drmaa/session.json").copyOf(30)
-        assertTrue(assertFailsWith<MalformedJson> { Json.parseObject(torn) }.message.orEmpty().startsWith("not JSON: "))
+        val extended = SessionRecord.decode(json("""{"team":"t","opened":-1,"used":2,"colour":"red"}"""), version)
+        assertEquals(-1, extended?.opened?.ms)
+        val truncated = GoldenFiles.bytes("drmaa/session.json").copyOf(30)
+        assertTrue(
+            assertFailsWith<MalformedJson> {
+                Json.parseObject(truncated)
+            }.message.orEmpty().startsWith("not JSON: "),
+        )
     }
 
     @Test
-    fun `held jobs are read with and without a start`() {
-        val full = HeldJob.decode(file("held-full.json"), version) ?: error("not read")
+    fun `held jobs are read with and without a start time`() {
+        val full = HeldJob.decode(file("held-full.json"), version) ?: error("not decoded")
         assertTrue(full.byUser)
         assertEquals(1_700_000_000_000, full.since.ms)
         assertEquals(1_700_000_600_000, full.startAt?.ms)
@@ -150,7 +154,7 @@
             "start" to full.startAt?.ms,
         )
         assertBytes("held-full.json", written)
-        val least = HeldJob.decode(file("held-least.json"), version) ?: error("not read")
+        val least = HeldJob.decode(file("held-least.json"), version) ?: error("not decoded")
         assertEquals("req-dabcdefghijkl-aaaaaaaa-00000004", least.body.string("id"))
         assertEquals(false, least.byUser)
         assertNull(least.startAt)
@@ -158,7 +162,7 @@
     }
 
     @Test
-    fun `held jobs that lack a field or have another type are none`() {
+    fun `held jobs with a missing field or a wrong type are not decoded`() {
         for (text in listOf(
             "{}",
             """{"user":true,"since":1}""",
@@ -170,12 +174,12 @@
         )) {
             assertNull(HeldJob.decode(json(text), version), text)
         }
-        val more = json("""{"job":{},"user":true,"since":1,"x":2,"start":null}""")
-        assertEquals(1, HeldJob.decode(more, version)?.since?.ms)
+        val extended = json("""{"job":{},"user":true,"since":1,"x":2,"start":null}""")
+        assertEquals(1, HeldJob.decode(extended, version)?.since?.ms)
     }
 
     @Test
-    fun `the word that a session was closed has these fields`() {
+    fun `the record of a closed session has a fixed set of fields`() {
         val closed = file("closed.json")
         assertEquals(listOf("team", "why", "at", "left"), closed.names.toList())
         assertEquals(1_700_000_000_000, closed.long("at"))
@@ -183,26 +187,26 @@
     }
 
     @Test
-    fun `taken results are the same again, as ranges and as a bitmap`() {
+    fun `taken results round-trip as ranges and as a bitmap`() {
         for (name in listOf("taken-full.json", "taken-least.json", "taken-bitmap.json")) {
             assertBytes(name, (ReapBlock.decode(file(name), version) ?: error(name)).encode())
         }
-        val full = ReapBlock.decode(file("taken-full.json"), version) ?: error("not read")
+        val full = ReapBlock.decode(file("taken-full.json"), version) ?: error("not decoded")
         assertEquals(listOf(0, 1, 2, 7, 4095), (0..4095).filter { it in full })
         assertEquals(7, full.takenBy(RequestId(tag, 12)))
         assertNull(full.takenBy(RequestId(tag, 13)))
         assertTrue(full.wentTo(0, RequestId(tag, 13)))
         assertEquals(version, full.version)
         assertEquals(2048, ReapBlock.decode(file("taken-bitmap.json"), version)?.count)
-        val without = json("""{"f":"0-4","colour":1}""")
-        assertEquals(5, ReapBlock.decode(without, version)?.count, "no requests told")
+        val withoutRequests = json("""{"f":"0-4","colour":1}""")
+        assertEquals(5, ReapBlock.decode(withoutRequests, version)?.count, "a block without requests")
         val taken = ReapBlock.EMPTY.plus(listOf(0, 1, 2, 7), RequestId(tag, 13)).plus(listOf(4095), RequestId(tag, 14))
         val text = """{"f":"0-2,7,4095","by":["aaaaaaaa-13","aaaaaaaa-14:4095"]}"""
         assertEquals(text, Json.text(taken.encode()))
     }
 
     @Test
-    fun `taken results that nobody wrote so are none`() {
+    fun `malformed taken results are not decoded`() {
         for (text in listOf(
             "{}", """{"f":7}""", """{"f":"0-"}""", """{"f":"4096"}""", """{"f":"b!"}""", """{"f":"","by":"a"}""",
             """{"f":"","by":[5]}""", """{"f":"","by":["aaaaaaaa"]}""", """{"f":"","by":["aaaaaaaa-1:4096"]}""",
@@ -213,7 +217,7 @@
     }
 
     @Test
-    fun `tokens stay valid, and sessions keep the names that numbers lead to`() {
+    fun `tokens stay valid, and a nonce always gives the same session name`() {
         val tokens = Tokens.parse("keys", listOf("old ${"A".repeat(32)}"))
         val team = TeamName("team one")
         val now = WallTime(1_600_000_000_000)
@@ -225,14 +229,14 @@
             val text = GoldenFiles.text("drmaa/$name")
             assertEquals(text, tokens.issue(claim))
             assertEquals(claim, tokens.verify(text, now))
-            val cut = assertFailsWith<BadToken> { tokens.verify(text.dropLast(1), now) }
-            assertEquals("not a token of ours", cut.message)
+            val badToken = assertFailsWith<BadToken> { tokens.verify(text.dropLast(1), now) }
+            assertEquals("not a token of ours", badToken.message)
         }
         assertEquals("3uqzaawvjty0", tokens.sessionFor(team, "nonce-123456").text)
     }
 
     @Test
-    fun `a client's template is sent with these fields`() {
+    fun `a client's template is sent with a fixed set of fields`() {
         val template = Template().apply {
             setRemoteCommand("img-9")
             setArgs(listOf("a", "b c"))
@@ -255,7 +259,7 @@
     }
 
     @Test
-    fun `the daemon takes a template and keeps what describes it`() {
+    fun `the daemon accepts a template and keeps its descriptive fields`() {
         val check = TemplateCheck(mapOf("label" to mapOf("lotClass" to "label", "catchImage" to "img-7")))
         val name = JobName(session, tag, 3, null)
         val now = WallTime(1_700_000_000_000)
@@ -273,34 +277,44 @@
         assertEquals("""{"drmaa":{"command":"img-9"}}""", Json.text(least.extra))
     }
 
-    private fun ask(status: Int, body: String, seen: (String, String) -> Unit = { _, _ -> }): JsonObject {
+    private fun askControl(status: Int, body: String, onRequest: (String, String) -> Unit = { _, _ -> }): JsonObject {
         val clock = object : ClientClock {
             override fun nowMs(): Long = 0
 
             override fun sleep(ms: Long) = Unit
         }
-        val line = Line { _, path, sent, _ ->
-            seen(path, sent.decodeToString())
+        val transport = Line { _, path, sent, _ ->
+            onRequest(path, sent.decodeToString())
             NodeAnswer(status, body.encodeToByteArray(), null)
         }
         val contact = ContactString.parse("elderhitch://one:80,two:80?token=k.s.dA.abcdefghijkl.x")
         assertEquals("elderhitch://one:80,two:80?token=k.s.dA.abcdefghijkl.x", contact.toString())
         val fields = linkedMapOf<String, Any?>("action" to "HOLD", "job" to "req-dabcdefghijkl-aaaaaaaa-00000003")
-        return Wire(contact, line, clock).ask("control", fields, 0)
+        return Wire(contact, transport, clock).ask("control", fields, 0)
     }
 
     @Test
-    fun `a client's request is its token and its fields, and refusals come by name`() {
-        val answer = ask(200, """{"done":1}""") { path, sent ->
+    fun `a request carries the token and its fields, and refusals name their exception`() {
+        val answer = askControl(200, """{"done":1}""") { path, sent ->
             assertEquals("/drmaa/control", path)
             assertEquals(GoldenFiles.text("drmaa/request-control.json"), sent)
         }
         assertEquals(1, answer.long("done"))
         fun refusal(name: String) = """{"exception":"$name","error":"why"}"""
-        assertEquals("why", assertFailsWith<InvalidJobException> { ask(404, refusal("InvalidJobException")) }.message)
-        assertEquals("why", assertFailsWith<DeniedByDrmException> { ask(422, refusal("DeniedByDrmException")) }.message)
-        assertFailsWith<IllegalArgumentException> { ask(400, refusal("InvalidArgumentException")) }
-        assertFailsWith<DrmCommunicationException> { ask(200, """{"done":""") }
-        assertFailsWith<DrmCommunicationException> { ask(404, """{"error":"no such path"}""") }
+        assertEquals(
+            "why",
+            assertFailsWith<InvalidJobException> {
+                askControl(404, refusal("InvalidJobException"))
+            }.message,
+        )
+        assertEquals(
+            "why",
+            assertFailsWith<DeniedByDrmException> {
+                askControl(422, refusal("DeniedByDrmException"))
+            }.message,
+        )
+        assertFailsWith<IllegalArgumentException> { askControl(400, refusal("InvalidArgumentException")) }
+        assertFailsWith<DrmCommunicationException> { askControl(200, """{"done":""") }
+        assertFailsWith<DrmCommunicationException> { askControl(404, """{"error":"no such path"}""") }
     }
 }
--- a/src/test/kotlin/org/elderhitch/golden/GoldenFiles.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenFiles.kt
@@ -2,7 +2,7 @@
 
 import kotlin.test.assertNotNull
 
-/** Samples of what stands in the state service and on the wire, as files of exact bytes. */
+/** The golden files: exact bytes of stored values, messages and settings files. */
 internal object GoldenFiles {
     fun bytes(name: String): ByteArray =
         assertNotNull(javaClass.getResourceAsStream("/golden/$name"), name).use { it.readBytes() }
--- a/src/test/kotlin/org/elderhitch/golden/GoldenServicesWireTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenServicesWireTest.kt
@@ -39,9 +39,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 class GoldenServicesWireTest {
-    /** Answers each request with the next of the answers, and keeps what was sent. */
+    /** Answers the requests with the given answers in order, and records the requests. */
     private class Service(vararg answers: Response) : Transport {
-        private val left = ArrayDeque(answers.toList())
+        private val remaining = ArrayDeque(answers.toList())
         private val clock = SteadyClock { MonotonicInstant(0) }
         val sent = ArrayList<String>()
         val cloud = CloudClient(this, Address("10.9.0.4:1"), RequestRateLimiter(clock, 1000.0))
@@ -61,7 +61,7 @@
             timeout: Duration,
         ): Response? {
             sent.add("$method $target ${body?.decodeToString().orEmpty()}")
-            return left.removeFirstOrNull()
+            return remaining.removeFirstOrNull()
         }
 
         override suspend fun deliver(
@@ -81,32 +81,33 @@
     private fun answer(status: Int, text: String) = Response(status, text.encodeToByteArray())
 
     @Test
-    fun `flavors are asked for and read`() = runTest {
-        for ((read, kept) in listOf("flavors" to "flavors", "flavors-least" to "flavors-least-kept")) {
-            val service = Service(sample(read))
+    fun `machine types are requested and read`() = runTest {
+        for ((answered, decoded) in listOf("flavors" to "flavors", "flavors-least" to "flavors-least-kept")) {
+            val service = Service(sample(answered))
             val catalog = assertNotNull(service.cloud.catalog())
             assertEquals(listOf("GET /flavors "), service.sent)
-            val again = Json.text(mapOf("rigs" to catalog.types.values.map(CatalogCodec::encode)))
-            assertEquals(GoldenFiles.text("wire/$kept.json"), again)
+            val reencoded = Json.text(mapOf("rigs" to catalog.types.values.map(CatalogCodec::encode)))
+            assertEquals(GoldenFiles.text("wire/$decoded.json"), reencoded)
         }
         val full = GoldenFiles.text("wire/flavors.json")
-        val bad = listOf(
+        val malformed = listOf(
             full.dropLast(9),
             full.replace("64.0", "\"64\""),
             full.replace("64.0", "-1"),
             full.replace("\"name\":\"k4\",", ""),
             "{\"rigs\":[]}",
         )
-        for (text in bad) assertNull(Service(answer(200, text)).cloud.catalog(), text)
+        for (text in malformed) assertNull(Service(answer(200, text)).cloud.catalog(), text)
         assertNull(Service(sample("flavors", 503)).cloud.catalog())
         assertNotNull(Service(answer(200, full.dropLast(1) + ",\"later\":1}")).cloud.catalog())
     }
 
     @Test
-    fun `machines are rented`() = runTest {
+    fun `machines are provisioned`() = runTest {
         val service = Service(sample("machines-hired"))
-        val hired = assertIs<ProvisioningOutcome.Provisioned>(service.cloud.provision("r-9-4", market, 7) { true })
-        assertEquals(listOf("host-000301", "host-000302"), hired.machines.map { it.text })
+        val provisioned =
+            assertIs<ProvisioningOutcome.Provisioned>(service.cloud.provision("r-9-4", market, 7) { true })
+        assertEquals(listOf("host-000301", "host-000302"), provisioned.machines.map { it.text })
         assertEquals(listOf("POST /machines " + GoldenFiles.text("wire/machines-hire.json")), service.sent)
         val outcomes = listOf(
             answer(503, "{\"error\":\"no capacity\"}") to ProvisioningOutcome.NoCapacity,
@@ -117,13 +118,13 @@
             answer(200, "{\"stalls\":[7]}") to ProvisioningOutcome.Unknown,
             answer(200, "{\"later\":1}") to ProvisioningOutcome.Provisioned(emptyList()),
         )
-        for ((said, outcome) in outcomes) {
-            assertEquals(outcome, Service(said).cloud.provision("r-9-4", market, 7) { true })
+        for ((reply, outcome) in outcomes) {
+            assertEquals(outcome, Service(reply).cloud.provision("r-9-4", market, 7) { true })
         }
     }
 
     @Test
-    fun `machines are released`() = runTest {
+    fun `machines are terminated`() = runTest {
         val service = Service(answer(200, "{}"), answer(503, "{}"))
         val machines = listOf(MachineId("host-000301"), MachineId("host-000302"))
         assertEquals(listOf(true, false), List(2) { service.cloud.terminate(machines) { true } })
@@ -143,13 +144,13 @@
         assertEquals(listOf("running", "booting", "failed"), all.map { it.state })
         assertEquals(listOf("10.4.1.45:9000", "10.4.1.46:9000", null), all.map { it.address?.text })
         val page = GoldenFiles.text("wire/machines-page-2.json")
-        val bad = listOf(
+        val malformed = listOf(
             page.dropLast(5),
             page.replace(",\"more\":false", ""),
             page.replace("\"failed\"", "4"),
             page.replace("\"borrowedRigs\":false,", ""),
         )
-        for (text in bad) assertNull(Service(answer(200, text)).cloud.list(), text)
+        for (text in malformed) assertNull(Service(answer(200, text)).cloud.list(), text)
     }
 
     @Test
@@ -159,20 +160,20 @@
         assertEquals("q/w", full.key)
         assertEquals(87, full.version.number)
         assertEquals(listOf<Any?>(3L, "x", listOf(1.5, true, null)), listOf("n", "t", "l").map(full.value::raw))
-        val least = assertIs<ReadOutcome.Found>(service.state.read("q/e", RequestPriority.RECORD)).entry
-        assertEquals(0, least.value.names.size)
+        val minimal = assertIs<ReadOutcome.Found>(service.state.read("q/e", RequestPriority.RECORD)).entry
+        assertEquals(0, minimal.value.names.size)
         assertEquals(ReadOutcome.Absent, service.state.read("q/none", RequestPriority.RECORD))
         assertEquals(listOf("GET /store/q/w ", "GET /store/q/e ", "GET /store/q/none "), service.sent)
         val text = GoldenFiles.text("wire/store-entry.json")
-        val bad = listOf(
+        val malformed = listOf(
             text.dropLast(3),
             text.replace("\"entryMark\":87", "\"entryMark\":\"87\""),
             text.replace("\"k\"", "\"kk\""),
             "[]",
         )
-        for (spoilt in bad) {
-            val outcome = Service(answer(200, spoilt)).state.read("q/w", RequestPriority.RECORD)
-            assertEquals(ReadOutcome.Unavailable, outcome, spoilt)
+        for (corrupted in malformed) {
+            val outcome = Service(answer(200, corrupted)).state.read("q/w", RequestPriority.RECORD)
+            assertEquals(ReadOutcome.Unavailable, outcome, corrupted)
         }
         assertEquals(
             ReadOutcome.Unavailable,
@@ -189,8 +190,8 @@
         assertEquals(95, page.revision.number)
         assertEquals(0, assertNotNull(service.state.list("q/", null)).entries.size)
         assertEquals(listOf("GET /store?prefix=q/&page=500&after=q/a ", "GET /store?prefix=q/&page=500 "), service.sent)
-        val bad = GoldenFiles.text("wire/store-page.json").replace("true", "1")
-        assertNull(Service(answer(200, bad)).state.list("q/", null))
+        val malformed = GoldenFiles.text("wire/store-page.json").replace("true", "1")
+        assertNull(Service(answer(200, malformed)).state.list("q/", null))
     }
 
     private suspend fun commit(service: Service): CommitOutcome = service.state.commit(
@@ -204,7 +205,7 @@
     )
 
     @Test
-    fun `commits have their bytes, and each answer its meaning`() = runTest {
+    fun `commits have a fixed encoding, and each answer maps to an outcome`() = runTest {
         val service = Service(answer(200, "{\"ledgerMark\":96}"), answer(200, "{\"ledgerMark\":96,\"later\":1}"))
         assertEquals(CommitOutcome.Committed(Revision(96)), commit(service))
         val empty = service.state.commit(emptyList(), emptyList(), RequestPriority.RECORD)
@@ -223,12 +224,12 @@
             answer(200, "{\"ledgerMark\":1.5}") to CommitOutcome.Unknown,
             answer(200, "{\"ledgerMark\":18446744073709551615}") to CommitOutcome.Unknown,
         )
-        for ((said, outcome) in outcomes) assertEquals(outcome, commit(Service(said)), said.body.decodeToString())
+        for ((reply, outcome) in outcomes) assertEquals(outcome, commit(Service(reply)), reply.body.decodeToString())
         assertEquals(CommitOutcome.Unknown, commit(Service()))
     }
 
     @Test
-    fun `leases are granted, extended and ended`() = runTest {
+    fun `leases are granted, renewed and revoked`() = runTest {
         val service = Service(
             sample("lease-answer"),
             answer(200, "{}"),
@@ -238,8 +239,8 @@
         )
         val lease = LeaseId(12)
         assertEquals(LeaseOutcome.Held(lease), service.state.grantLease(7250.milliseconds))
-        val extended = List(3) { service.state.renewLease(lease) }
-        assertEquals(listOf(LeaseOutcome.Held(lease), LeaseOutcome.Gone, LeaseOutcome.Unavailable), extended)
+        val renewals = List(3) { service.state.renewLease(lease) }
+        assertEquals(listOf(LeaseOutcome.Held(lease), LeaseOutcome.Gone, LeaseOutcome.Unavailable), renewals)
         service.state.revokeLease(lease)
         val sent = listOf("POST /leases " + GoldenFiles.text("wire/lease-request.json")) +
             List(3) { "POST /leases/12/extend " } + "DELETE /leases/12 "
@@ -249,28 +250,28 @@
         }
     }
 
-    private suspend fun watch(service: Service): WatchOutcome =
+    private suspend fun watchSample(service: Service): WatchOutcome =
         service.state.watch("q/", Revision(95), 2500.milliseconds, RequestPriority.RECORD)
 
     @Test
     fun `changes are watched`() = runTest {
         val service = Service(sample("watch-events"), sample("watch-nothing"))
-        val seen = assertIs<WatchOutcome.Changes>(watch(service))
-        assertEquals(listOf("q/w" to 98L, "q/x" to 99L), seen.changes.map { it.key to it.version.number })
-        assertEquals(5L, assertIs<Change.Put>(seen.changes[0]).entry.value.long("n"))
-        assertIs<Change.Drop>(seen.changes[1])
-        assertEquals(99, seen.revision.number)
-        assertEquals(0, assertIs<WatchOutcome.Changes>(watch(service)).changes.size)
+        val watched = assertIs<WatchOutcome.Changes>(watchSample(service))
+        assertEquals(listOf("q/w" to 98L, "q/x" to 99L), watched.changes.map { it.key to it.version.number })
+        assertEquals(5L, assertIs<Change.Put>(watched.changes[0]).entry.value.long("n"))
+        assertIs<Change.Drop>(watched.changes[1])
+        assertEquals(99, watched.revision.number)
+        assertEquals(0, assertIs<WatchOutcome.Changes>(watchSample(service)).changes.size)
         assertEquals(List(2) { "GET /watch?prefix=q/&after=95&blockMs=2500 " }, service.sent)
-        assertEquals(WatchOutcome.TooOld, watch(Service(answer(410, "{}"))))
+        assertEquals(WatchOutcome.TooOld, watchSample(Service(answer(410, "{}"))))
         val text = GoldenFiles.text("wire/watch-events.json")
-        val bad = listOf(
+        val malformed = listOf(
             text.dropLast(4),
             text.replace("\"entryMark\":99", "\"n\":1"),
             text.replace("\"drop\"", "\"dropped\""),
         )
-        for (spoilt in bad) {
-            assertEquals(WatchOutcome.Unavailable, watch(Service(answer(200, spoilt))), spoilt)
+        for (corrupted in malformed) {
+            assertEquals(WatchOutcome.Unavailable, watchSample(Service(answer(200, corrupted))), corrupted)
         }
     }
 }
--- a/src/test/kotlin/org/elderhitch/golden/GoldenSettingsTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenSettingsTest.kt
@@ -21,7 +21,7 @@
 class GoldenSettingsTest {
     private val features = File(assertNotNull(javaClass.getResource("/golden/settings/features-full.lua")).toURI())
 
-    private fun times(policy: FleetPolicy) =
+    private fun durationsOf(policy: FleetPolicy) =
         listOf(policy.headroom, policy.terminateIdleAfter, policy.terminateSurplusAfter, policy.terminateIdleSpotAfter)
 
     @Test
@@ -38,12 +38,13 @@
         assertEquals(listOf("darkroom", "archive"), teams.map { it.name.text })
         assertEquals(listOf(12.5 to 3.0, 0.0 to 0.0), teams.map { it.guaranteedCpus to it.guaranteedGpus })
         assertEquals(listOf(80.0 to 24.0, null to null), teams.map { it.mostCpus to it.mostGpus })
-        val aims = listOf("wait" to "preview", "finished" to "retouch", "finished" to "sorting")
-        assertEquals(aims, read.objectives.map { it.kind to it.jobClass })
+        val objectives = listOf("wait" to "preview", "finished" to "retouch", "finished" to "sorting")
+        assertEquals(objectives, read.objectives.map { it.kind to it.jobClass })
         assertEquals(listOf(7.5.seconds, 95.5.seconds, null), read.objectives.map { it.within })
-        val times = read.workers
-        val seconds = listOf(times.heartbeatInterval, times.lease, times.gangWait, times.gangPeer, times.cancel)
-        assertEquals(listOf(1.5, 14.0, 33.0, 4.5, 52.0).map { it.seconds }, seconds)
+        val timeouts = read.workers
+        val durations =
+            listOf(timeouts.heartbeatInterval, timeouts.lease, timeouts.gangWait, timeouts.gangPeer, timeouts.cancel)
+        assertEquals(listOf(1.5, 14.0, 33.0, 4.5, 52.0).map { it.seconds }, durations)
         assertEquals(listOf(120.0, 35.5), listOf(read.stateLimits.requestsPerS, read.stateLimits.writesPerS))
         assertEquals(listOf(6656, 12), listOf(read.stateLimits.valueBytes, read.stateLimits.txnOps))
         assertEquals(7.5, read.cloudLimits.requestsPerS)
@@ -54,37 +55,37 @@
 
     @Test
     fun `settings without optional fields are read, and unknown fields are ignored`() {
-        val least = Settings.parse(GoldenFiles.bytes("settings/settings-least.json"))
-        assertEquals("", least.zone.name)
-        assertTrue(least.peers.isEmpty() && least.zones.isEmpty())
-        assertTrue(least.teams.isEmpty() && least.objectives.isEmpty())
-        assertEquals(1024, least.maxSockets)
-        assertEquals(1.0, least.cpuShare)
-        assertEquals(2.seconds, least.workers.heartbeatInterval)
-        assertEquals(least, Settings.parse(GoldenFiles.bytes("settings/settings-unknown-fields.json")))
+        val minimal = Settings.parse(GoldenFiles.bytes("settings/settings-least.json"))
+        assertEquals("", minimal.zone.name)
+        assertTrue(minimal.peers.isEmpty() && minimal.zones.isEmpty())
+        assertTrue(minimal.teams.isEmpty() && minimal.objectives.isEmpty())
+        assertEquals(1024, minimal.maxSockets)
+        assertEquals(1.0, minimal.cpuShare)
+        assertEquals(2.seconds, minimal.workers.heartbeatInterval)
+        assertEquals(minimal, Settings.parse(GoldenFiles.bytes("settings/settings-unknown-fields.json")))
     }
 
     @Test
-    fun `bad settings are refused with their words`() =
+    fun `malformed settings are rejected with the expected messages`() =
         BadSamples.check("settings/settings-full.json", "settings/settings-bad.tsv") {
             assertFailsWith<MalformedJson>(it.decodeToString()) { Settings.parse(it) }.message.orEmpty()
         }
 
     @Test
-    fun `a policy with every key is read, and one with none is the default`() {
+    fun `a policy with every key is read, and an empty one gives the defaults`() {
         val read = PolicyScript.parse("policy.lua", GoldenFiles.text("settings/policy-full.lua"))
-        assertEquals(listOf(15, 90, 12, 120).map { it.seconds }, times(read))
+        assertEquals(listOf(15, 90, 12, 120).map { it.seconds }, durationsOf(read))
         assertEquals(listOf(2.5, 0.4), listOf(read.spareMachines, read.suspectedTerminationShare))
         assertEquals(false, read.useSpot)
-        val least = PolicyScript.parse("policy.lua", GoldenFiles.text("settings/policy-least.lua"))
-        assertEquals(FleetPolicy(), least)
-        assertEquals(listOf(30, 45, 10, 60).map { it.seconds }, times(least))
-        assertEquals(listOf(1.0, 0.25), listOf(least.spareMachines, least.suspectedTerminationShare))
-        assertEquals(true, least.useSpot)
+        val minimal = PolicyScript.parse("policy.lua", GoldenFiles.text("settings/policy-least.lua"))
+        assertEquals(FleetPolicy(), minimal)
+        assertEquals(listOf(30, 45, 10, 60).map { it.seconds }, durationsOf(minimal))
+        assertEquals(listOf(1.0, 0.25), listOf(minimal.spareMachines, minimal.suspectedTerminationShare))
+        assertEquals(true, minimal.useSpot)
     }
 
     @Test
-    fun `a bad policy is refused with its words`() =
+    fun `a malformed policy is rejected with the expected messages`() =
         BadSamples.check("settings/policy-full.lua", "settings/policy-bad.tsv") {
             val script = it.decodeToString()
             assertFailsWith<BadScript>(script) { PolicyScript.parse("policy.lua", script) }.message.orEmpty()
@@ -105,7 +106,7 @@
     }
 
     @Test
-    fun `a features file without sections switches nothing on`() {
+    fun `a features file without sections enables nothing`() {
         val read = FeaturesFile.parse(File("features.lua"), GoldenFiles.text("settings/features-least.lua"))
         assertEquals(0, read.factories.size)
         assertEquals(false, read.rules.any)
@@ -113,14 +114,14 @@
     }
 
     @Test
-    fun `a bad features file is refused with its words`() =
+    fun `a malformed features file is rejected with the expected messages`() =
         BadSamples.check("settings/features-full.lua", "settings/features-bad.tsv") {
             val script = it.decodeToString()
             assertFailsWith<BadScript>(script) { FeaturesFile.parse(features, script) }.message.orEmpty()
         }
 
     @Test
-    fun `the deploy file says how to build and to run`() {
+    fun `the deployment file has a build and a run command`() {
         val lines = File("deploy/service.toml").readLines().filter(String::isNotBlank)
         assertEquals(listOf("build", "run"), lines.map { it.substringBefore(" = ") })
         val values = lines.map { it.substringAfter(" = ") }
--- a/src/test/kotlin/org/elderhitch/golden/GoldenStoreJobsTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenStoreJobsTest.kt
@@ -1,8 +1,8 @@
 package org.elderhitch.golden
 
-import org.elderhitch.golden.GoldenStoreValues.malformed
-import org.elderhitch.golden.GoldenStoreValues.of
-import org.elderhitch.golden.GoldenStoreValues.same
+import org.elderhitch.golden.GoldenStoreValues.assertMalformed
+import org.elderhitch.golden.GoldenStoreValues.assertMatchesSample
+import org.elderhitch.golden.GoldenStoreValues.parse
 import org.elderhitch.golden.GoldenStoreValues.stored
 import org.elderhitch.golden.GoldenStoreValues.text
 import org.elderhitch.jobs.CompletedTasks
@@ -22,91 +22,94 @@
 import kotlin.test.assertTrue
 import kotlin.time.Duration.Companion.seconds
 
-/** The bytes of job records, completed tasks, terminal records and holds in the state service. */
+/** The encodings of job records, completed tasks, terminal records and holds in the state service. */
 class GoldenStoreJobsTest {
     @Test
-    fun `a job record keeps its bytes with each optional field and without`() {
+    fun `a job record round-trips with every optional field and without any`() {
         val full = JobCodec.decode(stored("job-full"))
-        same("job-full", JobCodec.encode(full))
+        assertMatchesSample("job-full", JobCodec.encode(full))
         assertEquals(5000, full.tasks)
         assertEquals(listOf("g8", "g16"), full.types?.map { it.name })
         assertEquals(listOf("north", "req-000001"), listOf(full.zone?.name, full.repeatOf?.text))
         assertTrue(full.oneZone && full.spread && full.spotAllowed)
-        val spans = listOf(full.estimate, full.checkpointInterval, full.checkpointDuration)
-        assertEquals(listOf(90.5.seconds, 30.seconds, 2.5.seconds), spans)
+        val durations = listOf(full.estimate, full.checkpointInterval, full.checkpointDuration)
+        assertEquals(listOf(90.5.seconds, 30.seconds, 2.5.seconds), durations)
         assertEquals(3600.seconds, full.deadline)
-        same("job-least", JobCodec.encode(JobCodec.decode(stored("job-least"))))
+        assertMatchesSample("job-least", JobCodec.encode(JobCodec.decode(stored("job-least"))))
     }
 
     @Test
-    fun `a job record of an earlier version reads with the defaults`() {
+    fun `a job record of an earlier version is read with defaults`() {
         val earlier = JobCodec.decode(stored("job-earlier"))
-        same("job-least", JobCodec.encode(earlier))
+        assertMatchesSample("job-least", JobCodec.encode(earlier))
         assertFalse(earlier.oneZone || earlier.spread || earlier.spotAllowed)
         assertEquals(List(4) { null }, listOf(earlier.types, earlier.zone, earlier.deadline, earlier.repeatOf))
     }
 
     @Test
-    fun `a job record keeps what a feature adds behind its own fields`() {
+    fun `the fields that a feature adds follow a job record's own fields`() {
         val stored = stored("job-extra")
-        same("job-extra", JobCodec.encode(JobCodec.decode(stored)) + mapOf("drmaa" to stored.raw("drmaa")))
-        same("job-least", JobCodec.encode(JobCodec.decode(stored)))
+        assertMatchesSample(
+            "job-extra",
+            JobCodec.encode(JobCodec.decode(stored)) + mapOf("drmaa" to stored.raw("drmaa")),
+        )
+        assertMatchesSample("job-least", JobCodec.encode(JobCodec.decode(stored)))
     }
 
     @Test
-    fun `each kind and urgency of jobs keeps its word`() {
+    fun `each kind and urgency of jobs keeps its stored name`() {
         val least = text("job-least")
         for (kind in listOf("array", "gang", "daemon")) {
             val value = least.replace("\"lotKind\":\"daemon\"", "\"lotKind\":\"$kind\"")
-            assertEquals(value, Json.text(JobCodec.encode(JobCodec.decode(of(value)))))
+            assertEquals(value, Json.text(JobCodec.encode(JobCodec.decode(parse(value)))))
         }
         for (urgency in listOf("production", "urgent", "normal", "idle")) {
             val value = least.replace("\"urgency\":\"idle\"", "\"urgency\":\"$urgency\"")
-            assertEquals(value, Json.text(JobCodec.encode(JobCodec.decode(of(value)))))
+            assertEquals(value, Json.text(JobCodec.encode(JobCodec.decode(parse(value)))))
         }
     }
 
     @Test
-    fun `job records that are wrong are refused with the same words`() {
+    fun `malformed job records are rejected with the expected messages`() {
         val full = text("job-full")
-        fun refused(message: String, from: String, to: String) {
+        fun assertRejected(message: String, from: String, to: String) {
             assertTrue(from in full, from)
-            malformed(message) { JobCodec.decode(of(full.replace(from, to))) }
+            assertMalformed(message) { JobCodec.decode(parse(full.replace(from, to))) }
         }
-        refused("crates: not from 1 to 100000", "\"crates\":5000", "\"crates\":0")
-        refused("crates: not from 1 to 100000", "\"crates\":5000", "\"crates\":100001")
-        refused("crates: not an integer in range", "\"crates\":5000", "\"crates\":99999999999999999999")
-        refused("crates: not an integer in range", "\"crates\":5000", "\"crates\":\"5000\"")
-        refused("crates: missing", "\"crates\":5000", "\"crates\":null")
-        refused("cores: out of range", "\"cores\":4.0", "\"cores\":-1")
-        refused("cores: out of range", "\"cores\":4.0", "\"cores\":1e16")
-        refused("memGb: not a number", "\"memGb\":16.0", "\"memGb\":true")
-        refused("lotKind: unknown", "\"array\"", "\"ring\"")
-        refused("urgency: unknown", "\"urgent\"", "\"HIGH\"")
-        refused("id: not of the form req-000412", "req-000412", "412")
-        refused("repeatOf: not of the form req-000412", "req-000001", "1")
-        refused("rigs: not a list", "[\"g8\",\"g16\"]", "\"g8\"")
-        refused("rigs: holds something that is no string", "[\"g8\",\"g16\"]", "[8]")
-        refused("hall: empty or over 200 characters", "\"north\"", "\"\"")
-        refused("samePlace: not true or false", "\"samePlace\":true", "\"samePlace\":1")
-        assertFailsWith<MalformedJson> { of(full.dropLast(1)) }
-        same("job-full", JobCodec.encode(JobCodec.decode(of(full.dropLast(1) + ",\"newer\":[1]}"))))
+        assertRejected("crates: not from 1 to 100000", "\"crates\":5000", "\"crates\":0")
+        assertRejected("crates: not from 1 to 100000", "\"crates\":5000", "\"crates\":100001")
+        assertRejected("crates: not an integer in range", "\"crates\":5000", "\"crates\":99999999999999999999")
+        assertRejected("crates: not an integer in range", "\"crates\":5000", "\"crates\":\"5000\"")
+        assertRejected("crates: missing", "\"crates\":5000", "\"crates\":null")
+        assertRejected("cores: out of range", "\"cores\":4.0", "\"cores\":-1")
+        assertRejected("cores: out of range", "\"cores\":4.0", "\"cores\":1e16")
+        assertRejected("memGb: not a number", "\"memGb\":16.0", "\"memGb\":true")
+        assertRejected("lotKind: unknown", "\"array\"", "\"ring\"")
+        assertRejected("urgency: unknown", "\"urgent\"", "\"HIGH\"")
+        assertRejected("id: not of the form req-000412", "req-000412", "412")
+        assertRejected("repeatOf: not of the form req-000412", "req-000001", "1")
+        assertRejected("rigs: not a list", "[\"g8\",\"g16\"]", "\"g8\"")
+        assertRejected("rigs: holds something that is no string", "[\"g8\",\"g16\"]", "[8]")
+        assertRejected("hall: empty or over 200 characters", "\"north\"", "\"\"")
+        assertRejected("samePlace: not true or false", "\"samePlace\":true", "\"samePlace\":1")
+        assertFailsWith<MalformedJson> { parse(full.dropLast(1)) }
+        assertMatchesSample("job-full", JobCodec.encode(JobCodec.decode(parse(full.dropLast(1) + ",\"newer\":[1]}"))))
     }
 
-    private fun finished(name: String, block: Int, tasks: Int = 5000): CompletedTasks {
-        val finished = CompletedTasks(tasks)
-        assertTrue(finished.unpack(block, stored(name).string("f")), name)
-        same(name, mapOf("f" to finished.pack(block)))
-        return finished
+    private fun assertBlockRoundTrip(name: String, block: Int, tasks: Int = 5000): CompletedTasks {
+        val completed = CompletedTasks(tasks)
+        assertTrue(completed.unpack(block, stored(name).string("f")), name)
+        assertMatchesSample(name, mapOf("f" to completed.pack(block)))
+        return completed
     }
 
     @Test
-    fun `finished blocks keep their bytes as ranges and as a bitmap`() {
-        assertEquals(10, finished("finished-ranges", 0).count)
-        assertEquals(904, finished("finished-last-block", 1).count)
-        assertTrue(4999 in finished("finished-last-block", 1))
-        assertEquals(0, finished("finished-none", 0).count)
-        val bitmap = finished("finished-bitmap", 0)
+    fun `blocks of completed tasks round-trip as ranges and as a bitmap`() {
+        assertEquals(10, assertBlockRoundTrip("finished-ranges", 0).count)
+        assertEquals(904, assertBlockRoundTrip("finished-last-block", 1).count)
+        assertTrue(4999 in assertBlockRoundTrip("finished-last-block", 1))
+        assertEquals(0, assertBlockRoundTrip("finished-none", 0).count)
+        val bitmap = assertBlockRoundTrip("finished-bitmap", 0)
         assertEquals(2048, bitmap.count)
         assertTrue(0 in bitmap && 1 !in bitmap && 4094 in bitmap)
         assertEquals(685, stored("finished-bitmap").string("f").length)
@@ -114,12 +117,12 @@
     }
 
     @Test
-    fun `finished blocks that are wrong add nothing`() {
-        val wrong = listOf("x", "-1", "5-3", "0-4096", "0-", "0,", "0-1-2", "b*", "b=", "99999999999", " 1")
-        for (value in wrong) {
-            val finished = CompletedTasks(5000)
-            assertFalse(finished.unpack(0, value), value)
-            assertEquals(0, finished.count, value)
+    fun `malformed blocks of completed tasks add nothing`() {
+        val malformed = listOf("x", "-1", "5-3", "0-4096", "0-", "0,", "0-1-2", "b*", "b=", "99999999999", " 1")
+        for (value in malformed) {
+            val completed = CompletedTasks(5000)
+            assertFalse(completed.unpack(0, value), value)
+            assertEquals(0, completed.count, value)
         }
         assertFalse(CompletedTasks(5000).unpack(1, "904"))
         assertFalse(CompletedTasks(5000).unpack(2, "0"))
@@ -127,9 +130,9 @@
     }
 
     @Test
-    fun `an ending keeps its bytes with and without an account`() {
+    fun `a terminal record round-trips with and without an account`() {
         for (name in listOf("end-account", "end-account-unseen", "end-no-account")) {
-            same(name, assertNotNull(TerminalRecord.decode(stored(name))).encode())
+            assertMatchesSample(name, assertNotNull(TerminalRecord.decode(stored(name))).encode())
         }
         val account = assertNotNull(TerminalRecord.decode(stored("end-account"))?.account)
         assertEquals(listOf(5003L, 3L), listOf(account.attempts, account.lost))
@@ -141,41 +144,41 @@
     }
 
     @Test
-    fun `endings that are wrong read as none`() {
-        val wrong = listOf(
+    fun `malformed terminal records are not decoded`() {
+        val malformed = listOf(
             "{}", "{\"end\":\"eaten\",\"done\":0}", "{\"end\":\"DONE\",\"done\":0}", "{\"end\":1,\"done\":0}",
             "{\"end\":\"done\"}",
             "{\"end\":\"done\",\"done\":-1}", "{\"end\":\"done\",\"done\":\"1\"}", "{\"end\":\"done\",\"done\":1.5}",
             "{\"end\":\"done\",\"done\":99999999999999999999}", "{\"end\":\"done\",\"done\":1,\"acct\":[]}",
             "{\"end\":\"done\",\"done\":1,\"acct\":{}}", text("end-account").replace("\"least\":false", "\"least\":0"),
         )
-        for (value in wrong) assertNull(TerminalRecord.decode(of(value)), value)
-        assertEquals(1, TerminalRecord.decode(of("{\"end\":\"done\",\"done\":1,\"newer\":true}"))?.done)
-        val large = of("{\"end\":\"done\",\"done\":4294967296}")
+        for (value in malformed) assertNull(TerminalRecord.decode(parse(value)), value)
+        assertEquals(1, TerminalRecord.decode(parse("{\"end\":\"done\",\"done\":1,\"newer\":true}"))?.done)
+        val large = parse("{\"end\":\"done\",\"done\":4294967296}")
         assertEquals(0, TerminalRecord.decode(large)?.done, "only the low 32 bits are kept")
     }
 
     @Test
-    fun `holds keep their bytes and words`() {
+    fun `holds round-trip and keep their stored names`() {
         val kinds = mapOf(
             "user" to HoldKind.USER,
             "suspended" to HoldKind.SUSPENDED,
             "attempts" to HoldKind.ATTEMPTS,
             "released" to HoldKind.RELEASED,
         )
-        for ((word, kind) in kinds) {
-            val hold = assertNotNull(JobHold.decode(stored("hold-$word"), Revision(7)))
+        for ((name, kind) in kinds) {
+            val hold = assertNotNull(JobHold.decode(stored("hold-$name"), Revision(7)))
             assertEquals(kind, hold.kind)
             assertEquals("told so", hold.reason)
             assertEquals(Revision(7), hold.version)
-            same("hold-$word", hold.encode())
+            assertMatchesSample("hold-$name", hold.encode())
         }
         assertEquals(300, JobHold.of(HoldKind.USER, "x".repeat(301)).reason.length)
     }
 
     @Test
-    fun `holds that are wrong read as none`() {
-        val wrong = listOf(
+    fun `malformed holds are not decoded`() {
+        val malformed = listOf(
             "{}",
             "{\"hold\":\"user\"}",
             "{\"hold\":\"USER\",\"why\":\"\"}",
@@ -183,7 +186,7 @@
             "{\"hold\":\"user\",\"why\":1}",
             "{\"hold\":\"other\",\"why\":\"\"}",
         )
-        for (value in wrong) assertNull(JobHold.decode(of(value), Revision(1)), value)
-        assertNotNull(JobHold.decode(of("{\"hold\":\"user\",\"why\":\"\",\"newer\":1}"), Revision(1)))
+        for (value in malformed) assertNull(JobHold.decode(parse(value), Revision(1)), value)
+        assertNotNull(JobHold.decode(parse("{\"hold\":\"user\",\"why\":\"\",\"newer\":1}"), Revision(1)))
     }
 }
--- a/src/test/kotlin/org/elderhitch/golden/GoldenStoreKeysTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenStoreKeysTest.kt
@@ -12,38 +12,38 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertNull
 
-/** The texts of the keys in the state service, and what each key is read as. */
+/** The format of the keys in the state service, and how each key is parsed. */
 class GoldenStoreKeysTest {
-    private val id = JobId("req-000412")
+    private val job = JobId("req-000412")
 
     @Test
-    fun `keys keep their texts`() {
+    fun `keys have a fixed format`() {
         assertEquals(listOf("v/", "v/a/"), listOf(Keys.ALL, Keys.OPEN))
         assertEquals(listOf("v/a/term", "v/a/leader"), listOf(Keys.TERM, Keys.LEADER))
         assertEquals(listOf("v/a/types", "v/a/images"), listOf(Keys.TYPES, Keys.IMAGES))
-        assertEquals("v/a/job/req-000412", Keys.job(id))
-        assertEquals("v/z/end/req-000412", Keys.terminalRecord(id))
-        assertEquals("v/a/fin/req-000412/3", Keys.completedTasks(id, 3))
+        assertEquals("v/a/job/req-000412", Keys.job(job))
+        assertEquals("v/z/end/req-000412", Keys.terminalRecord(job))
+        assertEquals("v/a/fin/req-000412/3", Keys.completedTasks(job, 3))
         assertEquals("v/a/fin/req-0", Keys.completedTasksPrefix("req-0"))
-        assertEquals("v/a/hold/req-000412", Keys.hold(id))
+        assertEquals("v/a/hold/req-000412", Keys.hold(job))
         assertEquals("v/a/hire/r-42-0", Keys.provisioningIntent("r-42-0"))
     }
 
     @Test
-    fun `each key says what it holds`() {
+    fun `each key is parsed to its kind`() {
         assertEquals(StoredKey.TermCounter, Keys.parse("v/a/term"))
         assertEquals(StoredKey.Leader, Keys.parse("v/a/leader"))
-        assertEquals(StoredKey.Job(id), Keys.parse("v/a/job/req-000412"))
-        assertEquals(StoredKey.TerminalRecord(id), Keys.parse("v/z/end/req-000412"))
-        assertEquals(StoredKey.CompletedTasks(id, 3), Keys.parse("v/a/fin/req-000412/3"))
-        assertEquals(StoredKey.CompletedTasks(id, -1), Keys.parse("v/a/fin/req-000412/-1"))
-        assertEquals(StoredKey.JobHold(id), Keys.parse("v/a/hold/req-000412"))
+        assertEquals(StoredKey.Job(job), Keys.parse("v/a/job/req-000412"))
+        assertEquals(StoredKey.TerminalRecord(job), Keys.parse("v/z/end/req-000412"))
+        assertEquals(StoredKey.CompletedTasks(job, 3), Keys.parse("v/a/fin/req-000412/3"))
+        assertEquals(StoredKey.CompletedTasks(job, -1), Keys.parse("v/a/fin/req-000412/-1"))
+        assertEquals(StoredKey.JobHold(job), Keys.parse("v/a/hold/req-000412"))
         assertEquals(StoredKey.ProvisioningIntent("r-42-0"), Keys.parse("v/a/hire/r-42-0"))
         assertEquals(StoredKey.ProvisioningIntent(""), Keys.parse("v/a/hire/"))
     }
 
     @Test
-    fun `keys that are malformed or of others hold nothing`() {
+    fun `keys that are malformed or foreign are not parsed`() {
         val keys = listOf(
             "", "v/a/", "v/a/types", "v/a/images", "v/a/terms", "v/a/job/", "v/a/job/412",
             "v/a/job/req-", "v/a/job/req-1/0",
--- a/src/test/kotlin/org/elderhitch/golden/GoldenStoreLeadershipTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenStoreLeadershipTest.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.test.TestScope
 import kotlinx.coroutines.test.runTest
-import org.elderhitch.golden.GoldenStoreValues.of
+import org.elderhitch.golden.GoldenStoreValues.parse
 import org.elderhitch.golden.GoldenStoreValues.stored
 import org.elderhitch.golden.GoldenStoreValues.text
 import org.elderhitch.json.MalformedJson
@@ -20,12 +20,12 @@
 import kotlin.test.assertNull
 import kotlin.time.Duration.Companion.seconds
 
-/** The bytes of the term counter and of the leader in the state service. */
+/** The encodings of the term counter and of the leader in the state service. */
 class GoldenStoreLeadershipTest {
     @Test
-    fun `a claim writes the counter and the leader in the same bytes`() = runTest {
+    fun `a claim writes the counter and the leader in their fixed encoding`() = runTest {
         val node = GoldenStoreNode(this)
-        node.counter(stored("term-before"))
+        node.storeTermCounter(stored("term-before"))
         node.claim()
         val leadership = assertIs<LeadershipState.Leader>(node.leadership.leadershipState.value)
         assertEquals(Term(42), leadership.term)
@@ -38,9 +38,9 @@
     }
 
     @Test
-    fun `a counter of an earlier version names no former leader`() = runTest {
+    fun `a counter of an earlier version names no previous leader`() = runTest {
         val node = GoldenStoreNode(this)
-        node.counter(stored("term-earlier"))
+        node.storeTermCounter(stored("term-earlier"))
         node.claim()
         val leadership = assertIs<LeadershipState.Leader>(node.leadership.leadershipState.value)
         assertEquals(Term(42), leadership.term)
@@ -49,24 +49,24 @@
     }
 
     @Test
-    fun `an absent or empty counter counts from nothing`() = runTest {
-        for (value in listOf(null, of("{\"newer\":1}"))) {
+    fun `an absent or empty counter starts from zero`() = runTest {
+        for (value in listOf(null, parse("{\"newer\":1}"))) {
             val node = GoldenStoreNode(this)
-            value?.let(node::counter)
+            value?.let(node::storeTermCounter)
             node.claim()
             assertEquals(Term(1), assertIs<LeadershipState.Leader>(node.leadership.leadershipState.value).term)
         }
     }
 
     @Test
-    fun `nobody claims over a counter that is wrong`() = runTest {
+    fun `no claim succeeds over a malformed counter`() = runTest {
         for ((value, message) in mapOf(
             "{\"n\":\"41\"}" to "n: not an integer in range",
             "{\"n\":99999999999999999999}" to "n: not an integer in range",
             "{\"n\":41,\"node\":2}" to "node: not a string",
         )) {
             val node = GoldenStoreNode(this)
-            node.counter(of(value))
+            node.storeTermCounter(parse(value))
             node.claim()
             assertIs<LeadershipState.Follower>(node.leadership.leadershipState.value)
             val failure = assertIs<MalformedJson>(node.failures.first())
@@ -74,24 +74,27 @@
         }
     }
 
-    private suspend fun TestScope.followed(value: String): LeadershipState {
+    private suspend fun TestScope.stateAfterObserving(value: String): LeadershipState {
         val node = GoldenStoreNode(this)
         node.state.down = true
-        val seen = of(value)
-        node.leadership.tell(LeadershipMessage.LeaderObserved(Entry(Keys.LEADER, seen, Revision(5))))
+        val leader = parse(value)
+        node.leadership.tell(LeadershipMessage.LeaderObserved(Entry(Keys.LEADER, leader, Revision(5))))
         delay(1.seconds)
         return node.leadership.leadershipState.value
     }
 
     @Test
-    fun `the leader key is read as it was, and counts as absent if it is wrong`() = runTest {
+    fun `the leader key is decoded, and counts as absent if it is malformed`() = runTest {
         val leader = text("leader").replace("n1", "n2")
-        assertEquals(LeadershipState.Follower(NodeName("n2"), Term(42)), followed(leader))
-        assertEquals(LeadershipState.Follower(NodeName("n2"), Term(42)), followed(leader.replace("}", ",\"newer\":1}")))
-        val changed = listOf("42" to "\"42\"", "\"run\"" to "\"go\"", "\"n2\"" to "2")
+        assertEquals(LeadershipState.Follower(NodeName("n2"), Term(42)), stateAfterObserving(leader))
+        assertEquals(
+            LeadershipState.Follower(NodeName("n2"), Term(42)),
+            stateAfterObserving(leader.replace("}", ",\"newer\":1}")),
+        )
+        val malformed = listOf("42" to "\"42\"", "\"run\"" to "\"go\"", "\"n2\"" to "2")
             .map { leader.replace(it.first, it.second) }
-        for (wrong in changed + "{}") {
-            assertEquals(LeadershipState.Follower(null, Term.NONE), followed(wrong), wrong)
+        for (corrupted in malformed + "{}") {
+            assertEquals(LeadershipState.Follower(null, Term.NONE), stateAfterObserving(corrupted), corrupted)
         }
     }
 }
--- a/src/test/kotlin/org/elderhitch/golden/GoldenStoreNode.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenStoreNode.kt
@@ -35,8 +35,8 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** The state service and the cloud of a [GoldenStoreNode]: the cloud only lists the machine types [flavors]. */
-private class Net(private val state: StateStandIn, private val flavors: String) : Transport {
+/** Connects a [GoldenStoreNode] to its state service and to a cloud that only answers with the [machineTypes]. */
+private class ServicesTransport(private val state: StateStandIn, private val machineTypes: String) : Transport {
     override suspend fun call(
         to: Address,
         method: String,
@@ -44,7 +44,7 @@
         body: ByteArray?,
         timeout: Duration,
     ): Response {
-        if (target == "/flavors") return Response(200, flavors.encodeToByteArray())
+        if (target == "/flavors") return Response(200, machineTypes.encodeToByteArray())
         val message = Message("$method $target HTTP/1.1", emptyMap(), body ?: ByteArray(0), true)
         return state.handle(MessageParser.request(message))
     }
@@ -59,31 +59,33 @@
     ): Delivery = Delivery.Answered(call(to, method, target, body, timeout))
 }
 
-/** One node in virtual time that claims the leadership and refreshes the catalog, with its state service. */
+/** A node in virtual time, with its state service, that claims leadership and refreshes the machine type catalog. */
 @OptIn(ExperimentalCoroutinesApi::class)
 internal class GoldenStoreNode(test: TestScope) {
     private val clock = SteadyClock { MonotonicInstant(test.currentTime * 1_000_000) }
     val state = StateStandIn(clock)
-    private val net = Net(state, text("types-full"))
-    private val client = TestStateClient.of(net, clock)
+    private val transport = ServicesTransport(state, text("types-full"))
+    private val client = TestStateClient.of(transport, clock)
     val failures = ArrayList<Throwable>()
     private val scope = CoroutineScope(
         test.backgroundScope.coroutineContext + SupervisorJob(test.backgroundScope.coroutineContext[Job]) +
-            CoroutineExceptionHandler { _, e -> failures.add(e) },
+            CoroutineExceptionHandler { _, failure -> failures.add(failure) },
     )
-    private val times = LeadershipTimeouts.of(WorkerTimeouts(1.seconds, 11.seconds, 45.seconds, 5.seconds, 41.seconds))
-    private val ones = object : Random() {
+    private val timeouts = LeadershipTimeouts.of(
+        WorkerTimeouts(1.seconds, 11.seconds, 45.seconds, 5.seconds, 41.seconds),
+    )
+    private val fixedRandom = object : Random() {
         override fun nextBits(bitCount: Int) = 1
     }
     val leadership =
-        Leadership(scope, NodeName("n1"), Incarnation("run-1"), client, times, clock, ones).apply { start() }
+        Leadership(scope, NodeName("n1"), Incarnation("run-1"), client, timeouts, clock, fixedRandom).apply { start() }
     val catalogs = ArrayList<Catalog>()
-    private val cloud = CloudClient(net, Address("cloud:1"), RequestRateLimiter(clock, 10.0))
-    val jobProvider = CatalogRefresher(scope, cloud, client, 8192, { true }) {
+    private val cloud = CloudClient(transport, Address("cloud:1"), RequestRateLimiter(clock, 10.0))
+    val catalogRefresher = CatalogRefresher(scope, cloud, client, 8192, { true }) {
         catalogs.add(it)
     }
 
-    fun counter(value: JsonObject) = state.overwrite(Keys.TERM, value.names.associateWith(value::raw))
+    fun storeTermCounter(value: JsonObject) = state.overwrite(Keys.TERM, value.names.associateWith(value::raw))
 
     suspend fun claim() {
         leadership.tell(LeadershipMessage.LeaderObserved(null))
--- a/src/test/kotlin/org/elderhitch/golden/GoldenStoreValues.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenStoreValues.kt
@@ -6,18 +6,18 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertFailsWith
 
-/** Stored values of the golden samples under `store/`, and how they are compared. */
+/** The golden samples of stored values under `store/`, and assertions on them. */
 internal object GoldenStoreValues {
     fun text(name: String) = GoldenFiles.text("store/$name.json")
 
     fun stored(name: String) = Json.parseObject(GoldenFiles.bytes("store/$name.json"))
 
-    fun of(text: String) = Json.parseObject(text.encodeToByteArray())
+    fun parse(text: String) = Json.parseObject(text.encodeToByteArray())
 
-    fun same(name: String, value: Map<String, Any?>) = assertEquals(text(name), Json.text(value), name)
+    fun assertMatchesSample(name: String, value: Map<String, Any?>) = assertEquals(text(name), Json.text(value), name)
 
     fun JsonObject.text() = Json.text(names.associateWith(::raw))
 
-    fun malformed(message: String, read: () -> Any?) =
+    fun assertMalformed(message: String, read: () -> Any?) =
         assertEquals(message, assertFailsWith<MalformedJson> { read() }.message)
 }
--- a/src/test/kotlin/org/elderhitch/golden/GoldenSweepsTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenSweepsTest.kt
@@ -40,14 +40,14 @@
     private fun assertBytes(name: String, value: Any?) =
         assertEquals(GoldenFiles.text("sweeps/$name"), Json.bytes(value).decodeToString(), name)
 
-    private fun malformed(says: String, read: () -> Unit) =
-        assertEquals(says, assertFailsWith<MalformedJson>(says) { read() }.message)
+    private fun assertMalformed(message: String, read: () -> Unit) =
+        assertEquals(message, assertFailsWith<MalformedJson>(message) { read() }.message)
 
-    private fun refused(says: String, read: () -> Unit) =
-        assertEquals(says, assertFailsWith<BadTemplate>(says) { read() }.message)
+    private fun assertRejected(message: String, read: () -> Unit) =
+        assertEquals(message, assertFailsWith<BadTemplate>(message) { read() }.message)
 
     @Test
-    fun `keys and points' ids keep their shapes, there and back`() {
+    fun `keys and the ids of points have a fixed format and are parsed back`() {
         assertEquals("v/a/sweeps/lakes2024/m", SweepKeys.manifest(id))
         assertEquals("v/a/sweeps/lakes2024/b/24", SweepKeys.block(id, 24))
         assertEquals("v/sweeps/p/lakes2024/511", SweepKeys.part(id, 511))
@@ -73,7 +73,7 @@
     }
 
     @Test
-    fun `a manifest is the same again, with and without skipped points`() {
+    fun `a manifest round-trips with and without skipped points`() {
         val full = Manifest.decode(file("manifest-full.json"))
         assertEquals(listOf(5000, 2), listOf(full.points, full.parts))
         assertEquals(listOf("1f2e3d", "team one", "score"), listOf(full.sum, full.team, full.jobClass))
@@ -82,33 +82,33 @@
         val state = SweepState(id, full, Revision(1))
         assertEquals(listOf(1, 2, 3, 9, 4103), (0 until 5000).filter { state.endOf(it) == PointEnd.SKIPPED })
         assertBytes("manifest-full.json", full.encode())
-        val least = Manifest.decode(file("manifest-least.json"))
-        assertEquals(emptyMap(), least.skipped)
-        assertBytes("manifest-least.json", least.encode())
+        val minimal = Manifest.decode(file("manifest-least.json"))
+        assertEquals(emptyMap(), minimal.skipped)
+        assertBytes("manifest-least.json", minimal.encode())
     }
 
     @Test
-    fun `a manifest that nobody wrote so is refused`() {
-        fun with(change: String, points: Any = 1, parts: Any = 1) =
-            json("""{"points":$points,"parts":$parts,"sum":"0","team":"t","class":"c","at":0$change}""")
-        val more = Manifest.decode(with(""","colour":"red""""))
-        assertEquals(1, more.points, "needs isn't looked at, nor what is unknown")
-        malformed("points: missing") { Manifest.decode(json("{}")) }
-        malformed("points: negative") { Manifest.decode(with("", points = -1)) }
-        malformed("points: not an integer in range") { Manifest.decode(with("", points = "\"5\"")) }
-        malformed("points, parts: out of range") { Manifest.decode(with("", points = 100_001)) }
-        malformed("points, parts: out of range") { Manifest.decode(with("", parts = 513)) }
-        malformed("skip: not an object") { Manifest.decode(with(""","skip":"0"""")) }
-        malformed("skip: no block") { Manifest.decode(with(""","skip":{"x":"0"}""")) }
-        malformed("0: not a string") { Manifest.decode(with(""","skip":{"0":5}""")) }
-        malformed("sum: missing") { Manifest.decode(json("""{"points":1,"parts":1}""")) }
-        malformed("skip: block 1 is none of ours") {
-            SweepState(id, Manifest.decode(with(""","skip":{"1":"0"}""")), Revision(1))
+    fun `malformed manifests are rejected with the expected messages`() {
+        fun manifest(extraFields: String, points: Any = 1, parts: Any = 1) =
+            json("""{"points":$points,"parts":$parts,"sum":"0","team":"t","class":"c","at":0$extraFields}""")
+        val extended = Manifest.decode(manifest(""","colour":"red""""))
+        assertEquals(1, extended.points, "a missing `needs` and unknown fields are accepted")
+        assertMalformed("points: missing") { Manifest.decode(json("{}")) }
+        assertMalformed("points: negative") { Manifest.decode(manifest("", points = -1)) }
+        assertMalformed("points: not an integer in range") { Manifest.decode(manifest("", points = "\"5\"")) }
+        assertMalformed("points, parts: out of range") { Manifest.decode(manifest("", points = 100_001)) }
+        assertMalformed("points, parts: out of range") { Manifest.decode(manifest("", parts = 513)) }
+        assertMalformed("skip: not an object") { Manifest.decode(manifest(""","skip":"0"""")) }
+        assertMalformed("skip: no block") { Manifest.decode(manifest(""","skip":{"x":"0"}""")) }
+        assertMalformed("0: not a string") { Manifest.decode(manifest(""","skip":{"0":5}""")) }
+        assertMalformed("sum: missing") { Manifest.decode(json("""{"points":1,"parts":1}""")) }
+        assertMalformed("skip: block 1 is none of ours") {
+            SweepState(id, Manifest.decode(manifest(""","skip":{"1":"0"}""")), Revision(1))
         }
     }
 
     @Test
-    fun `blocks are the same again, as ranges and as a bitmap`() {
+    fun `blocks round-trip as ranges and as a bitmap`() {
         for (name in listOf("block-full.json", "block-empty.json", "block-bitmap.json")) {
             assertBytes(name, Block.decode(0, 5000, file(name), Revision(3)).encode())
         }
@@ -120,20 +120,20 @@
     }
 
     @Test
-    fun `a block that nobody wrote so is refused`() {
-        fun read(text: String) = Block.decode(1, 5000, json(text), Revision(3))
+    fun `malformed blocks are rejected with the expected messages`() {
+        fun block(text: String) = Block.decode(1, 5000, json(text), Revision(3))
         val work = GoldenFiles.text("sweeps/work-none.json")
-        assertEquals(1, read("""{"d":"903","w":"","work":$work,"colour":1}""").doneCount)
-        malformed("a block's points are none of its") { read("""{"d":"904","w":"","work":$work}""") }
-        malformed("a block's points are none of its") { read("""{"d":"","w":"b!","work":$work}""") }
-        malformed("a block's points are none of its") { read("""{"d":"3-","w":"","work":$work}""") }
-        malformed("d: missing") { read("""{"w":"","work":$work}""") }
-        malformed("w: not a string") { read("""{"d":"","w":1,"work":$work}""") }
-        malformed("work: missing") { read("""{"d":"","w":""}""") }
+        assertEquals(1, block("""{"d":"903","w":"","work":$work,"colour":1}""").doneCount)
+        assertMalformed("a block's points are none of its") { block("""{"d":"904","w":"","work":$work}""") }
+        assertMalformed("a block's points are none of its") { block("""{"d":"","w":"b!","work":$work}""") }
+        assertMalformed("a block's points are none of its") { block("""{"d":"3-","w":"","work":$work}""") }
+        assertMalformed("d: missing") { block("""{"w":"","work":$work}""") }
+        assertMalformed("w: not a string") { block("""{"d":"","w":1,"work":$work}""") }
+        assertMalformed("work: missing") { block("""{"d":"","w":""}""") }
     }
 
     @Test
-    fun `work is the same again, and made of accounts as before`() {
+    fun `work statistics round-trip and are built from job accounts`() {
         assertBytes("work-none.json", Work.decode(file("work-none.json")).encode())
         assertBytes("work-none.json", Work.NONE.encode())
         val full = Work.decode(file("work-full.json"))
@@ -143,29 +143,29 @@
         assertBytes("work-full.json", full.encode())
         fun account(tries: Long, useful: Double, lower: Boolean) =
             JobAccount(TeamName("t"), "c", tries, 1, useful, 1.75, null, WallTime(0), lower)
-        val made = Work.NONE.with(listOf(null, account(2, 2.5, false), account(4, 40.0, true)))
-        assertBytes("work-full.json", made.encode())
+        val built = Work.NONE.with(listOf(null, account(2, 2.5, false), account(4, 40.0, true)))
+        assertBytes("work-full.json", built.encode())
     }
 
     @Test
-    fun `work that nobody wrote so is refused`() {
-        val rest = """"tries":0,"lost":0,"useful":0.0,"wasted":0,"least":0"""
+    fun `malformed work statistics are rejected with the expected messages`() {
+        val otherFields = """"tries":0,"lost":0,"useful":0.0,"wasted":0,"least":0"""
         val hist = file("work-full.json").string("hist")
-        assertEquals(2, Work.decode(json("""{"n":2,$rest,"colour":1}""")).completed)
-        malformed("n: missing") { Work.decode(json("{$rest}")) }
-        malformed("n: negative") { Work.decode(json("""{"n":-1,$rest}""")) }
-        malformed("n: not an integer in range") { Work.decode(json("""{"n":1.5,$rest}""")) }
-        malformed("hist: not a string") { Work.decode(json("""{"n":1,$rest,"hist":5}""")) }
-        malformed("hist: none of ours") { Work.decode(json("""{"n":1,$rest,"hist":"!"}""")) }
-        malformed("hist: cut short") { Work.decode(json("""{"n":1,$rest,"hist":""}""")) }
-        malformed("hist: cut short") { Work.decode(json("""{"n":1,$rest,"hist":"${hist.take(8)}"}""")) }
-        malformed("useful: out of range") {
+        assertEquals(2, Work.decode(json("""{"n":2,$otherFields,"colour":1}""")).completed)
+        assertMalformed("n: missing") { Work.decode(json("{$otherFields}")) }
+        assertMalformed("n: negative") { Work.decode(json("""{"n":-1,$otherFields}""")) }
+        assertMalformed("n: not an integer in range") { Work.decode(json("""{"n":1.5,$otherFields}""")) }
+        assertMalformed("hist: not a string") { Work.decode(json("""{"n":1,$otherFields,"hist":5}""")) }
+        assertMalformed("hist: none of ours") { Work.decode(json("""{"n":1,$otherFields,"hist":"!"}""")) }
+        assertMalformed("hist: cut short") { Work.decode(json("""{"n":1,$otherFields,"hist":""}""")) }
+        assertMalformed("hist: cut short") { Work.decode(json("""{"n":1,$otherFields,"hist":"${hist.take(8)}"}""")) }
+        assertMalformed("useful: out of range") {
             Work.decode(json("""{"n":1,"tries":0,"lost":0,"useful":-1,"wasted":0,"least":0}"""))
         }
     }
 
     @Test
-    fun `points are the same again, of a grid and of a table`() {
+    fun `points round-trip as a grid and as a table`() {
         for (name in listOf("points-grid.json", "points-table.json")) {
             assertBytes(name, Points.decode(file(name)).encode())
         }
@@ -181,23 +181,23 @@
     }
 
     @Test
-    fun `points that nobody wrote so are refused`() {
-        refused("points: neither a grid nor a table") { Points.decode(json("{}")) }
-        refused("points.grid: has no axis") { Points.decode(json("""{"grid":{}}""")) }
-        refused("points.grid.a: empty") { Points.decode(json("""{"grid":{"a":[]}}""")) }
-        refused("points.grid.a: must be a list, or a range like \"0.1 .. 0.9 step 0.1\"") {
+    fun `malformed points are rejected with the expected messages`() {
+        assertRejected("points: neither a grid nor a table") { Points.decode(json("{}")) }
+        assertRejected("points.grid: has no axis") { Points.decode(json("""{"grid":{}}""")) }
+        assertRejected("points.grid.a: empty") { Points.decode(json("""{"grid":{"a":[]}}""")) }
+        assertRejected("points.grid.a: must be a list, or a range like \"0.1 .. 0.9 step 0.1\"") {
             Points.decode(json("""{"grid":{"a":5}}"""))
         }
-        refused("points.grid: more than 100000 points") {
+        assertRejected("points.grid: more than 100000 points") {
             Points.decode(json("""{"grid":{"a":"1 .. 1000","b":"1 .. 101"}}"""))
         }
-        refused("rows: missing") { Points.decode(json("""{"columns":["a"]}""")) }
-        refused("columns: a stands twice") { Points.decode(json("""{"columns":["a","a"],"rows":"1\t2\n"}""")) }
-        malformed("grid: not an object") { Points.decode(json("""{"grid":[]}""")) }
+        assertRejected("rows: missing") { Points.decode(json("""{"columns":["a"]}""")) }
+        assertRejected("columns: a stands twice") { Points.decode(json("""{"columns":["a","a"],"rows":"1\t2\n"}""")) }
+        assertMalformed("grid: not an object") { Points.decode(json("""{"grid":[]}""")) }
     }
 
     @Test
-    fun `a packed description has the same bytes and checksum`() {
+    fun `a packed description has a fixed encoding and checksum`() {
         val sums = mapOf("description-grid" to "a3309d3e60dff70c", "description-table" to "350c051c28650adb")
         for ((name, sum) in sums) {
             val packed = hex("$name.hex")
@@ -215,7 +215,7 @@
     }
 
     @Test
-    fun `a part's value holds the description in base64`() {
+    fun `the value of a part holds the description in base64`() {
         val part = file("part.json")
         assertEquals(listOf("data", "at"), part.names.toList())
         assertEquals(1_700_000_000_000, part.long("at"))
@@ -229,21 +229,23 @@
     }
 
     @Test
-    fun `a description may lack what has a default, and nothing else`() {
-        val least = Description.parse(json("""{"job":{"lotClass":"c"},"points":{"grid":{"a":[1]}}}"""))
-        assertEquals(listOf("refuse", 200), listOf(least.onBad.name.lowercase(), least.atOnce))
-        fun bad(fields: String) = Description.parse(json("""{"job":{},"points":{"grid":{"a":[1]}},$fields}"""))
-        refused("at_once: not from 1 to 5000") { bad(""""at_once":0""") }
-        refused("at_once: not from 1 to 5000") { bad(""""at_once":5001""") }
-        refused("at_once: not an integer in range") { bad(""""at_once":"5"""") }
-        refused("on_bad: cry is neither refuse nor skip") { bad(""""on_bad":"cry"""") }
-        refused("colour: unknown; known are [at_once, job, name, on_bad, params, points, seed, v]") {
-            bad(""""colour":1""")
+    fun `only description fields with a default are optional`() {
+        val minimal = Description.parse(json("""{"job":{"lotClass":"c"},"points":{"grid":{"a":[1]}}}"""))
+        assertEquals(listOf("refuse", 200), listOf(minimal.onBad.name.lowercase(), minimal.atOnce))
+        fun withField(extra: String) = Description.parse(json("""{"job":{},"points":{"grid":{"a":[1]}},$extra}"""))
+        assertRejected("at_once: not from 1 to 5000") { withField(""""at_once":0""") }
+        assertRejected("at_once: not from 1 to 5000") { withField(""""at_once":5001""") }
+        assertRejected("at_once: not an integer in range") { withField(""""at_once":"5"""") }
+        assertRejected("on_bad: cry is neither refuse nor skip") { withField(""""on_bad":"cry"""") }
+        assertRejected("colour: unknown; known are [at_once, job, name, on_bad, params, points, seed, v]") {
+            withField(""""colour":1""")
         }
-        refused("job: missing") { Description.parse(json("""{"points":{"grid":{"a":[1]}}}""")) }
-        refused("points: missing") { Description.parse(json("""{"job":{}}""")) }
+        assertRejected("job: missing") { Description.parse(json("""{"points":{"grid":{"a":[1]}}}""")) }
+        assertRejected("points: missing") { Description.parse(json("""{"job":{}}""")) }
         val packed = hex("description-grid.hex")
-        val torn = assertFailsWith<BadTemplate> { Description.unpack(packed.copyOf(packed.size / 2)) }.message.orEmpty()
-        assertTrue(torn.startsWith("the description "), torn)
+        val message = assertFailsWith<BadTemplate> {
+            Description.unpack(packed.copyOf(packed.size / 2))
+        }.message.orEmpty()
+        assertTrue(message.startsWith("the description "), message)
     }
 }
--- a/src/test/kotlin/org/elderhitch/golden/GoldenWorkerWireTest.kt
+++ b/src/test/kotlin/org/elderhitch/golden/GoldenWorkerWireTest.kt
@@ -33,11 +33,11 @@
         Command.Stop(TaskId(JobId("req-0612"), 1), Attempt(2), Duration.ZERO),
         Command.Reap(TaskId(JobId("req-0613"), 99_999), Attempt(4_294_967_296)),
     )
-    private val report = GoldenFiles.bytes("wire/checkin-full.json")
+    private val heartbeat = GoldenFiles.bytes("wire/checkin-full.json")
 
-    /** Answers each request with the next of [answers], and keeps what was sent. */
+    /** Answers the requests with the given answers in order, and records the requests. */
     private class Worker(vararg answers: Response) : Transport {
-        private val left = ArrayDeque(answers.toList())
+        private val remaining = ArrayDeque(answers.toList())
         val sent = ArrayList<String>()
 
         override suspend fun call(
@@ -57,16 +57,16 @@
             timeout: Duration,
         ): Delivery {
             sent.add("$method $target ${body?.decodeToString().orEmpty()}")
-            return Delivery.Answered(left.removeFirst())
+            return Delivery.Answered(remaining.removeFirst())
         }
     }
 
-    private suspend fun sent(answer: Response): CommandOutcome =
+    private suspend fun outcomeOf(answer: Response): CommandOutcome =
         WorkerClient(Worker(answer)).send(Address("10.4.2.17:9100"), Term(34), 6, commands) { true }
 
     @Test
-    fun `a report with every field is read`() {
-        val read = HeartbeatCodec.decode(report)
+    fun `a heartbeat with every field is read`() {
+        val read = HeartbeatCodec.decode(heartbeat)
         assertEquals("host-000907", read.machine.text)
         assertEquals("10.4.2.17:9100", read.address.text)
         assertEquals("k4", read.type.name)
@@ -94,7 +94,7 @@
     }
 
     @Test
-    fun `a report without optional fields is read, and null is as good as absent`() {
+    fun `a heartbeat without optional fields is read, and null counts as absent`() {
         val least = GoldenFiles.text("wire/checkin-least.json")
         val nulls = least.dropLast(1) + ",\"recallS\":null,\"crates\":null,\"later\":[{}]}"
         for (text in listOf(least, nulls)) {
@@ -108,8 +108,8 @@
     }
 
     @Test
-    fun `an exit without a cause, or with an unknown one, is an error`() {
-        val text = report.decodeToString()
+    fun `an exit without a known cause counts as an error`() {
+        val text = heartbeat.decodeToString()
         for (cause in listOf("", ",\"cause\":\"bored\"", ",\"cause\":null")) {
             val read = HeartbeatCodec.decode(text.replace(",\"cause\":\"done\"", cause).encodeToByteArray())
             assertEquals(ExitCause.ERROR, read.tasks[4].cause, cause)
@@ -117,13 +117,13 @@
     }
 
     @Test
-    fun `each bad report is refused with its words`() =
+    fun `malformed heartbeats are rejected with the expected messages`() =
         BadSamples.check("wire/checkin-full.json", "wire/checkin-bad.tsv") {
             assertFailsWith<MalformedJson>(it.decodeToString()) { HeartbeatCodec.decode(it) }.message.orEmpty()
         }
 
     @Test
-    fun `answers to reports have their bytes`() {
+    fun `answers to heartbeats have a fixed encoding`() {
         val full = HeartbeatCodec.encode(Term(34), commands).decodeToString()
         assertEquals(GoldenFiles.text("wire/checkin-answer.json"), full)
         val empty = HeartbeatCodec.encode(Term(1), emptyList()).decodeToString()
@@ -131,61 +131,61 @@
     }
 
     @Test
-    fun `commands to a worker's own address have their bytes`() = runTest {
-        val worker = Worker(Response(200, report), Response(200, report))
-        val line = WorkerClient(worker)
-        val outcome = line.send(Address("10.4.2.17:9100"), Term(34), 6, commands) { true }
+    fun `commands to a worker's own address have a fixed encoding`() = runTest {
+        val worker = Worker(Response(200, heartbeat), Response(200, heartbeat))
+        val client = WorkerClient(worker)
+        val outcome = client.send(Address("10.4.2.17:9100"), Term(34), 6, commands) { true }
         assertIs<CommandOutcome.Executed>(outcome)
         assertEquals("host-000907", outcome.heartbeat.machine.text)
-        line.send(Address("10.4.2.17:9100"), Term(34), 6, emptyList()) { true }
+        client.send(Address("10.4.2.17:9100"), Term(34), 6, emptyList()) { true }
         val bodies = listOf("do", "do-empty").map { "POST /do " + GoldenFiles.text("wire/$it.json") }
         assertEquals(bodies, worker.sent)
     }
 
     @Test
-    fun `each answer to commands has its meaning`() = runTest {
-        assertEquals(CommandOutcome.NotExecuted, sent(Response(409, report)))
-        assertEquals(CommandOutcome.NotExecuted, sent(Response(400, ByteArray(0))))
-        assertEquals(CommandOutcome.Unknown, sent(Response(503, ByteArray(0))))
-        assertEquals(CommandOutcome.Unknown, sent(Response(200, report.copyOf(50))))
-        assertEquals(CommandOutcome.Unknown, sent(Response(200, "[]".encodeToByteArray())))
+    fun `each answer to commands maps to an outcome`() = runTest {
+        assertEquals(CommandOutcome.NotExecuted, outcomeOf(Response(409, heartbeat)))
+        assertEquals(CommandOutcome.NotExecuted, outcomeOf(Response(400, ByteArray(0))))
+        assertEquals(CommandOutcome.Unknown, outcomeOf(Response(503, ByteArray(0))))
+        assertEquals(CommandOutcome.Unknown, outcomeOf(Response(200, heartbeat.copyOf(50))))
+        assertEquals(CommandOutcome.Unknown, outcomeOf(Response(200, "[]".encodeToByteArray())))
     }
 
     @Test
-    fun `a worker is asked, and told a token that it doesn't know`() = runTest {
-        val worker = Worker(Response(200, report), Response(200, report))
+    fun `a worker is probed, and told the term if it doesn't know it`() = runTest {
+        val worker = Worker(Response(200, heartbeat), Response(200, heartbeat))
         val outcome = WorkerClient(worker).probe(Address("10.4.2.17:9100"), Term(34)) { true }
         assertIs<CommandOutcome.Executed>(outcome)
         assertEquals(1207, outcome.heartbeat.sequence.number)
         assertEquals(listOf("GET /inspect ", "POST /do " + GoldenFiles.text("wire/do-empty.json")), worker.sent)
-        val knowing = Worker(Response(200, report))
-        WorkerClient(knowing).probe(Address("10.4.2.17:9100"), Term(33)) { true }
-        assertEquals(listOf("GET /inspect "), knowing.sent)
+        val upToDate = Worker(Response(200, heartbeat))
+        WorkerClient(upToDate).probe(Address("10.4.2.17:9100"), Term(33)) { true }
+        assertEquals(listOf("GET /inspect "), upToDate.sent)
     }
 
     @Test
-    fun `a node answers reports by what it knows of the leader`() = world {
-        val early = assertNotNull(call("n0", "POST", "/checkin", report))
-        assertEquals(503, early.status)
-        assertEquals(GoldenFiles.text("wire/checkin-no-leader.json"), early.body.decodeToString())
-        assertEquals(mapOf("Retry-After" to "1"), early.headers)
-        until("somebody leads", 30.seconds) { leader() != null }
+    fun `a node's answer to a heartbeat depends on what it knows of the leader`() = world {
+        val withoutLeader = assertNotNull(call("n0", "POST", "/checkin", heartbeat))
+        assertEquals(503, withoutLeader.status)
+        assertEquals(GoldenFiles.text("wire/checkin-no-leader.json"), withoutLeader.body.decodeToString())
+        assertEquals(mapOf("Retry-After" to "1"), withoutLeader.headers)
+        until("a leader is elected", 30.seconds) { leader() != null }
         val leader = assertNotNull(leader())
         val other = names.first { it != leader }
         val least = GoldenFiles.bytes("wire/checkin-least.json")
         until("the leader is known", 30.seconds) { call(other, "POST", "/checkin", least)?.status == 421 }
-        val elsewhere = assertNotNull(call(other, "POST", "/checkin", least)).body.decodeToString()
-        assertEquals(GoldenFiles.text("wire/checkin-elsewhere.json").replace("n1", leader), elsewhere)
-        // Each report is answered once: a repeated one is no news.
+        val redirection = assertNotNull(call(other, "POST", "/checkin", least)).body.decodeToString()
+        assertEquals(GoldenFiles.text("wire/checkin-elsewhere.json").replace("n1", leader), redirection)
+        // The leader answers a heartbeat only once and drops its repetition: the answer has to be kept from the loop.
         var answer: Response? = null
         until("the leader answers", 30.seconds) {
             answer = call(leader, "POST", "/checkin", least)
             answer?.status == 200
         }
         assertEquals(GoldenFiles.text("wire/checkin-answer-empty.json"), answer?.body?.decodeToString())
-        val bad = assertNotNull(call(other, "POST", "/checkin", "{}".encodeToByteArray()))
-        assertEquals("400 {\"error\":\"stall: missing\"}", "${bad.status} ${bad.body.decodeToString()}")
-        val wrong = assertNotNull(call(other, "GET", "/checkin", null))
-        assertEquals("405 {\"error\":\"only POST\"}", "${wrong.status} ${wrong.body.decodeToString()}")
+        val malformed = assertNotNull(call(other, "POST", "/checkin", "{}".encodeToByteArray()))
+        assertEquals("400 {\"error\":\"stall: missing\"}", "${malformed.status} ${malformed.body.decodeToString()}")
+        val wrongMethod = assertNotNull(call(other, "GET", "/checkin", null))
+        assertEquals("405 {\"error\":\"only POST\"}", "${wrongMethod.status} ${wrongMethod.body.decodeToString()}")
     }
 }
