--- /dev/null
+++ b/src/main/kotlin/org/elderhitch/lab/Others.kt
@@ -0,0 +1,49 @@
+package org.elderhitch.lab
+
+import kotlinx.coroutines.CoroutineScope
+import kotlinx.coroutines.delay
+import kotlinx.coroutines.launch
+import org.elderhitch.app.ClassArchiveTraining
+import org.elderhitch.time.MonotonicInstant
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
+
+/** Other users, who submit a job each half second: how long each waits for its answer. */
+internal class Others(private val world: SimulatedCluster) {
+    private val waited = ArrayList<Pair<MonotonicInstant, Duration>>()
+    private var n = 0
+
+    /** Until then there is no other trouble than the sweep itself. */
+    var calmUntil: MonotonicInstant = MonotonicInstant.FOREVER
+
+    suspend fun run(scope: CoroutineScope) {
+        while (true) {
+            scope.launch {
+                val began: MonotonicInstant = world.clock.now()
+                val body =
+                    ClassArchiveTraining.exampleJob("req-other-${n++}", "array") +
+                        mapOf("crates" to 1, "haulS" to 2.0)
+                world.ask("POST", "/work", body)
+                waited.add(began to world.clock.now() - began)
+            }
+            delay(EACH)
+        }
+    }
+
+    fun p99(): Long? = waited.filter { it.first < calmUntil }.map { it.second }.sorted().let {
+        it.getOrNull(
+            (
+                (
+                    it.size -
+                        1
+                    ) *
+                    P99
+                ).toInt(),
+        )?.inWholeMilliseconds
+    }
+
+    private companion object {
+        const val P99 = 0.99
+        val EACH = 500.milliseconds
+    }
+}
--- a/src/main/kotlin/org/elderhitch/lab/SimulatedUsers.kt
+++ b/src/main/kotlin/org/elderhitch/lab/SimulatedUsers.kt
@@ -19,20 +19,20 @@
  * whichever node, and every answer goes into the rule book.
  */
 internal class SimulatedUsers(
-    private val world: SimulatedCluster,
+    val world: SimulatedCluster,
     private val rules: InvariantChecker,
-    private val machines: Int,
+    val machines: Int,
     private val shape: Shape,
     seed: Long,
 ) {
     /** For what users do besides: how often that is depends on the answers that they get. */
-    private val random = Random(seed xor ASKING)
+    val random = Random(seed xor ASKING)
 
     /**
      * What jobs come, and when, in the order of their coming: the same for a seed whatever the code makes of it, so
      * that two versions are held to the same day.
      */
-    private val coming = Random(seed xor COMING)
+    val coming = Random(seed xor COMING)
 
     /** Jobs whose submission was answered, by kind. */
     val services = ArrayList<JobFacts>()
@@ -76,7 +76,7 @@
      * small ones that ask for more than
      * the small machines have, and urgent small ones.
      */
-    private class Mixed(
+    class Mixed(
         val name: String,
         val cores: Double,
         val memGb: Double,
@@ -101,32 +101,6 @@
         }
     }
 
-    private fun mixed(scope: CoroutineScope, kind: Mixed, coming: Random) {
-        val tasks = 1 + coming.nextInt(kind.tasks * 2 - 1)
-        val team = TEAMS.random(coming)
-        val facts =
-            JobFacts(
-                id(),
-                team,
-                tasks,
-                0.0,
-                spotAllowed = true,
-                jobClass = kind.name,
-                submittedAt = world.clock.now(),
-                cores = kind.cores,
-            )
-        val body = mapOf(
-            "lotClass" to kind.name,
-            "desk" to team,
-            "cores" to kind.cores,
-            "accelerators" to 0.0,
-            "memGb" to kind.memGb,
-            "urgency" to kind.urgency,
-            "pullGb" to 1.0, "catchImage" to "img-${kind.name}-${coming.nextInt(6)}", "closingS" to kind.runsS * 3.0,
-        )
-        comes(scope, facts, "array", kind.runsS * (0.5 + coming.nextDouble()), body, coming.withdrawal(16, 0 until 30))
-    }
-
     /** Many arrays at once. */
     fun burst(scope: CoroutineScope, share: Double) {
         if (shape == Shape.TYPES) {
@@ -136,16 +110,9 @@
         repeat((machines * share / 2).toInt() + 1) { array(scope, MOST_PER_S) }
     }
 
-    private fun id(): String = "req-%06d".format(next++)
-
-    /** After how long its user withdraws one in [of] jobs; null: not this one. */
-    private fun Random.withdrawal(of: Int, span: IntRange): Duration? = if (nextInt(of) == 0) {
-        span.random(this).seconds
-    } else {
-        null
-    }
+    fun id(): String = "req-%06d".format(next++)
 
-    private fun comes(
+    fun comes(
         scope: CoroutineScope,
         facts: JobFacts,
         kind: String,
@@ -160,83 +127,6 @@
         }
     }
 
-    private fun service(scope: CoroutineScope) {
-        val facts =
-            JobFacts(
-                id(), "team",
-                2 + coming.nextInt(
-                    3,
-                ),
-                1.0,
-                spotAllowed = false,
-                jobClass = "service",
-                endless = true,
-                submittedAt = world.clock.now(),
-                spread = true,
-                cores = 4.0,
-            )
-        val body = mapOf(
-            "cores" to 4.0,
-            "urgency" to "production",
-            "spread" to true,
-            "borrowedRigs" to false,
-            "pullGb" to 4.0,
-            "catchImage" to "img-s${coming.nextInt(6)}",
-        )
-        comes(scope, facts, "daemon", 0.0, body, coming.withdrawal(8, 20 until 220))
-    }
-
-    private fun array(scope: CoroutineScope, perSecond: Double) {
-        val usual = (machines / ARRAYS_PER / perSecond * USUAL_TASKS).toInt()
-        val facts =
-            JobFacts(
-                id(),
-                "team",
-                1 + coming.nextInt(usual * 2),
-                1.0,
-                spotAllowed = true,
-                jobClass = "array",
-                submittedAt = world.clock.now(),
-                cores = 5.0,
-            )
-        val body = mapOf(
-            "cores" to 5.0,
-            "urgency" to "idle",
-            "tallyS" to 15.0,
-            "stowS" to 1.0,
-            "pullGb" to 2.0,
-            "catchImage" to "img-a${coming.nextInt(10)}",
-        )
-        comes(scope, facts, "array", 5.0 + coming.nextInt(35), body, coming.withdrawal(12, 0 until 30))
-    }
-
-    private fun gang(scope: CoroutineScope) {
-        val facts =
-            JobFacts(
-                id(), "few",
-                1 + coming.nextInt(
-                    3,
-                ),
-                8.0,
-                spotAllowed = false,
-                oneZone = true,
-                gang = true,
-                jobClass = "gang",
-                submittedAt = world.clock.now(),
-                cores = 43.0,
-            )
-        val body = mapOf(
-            "cores" to 43.0,
-            "accelerators" to 8.0,
-            "urgency" to "urgent",
-            "samePlace" to true,
-            "borrowedRigs" to false,
-            "desk" to "few",
-            "pullGb" to 3.0,
-        )
-        comes(scope, facts, "gang", 10.0 + coming.nextInt(20), body, coming.withdrawal(12, 0 until 30))
-    }
-
     /** Somebody asks about a job that nobody submitted. */
     private suspend fun stranger() {
         val id = "req-none-${random.nextInt(100)}"
@@ -396,40 +286,6 @@
         return world.onMachine.filterKeys { it.substringBeforeLast('/') in ids }.values.toSet()
     }
 
-    /** A job of one task, which its user may call off at any time of its short life. */
-    fun oneTask(scope: CoroutineScope) {
-        val facts =
-            JobFacts(
-                id(),
-                "team",
-                1,
-                0.0,
-                spotAllowed = true,
-                jobClass = "tally",
-                submittedAt = world.clock.now(),
-                cores = 1.0,
-            )
-        val body = mapOf(
-            "cores" to 1.0,
-            "accelerators" to 0.0,
-            "urgency" to "idle",
-            "pullGb" to 0.5,
-            "catchImage" to "img-tally",
-        )
-        comes(
-            scope,
-            facts,
-            "array",
-            3.0 + random.nextInt(20),
-            body,
-            if (random.nextInt(4) == 0) {
-                random.nextInt(0, 20_000).milliseconds
-            } else {
-                null
-            },
-        )
-    }
-
     /** So large a share of the open jobs is withdrawn at once. */
     fun withdrawSome(scope: CoroutineScope, share: Double) {
         for (facts in services + batches) {
@@ -459,7 +315,7 @@
     companion object {
         /** Teams without a limit or a guarantee. */
         val TEAMS = listOf("crew", "desk", "shift", "bench")
-        private val MIXED = listOf(
+        val MIXED = listOf(
             Mixed("large", 32.0, 56.0, tasks = 6, runsS = 45, "normal", coresPerMachine = 3.2),
             Mixed("urgent", 4.0, 5.0, tasks = 20, runsS = 10, "urgent", coresPerMachine = 0.8),
             Mixed("small", 4.0, 6.0, tasks = 30, runsS = 25, "normal", coresPerMachine = 9.0),
@@ -472,9 +328,8 @@
         private const val NOT_FOUND = 404
         private const val UNPROCESSABLE = 422
         private const val SERVICES_PER = 4
-        private const val ARRAYS_PER = 200.0
+        const val ARRAYS_PER = 200.0
         private const val MOST_PER_S = 2.0
-        private const val USUAL_TASKS = 40
         private const val GANG_EVERY = 6
         private const val STRANGER_EVERY = 10
         private const val REPEAT_EVERY = 12
--- a/src/main/kotlin/org/elderhitch/lab/SweepLab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/SweepLab.kt
@@ -346,41 +346,6 @@
         return without to two
     }
 
-    /** Other users, who submit a job each half second: how long each waits for its answer. */
-    private inner class Others(private val world: SimulatedCluster) {
-        private val waited = ArrayList<Pair<MonotonicInstant, Duration>>()
-        private var n = 0
-
-        /** Until then there is no other trouble than the sweep itself. */
-        var calmUntil: MonotonicInstant = MonotonicInstant.FOREVER
-
-        suspend fun run(scope: CoroutineScope) {
-            while (true) {
-                scope.launch {
-                    val began: MonotonicInstant = world.clock.now()
-                    val body =
-                        ClassArchiveTraining.exampleJob("req-other-${n++}", "array") +
-                            mapOf("crates" to 1, "haulS" to 2.0)
-                    world.ask("POST", "/work", body)
-                    waited.add(began to world.clock.now() - began)
-                }
-                delay(EACH)
-            }
-        }
-
-        fun p99(): Long? = waited.filter { it.first < calmUntil }.map { it.second }.sorted().let {
-            it.getOrNull(
-                (
-                    (
-                        it.size -
-                            1
-                        ) *
-                        P99
-                    ).toInt(),
-            )?.inWholeMilliseconds
-        }
-    }
-
     private companion object {
         const val DECIMALS = 100_000.0
         const val OK = 200
@@ -392,7 +357,6 @@
         const val SHOWN = 10
         const val COPIES = 20
         const val MS = 1000.0
-        const val P99 = 0.99
         const val CHEAPER = 100
 
         const val MOST_OTHERS = 1000L
@@ -401,7 +365,6 @@
         val MOST_ACCEPTED = 5.seconds
         val RUNS = 4.seconds
         val ENDLESS = 100_000.seconds
-        val EACH = 500.milliseconds
         val WARM_UP = 20.seconds
         val CANCEL = 45.seconds
         val LIMIT = 120.minutes
