--- a/src/main/kotlin/org/elderhitch/lab/WireClient.kt
+++ b/src/main/kotlin/org/elderhitch/lab/WireClient.kt
@@ -11,8 +11,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The DRMAA wire as a client program speaks it, in virtual time: asks node after node, each request under its own
- * number.
+ * A client of the DRMAA wire protocol in virtual time: tries node after node, with a unique number for each request.
  */
 internal class WireClient(
     private val world: SimulatedCluster,
@@ -40,7 +39,10 @@
         return this
     }
 
-    /** Until a node answers with more than "not now", for [patience]; at one [node] only if that is given. */
+    /**
+     * Retries until a node gives another answer than 503, or [patience] is over. [node]: the only node to ask; null:
+     * all.
+     */
     suspend fun ask(
         path: String,
         fields: Map<String, Any?>,
@@ -48,16 +50,16 @@
         node: String? = null,
         timeout: Duration = 24.seconds,
     ): WireResponse {
-        val until = world.clock.now() + patience
-        var tries = shift
+        val deadline = world.clock.now() + patience
+        var attempt = shift
         while (true) {
-            val at = node ?: world.names[tries++ % world.names.size]
+            val at = node ?: world.names[attempt++ % world.names.size]
             val response = world.post(at, "/drmaa/$path", Json.bytes(mapOf("token" to token) + fields), timeout)
-            val over = world.clock.now() >= until
-            if (response != null && (response.status != BUSY || over)) {
+            val deadlinePassed = world.clock.now() >= deadline
+            if (response != null && (response.status != BUSY || deadlinePassed)) {
                 return WireResponse(response.status, Json.parseObject(response.body))
             }
-            if (over) return WireResponse(BUSY, JsonObject.of(mapOf("error" to "no answer")))
+            if (deadlinePassed) return WireResponse(BUSY, JsonObject.of(mapOf("error" to "no answer")))
             delay(if (response == null) 100.milliseconds else 1.seconds)
         }
     }
@@ -68,16 +70,16 @@
     }
 
     /**
-     * One wait of the binding: asked again under the same number until there is an answer, or [limit] is over (null).
+     * A wait as the DRMAA binding does it: repeats the request under the same number. Null: no result within [limit].
      */
     suspend fun wait(job: String, limit: Duration, request: String = request(), node: String? = null): WireResponse? {
-        val until = world.clock.now() + limit
-        while (world.clock.now() < until) {
-            val hold = minOf(until - world.clock.now(), HOLD)
+        val deadline = world.clock.now() + limit
+        while (world.clock.now() < deadline) {
+            val hold = minOf(deadline - world.clock.now(), MAX_HOLD)
             val answer = ask(
                 "wait",
                 mapOf("request" to request, "job" to job, "holdMs" to hold.inWholeMilliseconds),
-                until - world.clock.now(),
+                deadline - world.clock.now(),
                 node,
                 hold + 4.seconds,
             )
@@ -92,9 +94,9 @@
         const val BUSY = 503
         const val ANY = "DRMAA_JOB_IDS_SESSION_ANY"
         const val ALL = "DRMAA_JOB_IDS_SESSION_ALL"
-        private val HOLD = 20.seconds
+        private val MAX_HOLD = 20.seconds
 
-        /** What operators give a team's users. */
+        /** The token that operators issue to the users of a team. */
         fun grant(settings: DrmaaSettings, team: String = "team"): String =
             settings.tokens.issue(Claim.Grant(TeamName(team), null))
     }
