--- a/src/main/kotlin/org/elderhitch/http/HttpClient.kt
+++ b/src/main/kotlin/org/elderhitch/http/HttpClient.kt
@@ -13,22 +13,22 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Calls other processes over connections that stay open between calls. Used from one thread only. */
+/** A [Transport] over HTTP/1.1; [call] reuses connections. Not thread-safe. */
 public class HttpClient(
     private val group: AsynchronousChannelGroup,
     private val clock: SteadyClock,
-    private val limits: Limits = Limits(headers = 16 * 1024, body = 16 * 1024 * 1024),
+    private val limits: MessageLimits = MessageLimits(headerBytes = 16 * 1024, bodyBytes = 16 * 1024 * 1024),
 ) : Transport {
     private class Connection(
         val channel: AsynchronousSocketChannel,
         val parser: MessageParser,
-        var usedAt: MonotonicInstant,
+        var lastUsedAt: MonotonicInstant,
     ) {
-        var reusable = false
+        var isReusable = false
     }
 
     private val log = LoggerFactory.getLogger("elderhitch.http")
-    private val idle = HashMap<Address, ArrayDeque<Connection>>()
+    private val idleConnections = HashMap<Address, ArrayDeque<Connection>>()
 
     override suspend fun call(
         to: Address,
@@ -37,26 +37,26 @@
         body: ByteArray?,
         timeout: Duration,
     ): Response? {
-        val sent = request(to, method, target, body)
+        val requestBytes = encodeRequest(to, method, target, body)
         return try {
             withTimeoutOrNull(timeout) {
-                val kept = keptConnection(to)
-                if (kept != null && method == "GET") {
-                    // A server may have closed a kept connection meanwhile; only a read is surely harmless twice.
+                val reused = takeIdleConnection(to)
+                if (reused != null && method == "GET") {
+                    // The server may have closed the idle connection meanwhile. Only a GET is safe to send again.
                     try {
-                        return@withTimeoutOrNull exchange(to, kept, sent)
+                        return@withTimeoutOrNull exchange(to, reused, requestBytes)
                     } catch (e: IOException) {
                         log.debug("kept connection to {} lost: {}", to, e.message)
                     }
-                    exchange(to, connect(to), sent)
+                    exchange(to, connect(to), requestBytes)
                 } else {
-                    exchange(to, kept ?: connect(to), sent)
+                    exchange(to, reused ?: connect(to), requestBytes)
                 }
             }
         } catch (e: IOException) {
             log.debug("no answer from {} for {}: {}", to, target, e.message)
             null
-        } catch (e: BadMessage) {
+        } catch (e: MalformedMessage) {
             log.info("malformed answer from={} reason=\"{}\"", to, e.message)
             null
         }
@@ -78,12 +78,14 @@
         }
         return try {
             withTimeoutOrNull(timeout) {
-                Delivery.Answered(converse(connection, request(to, method, target, body, last = true)))
+                Delivery.Answered(
+                    sendAndReceive(connection, encodeRequest(to, method, target, body, closeAfter = true)),
+                )
             } ?: Delivery.Unknown
         } catch (e: IOException) {
             log.debug("no answer from {} for {}: {}", to, target, e.message)
             Delivery.Unknown
-        } catch (e: BadMessage) {
+        } catch (e: MalformedMessage) {
             log.info("malformed answer from={} reason=\"{}\"", to, e.message)
             Delivery.Unknown
         } finally {
@@ -91,12 +93,13 @@
         }
     }
 
-    private fun keptConnection(to: Address): Connection? {
-        val list = idle[to] ?: return null
-        val oldest = clock.now() - KEPT
+    /** Takes the most recently used connection to [to] that has not expired, and closes those that have. */
+    private fun takeIdleConnection(to: Address): Connection? {
+        val connections = idleConnections[to] ?: return null
+        val earliestUse = clock.now() - MAX_IDLE_TIME
         while (true) {
-            val connection = list.removeLastOrNull() ?: return null
-            if (connection.usedAt >= oldest && connection.channel.isOpen) return connection
+            val connection = connections.removeLastOrNull() ?: return null
+            if (connection.lastUsedAt >= earliestUse && connection.channel.isOpen) return connection
             connection.channel.closeQuietly()
         }
     }
@@ -113,68 +116,68 @@
         return Connection(channel, MessageParser(limits, isResponse = true), clock.now())
     }
 
-    private fun request(
+    private fun encodeRequest(
         to: Address,
         method: String,
         target: String,
         body: ByteArray?,
-        last: Boolean = false,
+        closeAfter: Boolean = false,
     ): ByteArray {
-        val head = StringBuilder(
-            HEAD_SIZE,
-        ).append(method).append(' ').append(target).append(" HTTP/1.1\r\nHost: ").append(to.text)
+        val head = StringBuilder(INITIAL_HEAD_CHARS)
+            .append(method).append(' ').append(target).append(" HTTP/1.1\r\nHost: ").append(to.text)
             .append("\r\n")
         if (body != null) {
             head.append("Content-Type: application/json\r\nContent-Length: ").append(body.size).append("\r\n")
         }
-        if (last) head.append("Connection: close\r\n")
+        if (closeAfter) head.append("Connection: close\r\n")
         head.append("\r\n")
         return head.toString().toByteArray(Charsets.ISO_8859_1) + (body ?: ByteArray(0))
     }
 
-    private suspend fun converse(connection: Connection, sent: ByteArray): Response {
-        connection.channel.writeAll(ByteBuffer.wrap(sent))
-        val buffer = ByteBuffer.allocate(BUFFER)
+    private suspend fun sendAndReceive(connection: Connection, requestBytes: ByteArray): Response {
+        connection.channel.writeAll(ByteBuffer.wrap(requestBytes))
+        val buffer = ByteBuffer.allocate(BUFFER_BYTES)
         while (true) {
             buffer.clear()
-            if (connection.channel.readInto(buffer) < 0) throw IOException("closed before the answer was complete")
-            val (taken, message) = connection.parser.feed(buffer.array(), 0, buffer.position())
+            if (connection.channel.readInto(buffer) < 0) throw IOException("closed before the response was complete")
+            val (consumed, message) = connection.parser.feed(buffer.array(), 0, buffer.position())
             if (message != null) {
-                connection.reusable = message.keepAlive && taken == buffer.position()
+                connection.isReusable = message.keepAlive && consumed == buffer.position()
                 return MessageParser.response(message)
             }
         }
     }
 
-    private suspend fun exchange(to: Address, connection: Connection, sent: ByteArray): Response {
-        connection.reusable = false
+    /** Keeps [connection] for later calls if it can be reused, and closes it otherwise. */
+    private suspend fun exchange(to: Address, connection: Connection, requestBytes: ByteArray): Response {
+        connection.isReusable = false
         try {
-            return converse(connection, sent)
+            return sendAndReceive(connection, requestBytes)
         } finally {
-            val list = idle.getOrPut(to) { ArrayDeque() }
-            if (connection.reusable && list.size < KEPT_PER_ADDRESS) {
-                connection.usedAt = clock.now()
-                list.addLast(connection)
+            val connections = idleConnections.getOrPut(to) { ArrayDeque() }
+            if (connection.isReusable && connections.size < MAX_IDLE_PER_ADDRESS) {
+                connection.lastUsedAt = clock.now()
+                connections.addLast(connection)
             } else {
                 connection.channel.closeQuietly()
             }
-            if (idle.size > MANY_ADDRESSES) forgetUnused()
+            if (idleConnections.size > MAX_ADDRESSES_BEFORE_EVICTION) evictExpired()
         }
     }
 
-    private fun forgetUnused() {
-        val oldest = clock.now() - KEPT
-        idle.values.forEach { list ->
-            list.removeAll { c -> (c.usedAt < oldest).also { if (it) c.channel.closeQuietly() } }
+    private fun evictExpired() {
+        val earliestUse = clock.now() - MAX_IDLE_TIME
+        idleConnections.values.forEach { connections ->
+            connections.removeAll { c -> (c.lastUsedAt < earliestUse).also { if (it) c.channel.closeQuietly() } }
         }
-        idle.values.removeAll { it.isEmpty() }
+        idleConnections.values.removeAll { it.isEmpty() }
     }
 
     private companion object {
-        const val BUFFER = 8192
-        const val HEAD_SIZE = 160
-        const val KEPT_PER_ADDRESS = 4
-        const val MANY_ADDRESSES = 32
-        val KEPT = 20.seconds
+        const val BUFFER_BYTES = 8192
+        const val INITIAL_HEAD_CHARS = 160
+        const val MAX_IDLE_PER_ADDRESS = 4
+        const val MAX_ADDRESSES_BEFORE_EVICTION = 32
+        val MAX_IDLE_TIME = 20.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/http/HttpServer.kt
+++ b/src/main/kotlin/org/elderhitch/http/HttpServer.kt
@@ -22,25 +22,28 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Serves one address. A connection that sits idle is closed after [idle]; one that leaves a request half sent is closed
- * after [slow]. At [maxConnections] the connection that was idle longest makes room, so that a full node still serves.
+ * An HTTP/1.1 server. A connection without a request is closed after [idleTimeout]; one whose request is incomplete or
+ * whose response isn't read is closed after [transferTimeout]. At [maxConnections] the connection that has been idle
+ * longest is closed in favour of a new one; if none is idle, the new one is closed.
  */
 public class HttpServer(
     private val group: AsynchronousChannelGroup,
     private val scope: CoroutineScope,
     private val clock: SteadyClock,
     private val maxConnections: Int,
-    private val limits: Limits = Limits(),
-    private val idle: Duration = 120.seconds,
-    private val slow: Duration = 10.seconds,
+    private val limits: MessageLimits = MessageLimits(),
+    private val idleTimeout: Duration = 120.seconds,
+    private val transferTimeout: Duration = 10.seconds,
 ) {
     private class Connection(val channel: AsynchronousSocketChannel) {
-        var quietSince: MonotonicInstant = MonotonicInstant.FOREVER
+        /** When the connection became idle; [MonotonicInstant.FOREVER] while a request is being served. */
+        var idleSince: MonotonicInstant = MonotonicInstant.FOREVER
     }
 
     private val log = LoggerFactory.getLogger("elderhitch.http")
     private val open = LinkedHashSet<Connection>()
 
+    /** Serves [address] with [handler] until the returned job is cancelled. Fails if the address can't be bound. */
     public fun listen(address: Address, handler: Handler): Job {
         val server = AsynchronousServerSocketChannel.open(group)
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true)
@@ -51,13 +54,13 @@
                     val channel = try {
                         server.acceptNext()
                     } catch (e: IOException) {
-                        // Out of sockets: whoever is idle longest makes room, and the next connection waits a moment.
+                        // Usually out of sockets: closes the longest idle connection and retries after a delay.
                         log.info("accept failed reason={}", e.message)
-                        shed()
-                        delay(ACCEPT_PAUSE)
+                        closeLongestIdle()
+                        delay(ACCEPT_RETRY_DELAY)
                         continue
                     }
-                    if (open.size >= maxConnections && !shed()) {
+                    if (open.size >= maxConnections && !closeLongestIdle()) {
                         log.info("connection refused open={}", open.size)
                         channel.closeQuietly()
                         continue
@@ -72,11 +75,12 @@
         }
     }
 
-    private fun shed(): Boolean {
-        val oldest =
-            open.filter { it.quietSince < MonotonicInstant.FOREVER }.minByOrNull { it.quietSince } ?: return false
-        oldest.channel.closeQuietly()
-        open.remove(oldest)
+    /** Returns false if no connection is idle. */
+    private fun closeLongestIdle(): Boolean {
+        val longestIdle =
+            open.filter { it.idleSince < MonotonicInstant.FOREVER }.minByOrNull { it.idleSince } ?: return false
+        longestIdle.channel.closeQuietly()
+        open.remove(longestIdle)
         return true
     }
 
@@ -85,7 +89,7 @@
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true)
             val parser = MessageParser(limits, isResponse = false)
-            val buffer = ByteBuffer.allocate(BUFFER)
+            val buffer = ByteBuffer.allocate(BUFFER_BYTES)
             val from = (channel.remoteAddress as? InetSocketAddress)?.address?.hostAddress
             while (true) {
                 val message = readMessage(connection, parser, buffer) ?: return
@@ -93,16 +97,16 @@
                     handler.handle(MessageParser.request(message, from))
                 } catch (e: CancellationException) {
                     throw e
-                } catch (e: BadMessage) {
+                } catch (e: MalformedMessage) {
                     refusal(e.status, e.message.orEmpty())
                 } catch (@Suppress("TooGenericExceptionCaught") e: Exception) {
                     log.error("request failed line=\"{}\"", message.startLine, e)
-                    refusal(INTERNAL, "internal error")
+                    refusal(INTERNAL_ERROR, "internal error")
                 }
                 send(channel, response, message.keepAlive)
                 if (!message.keepAlive) return
             }
-        } catch (e: BadMessage) {
+        } catch (e: MalformedMessage) {
             log.info("request refused status={} reason=\"{}\"", e.status, e.message)
             try {
                 send(channel, refusal(e.status, e.message.orEmpty()), keepAlive = false)
@@ -117,29 +121,30 @@
         }
     }
 
+    /** Null if the peer closes the connection or a timeout passes. */
     private suspend fun readMessage(connection: Connection, parser: MessageParser, buffer: ByteBuffer): Message? {
-        if (parser.idle) connection.quietSince = clock.now()
-        var started = MonotonicInstant.FOREVER
+        if (parser.isIdle) connection.idleSince = clock.now()
+        var startedAt = MonotonicInstant.FOREVER
         while (true) {
             if (buffer.position() > 0) {
                 buffer.flip()
-                val (taken, message) = parser.feed(buffer.array(), 0, buffer.limit())
-                buffer.position(taken)
+                val (consumed, message) = parser.feed(buffer.array(), 0, buffer.limit())
+                buffer.position(consumed)
                 buffer.compact()
                 if (message != null) {
-                    connection.quietSince = MonotonicInstant.FOREVER
+                    connection.idleSince = MonotonicInstant.FOREVER
                     return message
                 }
             }
-            if (!parser.idle && started == MonotonicInstant.FOREVER) started = clock.now()
-            val patience = if (parser.idle) idle else slow - (clock.now() - started)
-            val read = withTimeoutOrNull(patience) { connection.channel.readInto(buffer) } ?: return null
+            if (!parser.isIdle && startedAt == MonotonicInstant.FOREVER) startedAt = clock.now()
+            val timeout = if (parser.isIdle) idleTimeout else transferTimeout - (clock.now() - startedAt)
+            val read = withTimeoutOrNull(timeout) { connection.channel.readInto(buffer) } ?: return null
             if (read < 0) return null
         }
     }
 
     private suspend fun send(channel: AsynchronousSocketChannel, response: Response, keepAlive: Boolean) {
-        val head = StringBuilder(HEAD_SIZE)
+        val head = StringBuilder(INITIAL_HEAD_CHARS)
             .append("HTTP/1.1 ").append(response.status).append(' ').append(
                 HttpStatus.reasonPhrase(response.status),
             ).append("\r\n")
@@ -150,21 +155,22 @@
         head.append("\r\n")
         val headBytes = head.toString().toByteArray(Charsets.ISO_8859_1)
         val buffer = ByteBuffer.allocate(headBytes.size + response.body.size).put(headBytes).put(response.body).flip()
-        if (withTimeoutOrNull(slow) { channel.writeAll(buffer) } == null) throw IOException("the peer doesn't read")
+        if (withTimeoutOrNull(transferTimeout) { channel.writeAll(buffer) } == null) throw IOException("write timeout")
     }
 
     public companion object {
         /**
-         * After a crash of all controllers each worker and user comes back within a second, while the process that has
-         * just started is slow.
+         * Large because all workers and users reconnect within a second after a crash of all controllers, while a
+         * process that has just started accepts slowly.
          */
         private const val BACKLOG = 1024
-        private const val BUFFER = 4096
-        private const val HEAD_SIZE = 160
-        private const val INTERNAL = 500
-        private const val WRONG_METHOD = 405
-        private val ACCEPT_PAUSE = 20.milliseconds
+        private const val BUFFER_BYTES = 4096
+        private const val INITIAL_HEAD_CHARS = 160
+        private const val INTERNAL_ERROR = 500
+        private const val METHOD_NOT_ALLOWED = 405
+        private val ACCEPT_RETRY_DELAY = 20.milliseconds
 
+        /** A response whose body gives [reason] as the error. */
         public fun refusal(status: Int, reason: String, retryAfter: Duration? = null): Response = Response(
             status,
             Json.bytes(mapOf("error" to reason)),
@@ -175,10 +181,12 @@
             },
         )
 
-        /** Serves the one method that a path has. */
+        /** Serves a path that supports only [method]; answers any other with 405. */
         public suspend fun only(method: String, request: Request, serve: suspend () -> Response): Response {
             if (request.method == method) return serve()
-            return refusal(WRONG_METHOD, "only $method").let { Response(it.status, it.body, mapOf("Allow" to method)) }
+            return refusal(METHOD_NOT_ALLOWED, "only $method").let {
+                Response(it.status, it.body, mapOf("Allow" to method))
+            }
         }
     }
 }
--- a/src/main/kotlin/org/elderhitch/http/HttpStatus.kt
+++ b/src/main/kotlin/org/elderhitch/http/HttpStatus.kt
@@ -1,6 +1,6 @@
 package org.elderhitch.http
 
-/** The status codes that elderhitch sends or reacts to, and their reason phrases. */
+/** The status codes that controllers send or react to, and their reason phrases. */
 public object HttpStatus {
     public const val OK: Int = 200
     public const val CREATED: Int = 201
@@ -19,7 +19,7 @@
     public const val NOT_IMPLEMENTED: Int = 501
     public const val SERVICE_UNAVAILABLE: Int = 503
 
-    /** The phrase after the code in a status line; clients ignore it. */
+    /** The phrase after the code in a status line; it has no meaning to clients. */
     internal fun reasonPhrase(status: Int): String = when (status) {
         OK -> "OK"
         CREATED -> "Created"
--- a/src/main/kotlin/org/elderhitch/http/MessageParser.kt
+++ b/src/main/kotlin/org/elderhitch/http/MessageParser.kt
@@ -2,23 +2,24 @@
 
 import java.net.URLDecoder
 
-/** What a peer sent breaks HTTP/1.1 or a limit; [status] is what a server answers. */
-public class BadMessage(public val status: Int, message: String, cause: Throwable? = null) :
+/** A message violates HTTP/1.1 or exceeds one of the [MessageLimits]; [status] is what a server responds. */
+public class MalformedMessage(public val status: Int, message: String, cause: Throwable? = null) :
     Exception(message, cause)
 
-public data class Limits(
-    val startLine: Int = 4096,
-    val headers: Int = MAX_HEADER_BYTES,
+/** The maximum sizes of the parts of a message. */
+public data class MessageLimits(
+    val startLineBytes: Int = 4096,
+    val headerBytes: Int = DEFAULT_HEADER_BYTES,
     val headerCount: Int = 64,
-    val body: Int = MAX_BODY_BYTES,
+    val bodyBytes: Int = DEFAULT_BODY_BYTES,
 ) {
     private companion object {
-        const val MAX_HEADER_BYTES = 16 * 1024
-        const val MAX_BODY_BYTES = 64 * 1024
+        const val DEFAULT_HEADER_BYTES = 16 * 1024
+        const val DEFAULT_BODY_BYTES = 64 * 1024
     }
 }
 
-/** The first line, the headers that matter here, and the body of one message. */
+/** One request or response: the start line, the headers by their names in lower case, and the body. */
 public class Message(
     public val startLine: String,
     public val headers: Map<String, String>,
@@ -27,13 +28,14 @@
 )
 
 /**
- * Takes one HTTP/1.1 message after the other from bytes that arrive in pieces of any size. Strict: a bare LF, a folded
- * header, two lengths that differ, a length beside chunks, or anything over a limit is refused.
+ * An incremental parser of HTTP/1.1 messages: the bytes of a connection may arrive in pieces of any size. It is strict,
+ * and rejects a bare LF, a folded header, conflicting Content-Length headers, Content-Length together with
+ * Transfer-Encoding, and anything over a limit.
  */
-public class MessageParser(private val limits: Limits, private val isResponse: Boolean) {
-    private enum class Stage { START, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS }
+public class MessageParser(private val limits: MessageLimits, private val isResponse: Boolean) {
+    private enum class State { START, HEADERS, BODY, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILERS }
 
-    private var stage = Stage.START
+    private var state = State.START
     private val line = ByteBuilder()
     private val body = ByteBuilder()
     private var startLine = ""
@@ -43,38 +45,42 @@
     private var remaining = 0L
     private var sawCarriageReturn = false
 
-    /** True between messages, when the peer may close without cutting one off. */
-    public val idle: Boolean get() = stage == Stage.START && line.size == 0 && !sawCarriageReturn
+    /** Whether no message has been started, so that closing the connection interrupts none. */
+    public val isIdle: Boolean get() = state == State.START && line.size == 0 && !sawCarriageReturn
 
-    /** Bytes of [data] from [from] to [until]; returns how many were taken and the message that they completed. */
+    /**
+     * Parses the bytes of [data] from [from] up to, but not including, [until]. Returns the number of bytes consumed
+     * and the message that they complete, if any; the bytes after that message must be fed again.
+     */
     public fun feed(data: ByteArray, from: Int, until: Int): Pair<Int, Message?> {
-        var at = from
-        while (at < until) {
-            when (stage) {
-                Stage.BODY, Stage.CHUNK -> {
-                    val taken = minOf(remaining, (until - at).toLong()).toInt()
-                    body.append(data, at, taken)
-                    at += taken
-                    remaining -= taken
+        var position = from
+        while (position < until) {
+            when (state) {
+                State.BODY, State.CHUNK_DATA -> {
+                    val consumed = minOf(remaining, (until - position).toLong()).toInt()
+                    body.append(data, position, consumed)
+                    position += consumed
+                    remaining -= consumed
                     if (remaining == 0L) {
-                        if (stage == Stage.BODY) return at - from to finish()
-                        stage = Stage.CHUNK_END
+                        if (state == State.BODY) return position - from to endMessage()
+                        state = State.CHUNK_END
                     }
                 }
 
                 else -> {
-                    val complete = takeLineByte(data[at])
-                    at++
-                    if (complete) lineDone()?.let { return at - from to it }
+                    val complete = addLineByte(data[position])
+                    position++
+                    if (complete) endLine()?.let { return position - from to it }
                 }
             }
         }
-        return at - from to null
+        return position - from to null
     }
 
-    private fun takeLineByte(byte: Byte): Boolean {
+    /** Returns whether [byte] completes the line. */
+    private fun addLineByte(byte: Byte): Boolean {
         if (sawCarriageReturn) {
-            if (byte != LF) throw BadMessage(BAD_REQUEST, "a carriage return without its line feed")
+            if (byte != LF) throw MalformedMessage(BAD_REQUEST, "CR without LF")
             sawCarriageReturn = false
             return true
         }
@@ -82,132 +88,136 @@
             sawCarriageReturn = true
             return false
         }
-        if (byte == LF || byte == 0.toByte()) throw BadMessage(BAD_REQUEST, "a control character in a line")
+        if (byte == LF || byte == 0.toByte()) throw MalformedMessage(BAD_REQUEST, "LF without CR, or NUL, in a line")
         line.append(byte)
-        when (stage) {
-            Stage.START -> if (line.size > limits.startLine) {
-                throw BadMessage(URI_TOO_LONG, "the first line is too long")
+        when (state) {
+            State.START -> if (line.size > limits.startLineBytes) {
+                throw MalformedMessage(URI_TOO_LONG, "start line too long")
             }
 
-            Stage.HEADERS, Stage.TRAILERS -> if (++headerBytes > limits.headers) {
-                throw BadMessage(HEADERS_TOO_LARGE, "the headers are too large")
+            State.HEADERS, State.TRAILERS -> if (++headerBytes > limits.headerBytes) {
+                throw MalformedMessage(HEADERS_TOO_LARGE, "header section too large")
             }
 
-            else -> if (line.size > MAX_CHUNK_LINE) throw BadMessage(BAD_REQUEST, "a chunk's size is too long")
+            else -> if (line.size > MAX_SIZE_LINE_BYTES) throw MalformedMessage(BAD_REQUEST, "chunk size too long")
         }
         return false
     }
 
-    private fun lineDone(): Message? {
-        val text = line.take().toString(Charsets.ISO_8859_1)
-        when (stage) {
-            Stage.START -> if (text.isNotEmpty()) {
+    /** Processes the line that has just been completed; returns the message if the line completes it. */
+    private fun endLine(): Message? {
+        val text = line.drain().toString(Charsets.ISO_8859_1)
+        when (state) {
+            State.START -> if (text.isNotEmpty()) {
                 startLine = text
-                stage = Stage.HEADERS
+                state = State.HEADERS
             }
 
-            Stage.HEADERS -> if (text.isEmpty()) return headersDone() else addHeader(text)
+            State.HEADERS -> if (text.isEmpty()) return endHeaders() else addHeader(text)
 
-            Stage.TRAILERS -> if (text.isEmpty()) return finish()
+            State.TRAILERS -> if (text.isEmpty()) return endMessage()
 
-            Stage.CHUNK_SIZE -> {
+            State.CHUNK_SIZE -> {
                 val size = text.substringBefore(';').trim()
-                if (size.isEmpty() || size.length > MAX_HEX || size.any { it !in "0123456789abcdefABCDEF" }) {
-                    throw BadMessage(BAD_REQUEST, "a chunk without a size")
+                if (size.isEmpty() || size.length > MAX_SIZE_DIGITS || size.any { it !in "0123456789abcdefABCDEF" }) {
+                    throw MalformedMessage(BAD_REQUEST, "invalid chunk size")
                 }
-                remaining = size.toLong(HEX)
-                checkBody(body.size + remaining)
-                stage = if (remaining == 0L) Stage.TRAILERS else Stage.CHUNK
+                remaining = size.toLong(HEX_RADIX)
+                checkBodySize(body.size + remaining)
+                state = if (remaining == 0L) State.TRAILERS else State.CHUNK_DATA
             }
 
-            Stage.CHUNK_END -> {
-                if (text.isNotEmpty()) throw BadMessage(BAD_REQUEST, "a chunk longer than its size")
-                stage = Stage.CHUNK_SIZE
+            State.CHUNK_END -> {
+                if (text.isNotEmpty()) throw MalformedMessage(BAD_REQUEST, "chunk data longer than the chunk size")
+                state = State.CHUNK_SIZE
             }
 
-            Stage.BODY, Stage.CHUNK -> error("no lines here")
+            State.BODY, State.CHUNK_DATA -> error("a body has no lines")
         }
         return null
     }
 
     private fun addHeader(text: String) {
-        if (++headerCount > limits.headerCount) throw BadMessage(HEADERS_TOO_LARGE, "too many headers")
+        if (++headerCount > limits.headerCount) throw MalformedMessage(HEADERS_TOO_LARGE, "too many headers")
         val colon = text.indexOf(':')
         if (colon < 1 || text.substring(0, colon).any { it <= ' ' || it >= DEL }) {
-            throw BadMessage(BAD_REQUEST, "a header without a name")
+            throw MalformedMessage(BAD_REQUEST, "invalid header name")
         }
         val name = text.substring(0, colon).lowercase()
         val value = text.substring(colon + 1).trim()
-        val before = headers.put(name, value)
-        if (name in SINGLE && before != null && before != value) throw BadMessage(BAD_REQUEST, "two values for $name")
+        val old = headers.put(name, value)
+        if (name in SINGLETONS && old != null && old != value) throw MalformedMessage(BAD_REQUEST, "conflicting $name")
     }
 
-    private fun headersDone(): Message? {
+    /** Returns the message if it has no body. */
+    private fun endHeaders(): Message? {
         val coding = headers["transfer-encoding"]
         val length = headers["content-length"]
         if (coding != null) {
-            if (length != null) throw BadMessage(BAD_REQUEST, "a length beside chunks")
-            if (!coding.equals("chunked", ignoreCase = true)) throw BadMessage(NOT_IMPLEMENTED, "only chunks are known")
-            stage = Stage.CHUNK_SIZE
+            if (length != null) throw MalformedMessage(BAD_REQUEST, "both Content-Length and Transfer-Encoding")
+            if (!coding.equals("chunked", ignoreCase = true)) throw MalformedMessage(NOT_IMPLEMENTED, "unknown coding")
+            state = State.CHUNK_SIZE
             return null
         }
         if (length == null) {
-            if (isResponse && !bodiless()) throw BadMessage(BAD_REQUEST, "a response without a length")
-            return finish()
+            if (isResponse && !isWithoutBody()) throw MalformedMessage(BAD_REQUEST, "response without Content-Length")
+            return endMessage()
         }
-        if (length.isEmpty() || length.length > MAX_DIGITS || length.any { it !in '0'..'9' }) {
-            throw BadMessage(BAD_REQUEST, "content-length is no number")
+        if (length.isEmpty() || length.length > MAX_CONTENT_LENGTH_DIGITS || length.any { it !in '0'..'9' }) {
+            throw MalformedMessage(BAD_REQUEST, "invalid Content-Length")
         }
         remaining = length.toLong()
-        checkBody(remaining)
-        if (remaining == 0L) return finish()
-        stage = Stage.BODY
+        checkBodySize(remaining)
+        if (remaining == 0L) return endMessage()
+        state = State.BODY
         return null
     }
 
-    private fun bodiless(): Boolean = startLine.split(' ').getOrNull(1) == "204"
+    private fun isWithoutBody(): Boolean = startLine.split(' ').getOrNull(1) == "204"
 
-    private fun checkBody(size: Long) {
-        if (size > limits.body) throw BadMessage(BAD_REQUEST, "the body is over ${limits.body} bytes")
+    private fun checkBodySize(size: Long) {
+        if (size > limits.bodyBytes) throw MalformedMessage(BAD_REQUEST, "body exceeds ${limits.bodyBytes} bytes")
     }
 
-    private fun finish(): Message {
+    private fun endMessage(): Message {
         val connection = headers["connection"].orEmpty().lowercase()
-        val old = if (isResponse) startLine.startsWith("HTTP/1.0") else startLine.endsWith("HTTP/1.0")
-        val keepAlive = if (old) connection == "keep-alive" else !connection.split(',').any { it.trim() == "close" }
-        val message = Message(startLine, headers, body.take(), keepAlive)
+        val isHttp10 = if (isResponse) startLine.startsWith("HTTP/1.0") else startLine.endsWith("HTTP/1.0")
+        val keepAlive =
+            if (isHttp10) connection == "keep-alive" else !connection.split(',').any { it.trim() == "close" }
+        val message = Message(startLine, headers, body.drain(), keepAlive)
         headers = LinkedHashMap()
         headerBytes = 0
         headerCount = 0
-        stage = Stage.START
+        state = State.START
         return message
     }
 
     private class ByteBuilder {
-        private var bytes = ByteArray(FIRST_SIZE)
+        private var bytes = ByteArray(INITIAL_CAPACITY_BYTES)
         var size = 0
             private set
 
         fun append(byte: Byte) {
-            room(1)
+            ensureCapacity(1)
             bytes[size++] = byte
         }
 
-        fun append(from: ByteArray, at: Int, count: Int) {
-            room(count)
-            System.arraycopy(from, at, bytes, size, count)
+        fun append(source: ByteArray, offset: Int, count: Int) {
+            ensureCapacity(count)
+            System.arraycopy(source, offset, bytes, size, count)
             size += count
         }
 
-        fun take(): ByteArray {
-            val taken = bytes.copyOf(size)
+        /** Returns the bytes added so far and removes them. */
+        fun drain(): ByteArray {
+            val drained = bytes.copyOf(size)
             size = 0
-            if (bytes.size > KEPT_SIZE) bytes = ByteArray(FIRST_SIZE)
-            return taken
+            if (bytes.size > MAX_RETAINED_CAPACITY_BYTES) bytes = ByteArray(INITIAL_CAPACITY_BYTES)
+            return drained
         }
 
-        private fun room(count: Int) {
-            if (size + count > bytes.size) bytes = bytes.copyOf(maxOf(bytes.size * 2, size + count))
+        private fun ensureCapacity(added: Int) {
+            if (size + added > bytes.size) bytes = bytes.copyOf(maxOf(bytes.size * 2, size + added))
         }
     }
 
@@ -215,41 +225,43 @@
         private const val CR: Byte = 13
         private const val LF: Byte = 10
         private const val DEL = '\u007f'
-        private const val HEX = 16
-        private const val MAX_HEX = 8
-        private const val MAX_DIGITS = 12
-        private const val MAX_CHUNK_LINE = 64
-        private const val FIRST_SIZE = 256
-        private const val KEPT_SIZE = 8 * 1024
-
-        /** Method, target and version. */
+        private const val HEX_RADIX = 16
+        private const val MAX_SIZE_DIGITS = 8
+        private const val MAX_CONTENT_LENGTH_DIGITS = 12
+        private const val MAX_SIZE_LINE_BYTES = 64
+        private const val INITIAL_CAPACITY_BYTES = 256
+        private const val MAX_RETAINED_CAPACITY_BYTES = 8 * 1024
+
+        /** The method, the target and the version. */
         private const val REQUEST_LINE_PARTS = 3
         private const val BAD_REQUEST = 400
         private const val URI_TOO_LONG = 414
         private const val HEADERS_TOO_LARGE = 431
         private const val NOT_IMPLEMENTED = 501
-        private val SINGLE = setOf("content-length", "transfer-encoding", "host")
 
-        /** The request that a message states. */
+        /** Headers that may be repeated only with the same value. */
+        private val SINGLETONS = setOf("content-length", "transfer-encoding", "host")
+
+        /** Reads [message] as a request from the IP address [from]; null if the address is unknown. */
         public fun request(message: Message, from: String? = null): Request {
             val parts = message.startLine.split(' ')
             if (parts.size != REQUEST_LINE_PARTS || !parts[2].startsWith("HTTP/1.")) {
-                throw BadMessage(BAD_REQUEST, "no HTTP/1.1 request line")
+                throw MalformedMessage(BAD_REQUEST, "invalid HTTP/1.1 request line")
             }
             val (method, target) = parts
             if (method.isEmpty() || method.any { it !in 'A'..'Z' } || !target.startsWith("/")) {
-                throw BadMessage(BAD_REQUEST, "no HTTP/1.1 request line")
+                throw MalformedMessage(BAD_REQUEST, "invalid HTTP/1.1 request line")
             }
             return Request(
                 method,
                 target.substringBefore('?'),
-                query(target.substringAfter('?', "")),
+                parseQuery(target.substringAfter('?', "")),
                 message.body,
                 from,
             )
         }
 
-        private fun query(text: String): Map<String, String> = if (text.isEmpty()) {
+        private fun parseQuery(text: String): Map<String, String> = if (text.isEmpty()) {
             emptyMap()
         } else {
             try {
@@ -258,15 +270,15 @@
                         URLDecoder.decode(it.substringAfter('=', ""), Charsets.UTF_8)
                 }
             } catch (e: IllegalArgumentException) {
-                throw BadMessage(BAD_REQUEST, "a broken escape in the query: ${e.message}", e)
+                throw MalformedMessage(BAD_REQUEST, "invalid percent-encoding in the query: ${e.message}", e)
             }
         }
 
-        /** The response that a message states. */
+        /** Reads [message] as a response. */
         public fun response(message: Message): Response {
             val status = message.startLine.split(' ').getOrNull(1)?.toIntOrNull()
             if (!message.startLine.startsWith("HTTP/1.") || status == null) {
-                throw BadMessage(BAD_REQUEST, "no status line")
+                throw MalformedMessage(BAD_REQUEST, "invalid status line")
             }
             return Response(status, message.body, message.headers)
         }
--- a/src/main/kotlin/org/elderhitch/http/Messages.kt
+++ b/src/main/kotlin/org/elderhitch/http/Messages.kt
@@ -2,7 +2,7 @@
 
 import kotlin.time.Duration
 
-/** An IP number and a port, as the settings and the workers name them. */
+/** An IP address and a port in the form `10.0.0.1:8080`. */
 @JvmInline
 public value class Address(public val text: String) {
     public val host: String get() = text.substringBeforeLast(':')
@@ -11,23 +11,24 @@
     override fun toString(): String = text
 
     public companion object {
-        private const val HIGHEST_PORT = 65535
+        private const val MAX_PORT = 65535
 
-        /** Null unless the text is a host, a colon and a port. */
+        /** Null unless [text] is a host, a colon and a port. */
         public fun parse(text: String): Address? {
             val colon = text.lastIndexOf(':')
             val port = text.substring(colon + 1).toIntOrNull()
-            return if (colon < 1 || port == null || port !in 1..HIGHEST_PORT) null else Address(text)
+            return if (colon < 1 || port == null || port !in 1..MAX_PORT) null else Address(text)
         }
     }
 }
 
+/** A request as a [Handler] receives it; [path] and [query] are the parts of its target. */
 public class Request(
     public val method: String,
     public val path: String,
     public val query: Map<String, String>,
     public val body: ByteArray,
-    /** The IP number of whoever sent it; null: not told. */
+    /** The IP address of the sender; null if unknown. */
     public val from: String? = null,
 )
 
@@ -38,25 +39,29 @@
     public val contentType: String = "application/json",
 )
 
-/** What serves requests: a slice, or a stand-in. */
+/** Serves requests. */
 public fun interface Handler {
     public suspend fun handle(request: Request): Response
 }
 
-/** What became of a request that must not be carried out unnoticed. */
+/** The outcome of a request whose caller must know whether it may have been executed. */
 public sealed interface Delivery {
+    /** The response arrived. */
     public class Answered(public val response: Response) : Delivery
 
-    /** No connection came about, so the request was never sent, and never will be. */
+    /** No connection could be established, so the request was not sent and will never be executed. */
     public data object NotSent : Delivery
 
-    /** Perhaps carried out, perhaps later. */
+    /** No response arrived: the request may have been executed, or may still be executed later. */
     public data object Unknown : Delivery
 }
 
-/** What carries requests to other processes. */
+/** Sends requests to other processes. */
 public interface Transport {
-    /** A request over a connection of its own: for peers that are many and rarely called. */
+    /**
+     * Sends a request over a connection of its own, for recipients that are many and rarely called. [connect] limits
+     * the time to establish the connection, [timeout] the time from then until the response is complete.
+     */
     public suspend fun deliver(
         to: Address,
         method: String,
@@ -66,7 +71,7 @@
         timeout: Duration,
     ): Delivery
 
-    /** Null: no answer, and nobody knows whether it was carried out. */
+    /** Sends a request. Null if no response arrives within [timeout]; the request may still have been executed. */
     public suspend fun call(
         to: Address,
         method: String,
--- a/src/main/kotlin/org/elderhitch/http/Sockets.kt
+++ b/src/main/kotlin/org/elderhitch/http/Sockets.kt
@@ -12,27 +12,27 @@
 import kotlin.coroutines.resume
 import kotlin.coroutines.resumeWithException
 
-/** The channel group of a process: one thread watches the sockets, and [loop] runs all that follows from them. */
+/** Creates the channel group of a process: one thread waits for I/O events, and [loop] runs the completion handlers. */
 public fun channelGroup(loop: ExecutorService): AsynchronousChannelGroup =
     AsynchronousChannelGroup.withCachedThreadPool(loop, 0)
 
 internal suspend fun AsynchronousServerSocketChannel.acceptNext(): AsynchronousSocketChannel =
-    suspendOn(this) { accept(Unit, it) }
+    awaitCompletion(this) { accept(Unit, it) }
 
 internal suspend fun AsynchronousSocketChannel.connectTo(address: java.net.InetSocketAddress) {
-    suspendOn<Void?>(this) { connect(address, Unit, it) }
+    awaitCompletion<Void?>(this) { connect(address, Unit, it) }
 }
 
 internal suspend fun AsynchronousSocketChannel.readInto(buffer: ByteBuffer): Int =
-    suspendOn(this) { read(buffer, Unit, it) }
+    awaitCompletion(this) { read(buffer, Unit, it) }
 
 internal suspend fun AsynchronousSocketChannel.writeAll(buffer: ByteBuffer) {
-    while (buffer.hasRemaining()) suspendOn<Int>(this) { write(buffer, Unit, it) }
+    while (buffer.hasRemaining()) awaitCompletion<Int>(this) { write(buffer, Unit, it) }
 }
 
-private suspend fun <T> suspendOn(channel: Channel, start: (CompletionHandler<T, Unit>) -> Unit): T =
+private suspend fun <T> awaitCompletion(channel: Channel, start: (CompletionHandler<T, Unit>) -> Unit): T =
     suspendCancellableCoroutine { continuation ->
-        // NIO.2 can't take an operation back: the channel of a cancelled one is of no further use.
+        // NIO.2 can't cancel a single operation, and the channel of one that is abandoned can't be used any further.
         continuation.invokeOnCancellation { channel.closeQuietly() }
         start(object : CompletionHandler<T, Unit> {
             override fun completed(result: T, attachment: Unit) = continuation.resume(result)
--- a/src/main/kotlin/org/elderhitch/json/Json.kt
+++ b/src/main/kotlin/org/elderhitch/json/Json.kt
@@ -9,12 +9,12 @@
 import java.io.ByteArrayOutputStream
 import java.math.BigInteger
 
-/** The text is not JSON, or not of the form that its reader needs. The message is fit for the sender. */
+/** The input is not JSON, or not of the expected form. The message may be returned to the sender. */
 public class MalformedJson(message: String, cause: Throwable? = null) : Exception(message, cause)
 
 /**
- * JSON values as plain maps, lists, strings, numbers and booleans over Jackson's streaming parser. The data binding
- * of Jackson is left out: its start-up costs more processor time than a controller of these sizes has.
+ * Converts between JSON and plain maps, lists, strings, numbers and booleans with Jackson's streaming API. Jackson's
+ * data binding isn't used because its start-up takes more CPU time than the small CPU share of a controller allows.
  */
 public object Json {
     private const val MAX_DEPTH = 24
@@ -22,10 +22,11 @@
         .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build())
         .build()
 
+    /** Parses exactly one value; throws [MalformedJson] if [bytes] hold anything else. */
     public fun parse(bytes: ByteArray): Any? = try {
         factory.createParser(bytes).use { parser ->
             parser.nextToken() ?: throw MalformedJson("not JSON: empty")
-            val value = read(parser)
+            val value = readValue(parser)
             if (parser.nextToken() != null) throw MalformedJson("not JSON: text after the value")
             value
         }
@@ -35,26 +36,27 @@
         throw MalformedJson("not JSON: ${e.message}", e)
     }
 
+    /** Like [parse], for a value that must be an object. */
     public fun parseObject(bytes: ByteArray): JsonObject {
         val value = parse(bytes)
         if (value !is Map<*, *>) throw MalformedJson("not a JSON object")
         return JsonObject.of(value)
     }
 
-    private fun read(parser: JsonParser): Any? = when (val token = parser.currentToken()) {
+    private fun readValue(parser: JsonParser): Any? = when (val token = parser.currentToken()) {
         JsonToken.START_OBJECT -> {
             val map = LinkedHashMap<String, Any?>()
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 val name = parser.currentName() ?: throw MalformedJson("not JSON: unfinished object")
                 parser.nextToken()
-                map[name] = read(parser)
+                map[name] = readValue(parser)
             }
             map
         }
 
         JsonToken.START_ARRAY -> {
             val list = ArrayList<Any?>()
-            while (parser.nextToken() != JsonToken.END_ARRAY) list.add(read(parser))
+            while (parser.nextToken() != JsonToken.END_ARRAY) list.add(readValue(parser))
             list
         }
 
@@ -76,56 +78,62 @@
         else -> throw MalformedJson("not JSON: unexpected ${token ?: "end"}")
     }
 
+    /** Encodes null, maps, collections, strings, booleans and numbers of the types that [writeValue] knows. */
     public fun bytes(value: Any?): ByteArray {
-        val out = ByteArrayOutputStream(INITIAL_BYTES)
-        factory.createGenerator(out).use { write(it, value) }
+        val out = ByteArrayOutputStream(INITIAL_BUFFER_BYTES)
+        factory.createGenerator(out).use { writeValue(it, value) }
         return out.toByteArray()
     }
 
     public fun text(value: Any?): String = bytes(value).decodeToString()
 
-    private fun write(to: JsonGenerator, value: Any?) {
+    private fun writeValue(generator: JsonGenerator, value: Any?) {
         when (value) {
-            null -> to.writeNull()
+            null -> generator.writeNull()
 
-            is String -> to.writeString(value)
+            is String -> generator.writeString(value)
 
-            is Int -> to.writeNumber(value)
+            is Int -> generator.writeNumber(value)
 
-            is Long -> to.writeNumber(value)
+            is Long -> generator.writeNumber(value)
 
-            is BigInteger -> to.writeNumber(value)
+            is BigInteger -> generator.writeNumber(value)
 
-            is Double -> to.writeNumber(value)
+            is Double -> generator.writeNumber(value)
 
-            is Boolean -> to.writeBoolean(value)
+            is Boolean -> generator.writeBoolean(value)
 
             is Map<*, *> -> {
-                to.writeStartObject()
-                for ((k, v) in value) {
-                    to.writeFieldName(k.toString())
-                    write(to, v)
+                generator.writeStartObject()
+                for ((name, element) in value) {
+                    generator.writeFieldName(name.toString())
+                    writeValue(generator, element)
                 }
-                to.writeEndObject()
+                generator.writeEndObject()
             }
 
             is Collection<*> -> {
-                to.writeStartArray()
-                for (v in value) write(to, v)
-                to.writeEndArray()
+                generator.writeStartArray()
+                for (element in value) writeValue(generator, element)
+                generator.writeEndArray()
             }
 
-            else -> throw IllegalArgumentException("no JSON form for ${value.javaClass}")
+            else -> throw IllegalArgumentException("no JSON encoding for ${value.javaClass}")
         }
     }
 
-    private const val INITIAL_BYTES = 512
+    private const val INITIAL_BUFFER_BYTES = 512
 }
 
-/** A JSON object whose fields are read by the type that the reader needs. A field that is null counts as absent. */
+/**
+ * Typed access to the fields of a JSON object. A field that is null counts as absent. The functions that name a type
+ * throw [MalformedJson] if the field has another one, or if it is absent, unless they say otherwise.
+ */
 public class JsonObject private constructor(private val fields: Map<*, *>) {
+    /** Whether the field is present and not null. */
     public fun has(name: String): Boolean = fields[name] != null
 
+    /** The value as [Json.parse] returns it; null if absent. */
     public fun raw(name: String): Any? = fields[name]
 
     public val names: Collection<String> get() = fields.keys.map { it.toString() }
@@ -146,9 +154,10 @@
 
     public fun long(name: String): Long = longOrNull(name) ?: missing(name)
 
-    /** A count that is not negative. */
+    /** An integer that is not negative. */
     public fun count(name: String): Long = long(name).also { if (it < 0) throw MalformedJson("$name: negative") }
 
+    /** A finite number from 0 to [MAX_AMOUNT]. */
     public fun amountOrNull(name: String): Double? {
         val value = when (val raw = fields[name]) {
             null -> return null
@@ -157,7 +166,7 @@
             is BigInteger -> raw.toDouble()
             else -> throw MalformedJson("$name: not a number")
         }
-        if (!value.isFinite() || value < 0 || value > LARGEST_AMOUNT) throw MalformedJson("$name: out of range")
+        if (!value.isFinite() || value < 0 || value > MAX_AMOUNT) throw MalformedJson("$name: out of range")
         return value
     }
 
@@ -185,6 +194,7 @@
         else -> throw MalformedJson("$name: not a list")
     }
 
+    /** Empty if the field is absent. */
     public fun objects(name: String): List<JsonObject> = listOrNull(name).orEmpty().map {
         if (it is Map<*, *>) JsonObject(it) else throw MalformedJson("$name: holds something that is no object")
     }
@@ -196,7 +206,7 @@
     private fun missing(name: String): Nothing = throw MalformedJson("$name: missing")
 
     public companion object {
-        private const val LARGEST_AMOUNT = 1e15
+        private const val MAX_AMOUNT = 1e15
 
         public fun of(fields: Map<*, *>): JsonObject = JsonObject(fields)
     }
