--- a/src/main/kotlin/org/elderhitch/app/ClassArchiveTraining.kt
+++ b/src/main/kotlin/org/elderhitch/app/ClassArchiveTraining.kt
@@ -22,31 +22,32 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The training run of the class archive (CDS): a controller serves requests against the stand-ins on loopback, so that
- * the archive contains the classes that a controller loads. The build runs it with `-XX:ArchiveClassesAtExit`.
+ * The training run for the class data sharing (CDS) archive: a controller serves requests on loopback, with simulated
+ * services, so that the archive contains the classes that a controller loads. The build runs it with
+ * `-XX:ArchiveClassesAtExit`.
  */
 internal object ClassArchiveTraining {
     private const val MAX_ATTEMPTS = 3
     private const val EXIT_FAILURE = 1
-    private val TRAINING_TIME = 7.seconds
+    private val TRAINING_DURATION = 7.seconds
     private val POLL_INTERVAL = 200.milliseconds
-    private val CANCELLATION_TIME = 1.seconds
+    private val CANCELLATION_DURATION = 1.seconds
     private val REQUEST_TIMEOUT = 2.seconds
     private val log = LoggerFactory.getLogger("elderhitch.standin")
 
     /**
-     * Runs the training and ends the process, also after an unexpected error: the threads of the event loop would keep
-     * the process, and the build that waits for it, alive for ever. Retries when another process has taken one of the
-     * ports between their choice and their use.
+     * Runs the training and exits, also after an unexpected error: otherwise the thread of the event loop would keep
+     * the process, and the build that waits for it, running for ever. Retries if another process takes one of the
+     * ports after it was chosen and before it is bound.
      */
     fun run() {
         repeat(MAX_ATTEMPTS) {
             try {
-                train(Settings.parse(Json.bytes(TrainingInputs.settings(freePorts(TrainingInputs.PORTS)))))
+                train(Settings.parse(Json.bytes(TrainingInputs.settings(freePorts(TrainingInputs.PORT_COUNT)))))
                 exitProcess(0)
             } catch (e: IOException) {
                 log.error("class archive training failed reason=\"{}\"", e.message)
-            } catch (@Suppress("TooGenericExceptionCaught") e: Exception) { // Whatever it is, the process must end.
+            } catch (@Suppress("TooGenericExceptionCaught") e: Exception) { // The process must exit after any error.
                 log.error("class archive training failed", e)
                 exitProcess(EXIT_FAILURE)
             }
@@ -55,7 +56,7 @@
     }
 
     private fun train(settings: Settings) {
-        val loop = Daemon.loop()
+        val loop = Daemon.eventLoop()
         val scope = Daemon.scope(loop)
         val group = channelGroup(loop)
         val client = HttpClient(group, SystemSteadyClock)
@@ -81,7 +82,7 @@
     }
 
     private suspend fun sendRequests(client: HttpClient, controller: Address) {
-        val deadline = SystemSteadyClock.now() + TRAINING_TIME
+        val deadline = SystemSteadyClock.now() + TRAINING_DURATION
         while (SystemSteadyClock.now() < deadline) {
             for ((index, kind) in listOf("array", "gang", "daemon").withIndex()) {
                 val job = Json.bytes(exampleJob("req-$index", kind))
@@ -94,10 +95,10 @@
             delay(POLL_INTERVAL)
         }
         client.call(controller, "POST", "/work/req-2/withdraw", ByteArray(0), REQUEST_TIMEOUT)
-        delay(CANCELLATION_TIME)
+        delay(CANCELLATION_DURATION)
     }
 
-    /** All sockets stay open until the last port is chosen, so that no port is chosen twice. */
+    /** Keeps all sockets open until the last port is chosen, so that no port is chosen twice. */
     private fun freePorts(count: Int): List<Int> {
         val sockets = List(count) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()) }
         return sockets.map { it.localPort }.also { sockets.forEach(ServerSocket::close) }
--- a/src/main/kotlin/org/elderhitch/app/ClientCommands.kt
+++ b/src/main/kotlin/org/elderhitch/app/ClientCommands.kt
@@ -21,11 +21,11 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor
 import kotlin.time.Duration.Companion.seconds
 
-/** A command that sends one request to a controller and prints the answer. */
+/** A command that sends one request to a controller and prints the response. */
 internal abstract class ClientCommand(name: String) : CoreCliktCommand(name = name) {
-    private val node by option("--node", help = "a controller's client address").default("127.0.0.1:8080")
+    private val node by option("--node", help = "the client address of a controller").default("127.0.0.1:8080")
 
-    /** Prints the body of the answer; fails with the exit codes of [ExitCode]. */
+    /** Prints the body of the response; exits with a code of [ExitCode] if there is none or it is an error. */
     protected fun sendRequest(method: String, path: String, body: ByteArray? = null) {
         val response = call(controllerAddress(), method, path, body)
             ?: throw CliktError("$node doesn't answer", statusCode = ExitCode.NO_ANSWER)
@@ -59,7 +59,7 @@
 internal class SubmitCommand : ClientCommand("submit") {
     private val file by argument(help = "the job, a JSON file")
 
-    override fun help(context: Context): String = "Submit a job; a repeat with the same id is harmless"
+    override fun help(context: Context): String = "Submit a job; submitting it again with the same id has no effect"
 
     override fun run() = sendRequest("POST", "/work", readFile())
 
@@ -75,7 +75,7 @@
 internal class ShowCommand : ClientCommand("show") {
     private val id by argument(help = "the job's id")
 
-    override fun help(context: Context): String = "Tell how a job stands"
+    override fun help(context: Context): String = "Show the status of a job"
 
     override fun run(): Unit = sendRequest("GET", "/work/$id")
 }
@@ -97,7 +97,7 @@
 internal class ExplainCommand : ClientCommand("explain") {
     private val id by argument(help = "the job's id")
 
-    override fun help(context: Context): String = "Tell why a job stands as it does"
+    override fun help(context: Context): String = "Explain why a job is in its state"
 
     override fun run(): Unit = sendRequest("GET", "/explain/$id")
 }
@@ -105,9 +105,9 @@
 /** `release`: releases a job that the rule of its class holds. */
 internal class ReleaseCommand : ClientCommand("release") {
     private val id by argument(help = "the job's id")
-    private val reason by option("--reason", help = "why it may go on; kept in the log").required()
+    private val reason by option("--reason", help = "why the job may run; recorded in the log").required()
 
-    override fun help(context: Context): String = "Let a job go on that the rule of its class held"
+    override fun help(context: Context): String = "Release a job that the rule of its class holds"
 
     override fun run(): Unit = sendRequest("POST", "/release/$id", Json.bytes(mapOf("reason" to reason)))
 }
--- a/src/main/kotlin/org/elderhitch/app/Commands.kt
+++ b/src/main/kotlin/org/elderhitch/app/Commands.kt
@@ -8,7 +8,7 @@
 import org.elderhitch.http.Address
 import java.io.File
 
-/** Exit codes of the commands; README.md lists them. */
+/** Exit codes of the commands, as README.md documents them. */
 internal object ExitCode {
     const val REFUSED = 1
     const val BAD_ARGUMENT = 2
@@ -18,8 +18,8 @@
 /** `serve`: runs a controller. */
 internal class ServeCommand : CoreCliktCommand(name = "serve") {
     private val config by option("--config", help = "the platform's settings file, JSON").required()
-    private val policy by option("--policy", help = "the operators' own settings, a Lua script")
-    private val features by option("--features", help = "what is switched on beyond the core, a Lua script")
+    private val policy by option("--policy", help = "the operators' policy, a Lua script")
+    private val features by option("--features", help = "the optional features to enable, a Lua script")
 
     override fun help(context: Context): String = "Run a controller until it is killed"
 
@@ -30,22 +30,22 @@
 internal class StandInsCommand : CoreCliktCommand(name = "stand-ins") {
     private val config by option(
         "--config",
-        help = "a controller's settings file, whose addresses they take",
+        help = "the settings file of a controller; the services listen on the addresses in it",
     ).required()
 
     private val nodes by option(
         "--nodes",
-        help = "NAME=ADDRESS of each controller that workers report to, between commas; " +
-            "without it, the one of the settings",
+        help = "comma-separated NAME=ADDRESS pairs of the controllers that workers report to; " +
+            "by default the controller of the settings file",
     )
 
     private val uploads by option(
         "--uploads",
-        help = "a folder with descriptions of jobs, as `sweep submit --upload` writes them: what workers fetch",
+        help = "a directory of job descriptions for workers to fetch, as `sweep submit --upload` writes them",
     )
 
     override fun help(context: Context): String =
-        "Run a state service, a cloud and workers of our own, to try a controller out"
+        "Run a simulated state service, cloud and workers, to try out a controller"
 
     override fun run(): Unit =
         StandInServices.run(config, nodes?.split(',')?.associate(::controllerAddress), uploads?.let(::File))
@@ -63,7 +63,7 @@
 /** `train-class-archive`: called by the build, see [ClassArchiveTraining]. */
 internal class TrainClassArchiveCommand : CoreCliktCommand(name = NAME) {
     override fun help(context: Context): String =
-        "Run a controller against the stand-ins for some seconds; the build makes its class archive so"
+        "Run a controller with simulated services for some seconds; the build records its class archive this way"
 
     override fun run(): Unit = ClassArchiveTraining.run()
 
--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -57,8 +57,8 @@
 import kotlin.time.Duration
 
 /**
- * One controller: creates its parts and connects them. Clocks, random numbers and the network come from the caller, so
- * that simulations can run many controllers in virtual time.
+ * One controller: creates its components and connects them. The caller provides clocks, random numbers and the network,
+ * so that simulations can run many controllers in virtual time.
  */
 public class Controller(
     private val scope: CoroutineScope,
@@ -69,11 +69,11 @@
     private val wallClock: WallClock,
     random: Random,
     features: Features = Features.NONE,
-    /** The most open jobs that this process accepts, by their size in memory. */
+    /** The limit on open jobs that this process accepts, by their size in memory. */
     private val maxFootprint: Footprint = Footprint.bound(Runtime.getRuntime().maxMemory()),
     /** Called after each scheduling cycle with the number of machines and candidates that it examined. */
-    onCycle: (looks: Long) -> Unit = {},
-    /** Called when an entry in the state service requires a feature that is off, so that this process must end. */
+    onCycle: (machineVisits: Long) -> Unit = {},
+    /** Called when an entry in the state service requires a feature that is disabled; the process must then exit. */
     onMissingFeature: (reason: String) -> Unit = { error(it) },
 ) {
     private val incarnation = Incarnation(random.nextLong().toULong().toString(INCARNATION_RADIX))
@@ -150,7 +150,7 @@
     /** Serves the other controllers. */
     public val peers: Handler get() = cluster
 
-    /** Starts all parts; call it once, after the controller's addresses are being served. */
+    /** Starts all components. Must be called once, after the controller has begun to listen on its addresses. */
     public fun start() {
         jobRegistry.start()
         scheduler.start()
@@ -171,7 +171,7 @@
         metrics.gauge("term") { (leadership.leadershipState.value as? LeadershipState.Leader)?.term?.number ?: 0 }
     }
 
-    /** The machine of each task by the leader's table; null if this controller doesn't lead. */
+    /** The machine of each task in the leader's task table; null if this controller isn't the leader. */
     internal suspend fun survey(): Map<TaskId, MachineId>? = leaderQueries.placements()
 
     private fun createSchedulerWiring(transport: Transport): SchedulerWiring {
@@ -191,7 +191,7 @@
         }
     }
 
-    private fun createScheduler(features: Features, onCycle: (looks: Long) -> Unit, policy: FleetPolicy) =
+    private fun createScheduler(features: Features, onCycle: (machineVisits: Long) -> Unit, policy: FleetPolicy) =
         SchedulerActor(
             scope,
             schedulerConfiguration(features.rules, policy),
@@ -232,13 +232,13 @@
         { id, record -> cluster.broadcastTerminalState(id, record) },
     )
 
-    /** For parts that are created before the features. */
+    /** For components that are created before [features]. */
     private fun featureSet(): FeatureSet = features
 
     private fun leadershipChanged(state: LeadershipState) {
         scheduler.tell(SchedulerMessage.LeadershipChanged(state))
         provisioning.tell(FleetMessage.LeadershipChanged(state))
-        stateConnection.setRates(leads = state is LeadershipState.Leader)
+        stateConnection.setRates(isLeader = state is LeadershipState.Leader)
         termLifecycle.leadershipChanged(state)
     }
 
@@ -257,7 +257,7 @@
         provisioning.tell(FleetMessage.CatalogChanged(catalog))
     }
 
-    /** Whether this controller still leads the term of [leader], and its window for commands is open. */
+    /** Whether this controller still leads the term of [leader], and its command window is open. */
     private fun maySendCommands(leader: LeadershipState.Leader): Boolean {
         val current = leadership.leadershipState.value as? LeadershipState.Leader ?: return false
         return current.term == leader.term && current.maySendCommands(clock.now())
--- a/src/main/kotlin/org/elderhitch/app/ControllerStatus.kt
+++ b/src/main/kotlin/org/elderhitch/app/ControllerStatus.kt
@@ -6,7 +6,7 @@
 import org.elderhitch.leadership.LeadershipState
 import org.elderhitch.settings.NodeName
 
-/** Builds the answer to `GET /status`; its field names are described in docs/operations.md. */
+/** Builds the response to `GET /status`; docs/operations.md documents its fields. */
 internal class ControllerStatus(
     private val node: NodeName,
     private val incarnation: Incarnation,
@@ -14,7 +14,7 @@
     private val connection: StateConnection,
     private val features: FeatureSet,
     private val metrics: Metrics,
-    /** The counts of actions that the latest term led here requested, by their recipient. */
+    /** Counts of the actions that this controller requested in its latest term as leader, by recipient. */
     private val actionCounts: () -> Map<String, Map<String, Any?>>,
 ) {
     /** The status as a JSON object. */
--- a/src/main/kotlin/org/elderhitch/app/Daemon.kt
+++ b/src/main/kotlin/org/elderhitch/app/Daemon.kt
@@ -27,17 +27,16 @@
 
 /**
  * The long-running process of a controller. One thread, the event loop, runs all of its code; a second thread only
- * waits
- * for the sockets. Mistakes in the files that it is given end the process with a message and exit code 2.
+ * waits for I/O events. An error in a settings or features file ends the process with a message and exit code 2.
  */
 internal object Daemon {
     private const val EXIT_BAD_SETTINGS = 2
 
-    /** Sockets that are left to outgoing connections; also the least that incoming ones get. */
+    /** Sockets reserved for outgoing connections; also the minimum number for incoming ones. */
     private const val OUTGOING_SOCKETS = 80
     private val log = LoggerFactory.getLogger("elderhitch")
 
-    /** Reads the settings file, or ends the process with a message that names the field that is wrong. */
+    /** Reads the settings file, or exits with a message that names the invalid field. */
     fun settings(config: String): Settings = try {
         Settings.parse(File(config).readBytes())
     } catch (e: MalformedJson) {
@@ -46,7 +45,7 @@
         exit("$config can't be read: ${e.message}")
     }
 
-    /** Reads the features file, or ends the process: users rely on features, so a mistake must not leave them out. */
+    /** Reads the features file, or exits: users rely on features, so an error must not silently disable them. */
     private fun features(file: File): Features = try {
         FeaturesFile.load(file)
     } catch (e: BadScript) {
@@ -59,10 +58,10 @@
     }
 
     /** The executor of the event loop: one thread, which keeps the process alive. */
-    fun loop(): ScheduledThreadPoolExecutor =
+    fun eventLoop(): ScheduledThreadPoolExecutor =
         ScheduledThreadPoolExecutor(1) { task -> Thread(task, "loop") }.apply { removeOnCancelPolicy = true }
 
-    /** A scope whose coroutines run on [loop]. One that fails is logged and ends no other. */
+    /** A scope whose coroutines run on [loop]. A failure of one is logged and doesn't cancel the others. */
     fun scope(loop: ScheduledThreadPoolExecutor): CoroutineScope {
         val failures = CoroutineExceptionHandler { _, error -> log.error("a coroutine failed", error) }
         return CoroutineScope(SupervisorJob() + loop.asCoroutineDispatcher() + failures)
@@ -73,7 +72,7 @@
         val settings = settings(config)
         val policy = if (policyFile == null) FleetPolicy() else PolicyScript.load(File(policyFile))
         val features = if (featuresFile == null) Features.NONE else features(File(featuresFile))
-        val loop = loop()
+        val loop = eventLoop()
         val scope = scope(loop)
         val group = channelGroup(loop)
         val controller = Controller(
--- a/src/main/kotlin/org/elderhitch/app/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/org/elderhitch/app/HeartbeatEndpoint.kt
@@ -14,7 +14,7 @@
 import org.elderhitch.scheduler.SchedulerMessage
 import kotlin.time.Duration.Companion.seconds
 
-/** Passes the heartbeats of workers to the scheduler, and answers with its commands or with the leader's name. */
+/** Passes heartbeats of workers to the scheduler, and responds with commands or with the name of the leader. */
 internal class HeartbeatEndpoint(private val scheduler: SchedulerActor, private val cluster: Cluster) {
     suspend fun handle(request: Request): Response {
         val heartbeat = try {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Names the leader only if this controller hears from it, so that no worker is sent to a dead one. */
+    /** Names the leader only if this controller receives its heartbeats, so that no worker is sent to a dead one. */
     private fun redirect(response: HeartbeatResponse.Redirect): Response {
         val leader = response.leader?.takeIf(cluster::hasRecentHeartbeat)
             ?: return HttpServer.refusal(HttpStatus.SERVICE_UNAVAILABLE, "no leader known here", RETRY_AFTER)
--- a/src/main/kotlin/org/elderhitch/app/JobEndpoint.kt
+++ b/src/main/kotlin/org/elderhitch/app/JobEndpoint.kt
@@ -17,7 +17,7 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
-/** Answers the requests of users about jobs at this controller, without forwarding them. */
+/** Serves the requests of users about jobs at this controller, without forwarding them. */
 internal class JobEndpoint(
     private val jobService: JobService,
     private val features: FeatureSet,
@@ -26,21 +26,23 @@
     private val log = LoggerFactory.getLogger("elderhitch.app")
 
     suspend fun handle(request: Request): Response = when {
-        request.path.startsWith(EXPLAIN) -> HttpServer.only("GET", request) {
-            explain(request.path.removePrefix(EXPLAIN))
+        request.path.startsWith(EXPLAIN_PATH) -> HttpServer.only("GET", request) {
+            explain(request.path.removePrefix(EXPLAIN_PATH))
         }
 
-        request.path.startsWith(RELEASE) -> HttpServer.only("POST", request) { release(request) }
+        request.path.startsWith(RELEASE_PATH) -> HttpServer.only("POST", request) { release(request) }
 
         else -> handleJob(request)
     }
 
     private suspend fun handleJob(request: Request): Response {
-        val rest = request.path.removePrefix(JOBS).removePrefix("/")
+        val rest = request.path.removePrefix(JOBS_PATH).removePrefix("/")
         return when {
-            rest.isEmpty() -> HttpServer.only("POST", request) { response(jobService.submit(request.body)) }
+            rest.isEmpty() -> HttpServer.only("POST", request) { toResponse(jobService.submit(request.body)) }
 
-            rest.endsWith(CANCEL) -> HttpServer.only("POST", request) { cancel(rest.removeSuffix(CANCEL)) }
+            rest.endsWith(CANCEL_SUFFIX) -> HttpServer.only("POST", request) {
+                cancel(rest.removeSuffix(CANCEL_SUFFIX))
+            }
 
             '/' in rest -> HttpServer.refusal(HttpStatus.NOT_FOUND, "no such path")
 
@@ -49,29 +51,29 @@
     }
 
     private suspend fun show(idText: String): Response {
-        val id = JobId.parse(idText) ?: return response(JobResponse.Unknown)
-        return response(jobService.show(id))
+        val id = JobId.parse(idText) ?: return toResponse(JobResponse.Unknown)
+        return toResponse(jobService.show(id))
     }
 
     private suspend fun cancel(idText: String): Response {
-        val id = JobId.parse(idText) ?: return response(JobResponse.Unknown)
-        return response(jobService.cancel(id))
+        val id = JobId.parse(idText) ?: return toResponse(JobResponse.Unknown)
+        return toResponse(jobService.cancel(id))
     }
 
-    /** Why the job is in its state: the lines of the features first, then the leader's or the terminal record's. */
+    /** Explains why the job is in its state: lines of the features first, then of the leader or the terminal record. */
     private suspend fun explain(idText: String): Response {
-        val id = JobId.parse(idText) ?: return response(JobResponse.Unknown)
+        val id = JobId.parse(idText) ?: return toResponse(JobResponse.Unknown)
         val shown = jobService.show(id)
-        if (shown !is JobResponse.State && shown != JobResponse.Unknown) return response(shown)
+        if (shown !is JobResponse.State && shown != JobResponse.Unknown) return toResponse(shown)
         val featureLines = features.explain(id)
-        if (shown !is JobResponse.State && featureLines.isEmpty()) return response(JobResponse.Unknown)
-        val coreLines = if (shown is JobResponse.State) explainByCore(id) else emptyList()
+        if (shown !is JobResponse.State && featureLines.isEmpty()) return toResponse(JobResponse.Unknown)
+        val otherLines = if (shown is JobResponse.State) explainWithoutFeatures(id) else emptyList()
         val status = (shown as? JobResponse.State)?.status?.phase?.wireName
-        val body = linkedMapOf("id" to id.text, "standing" to status, "why" to featureLines + coreLines)
+        val body = linkedMapOf("id" to id.text, "standing" to status, "why" to featureLines + otherLines)
         return Response(HttpStatus.OK, Json.bytes(body))
     }
 
-    private suspend fun explainByCore(id: JobId): List<String> = when (val found = jobService.lookup(id)) {
+    private suspend fun explainWithoutFeatures(id: JobId): List<String> = when (val found = jobService.lookup(id)) {
         is JobLookup.Ended -> explainTerminated(found.record)
 
         is JobLookup.Open ->
@@ -90,16 +92,16 @@
         )
     }
 
-    /** Releases a job that the rule of its class holds. The log keeps who did it and why. */
+    /** Releases a job that the rule of its class holds. The sender's address and the reason are logged. */
     private suspend fun release(request: Request): Response {
-        val id = JobId.parse(request.path.removePrefix(RELEASE)) ?: return response(JobResponse.Unknown)
+        val id = JobId.parse(request.path.removePrefix(RELEASE_PATH)) ?: return toResponse(JobResponse.Unknown)
         val reason = try {
             Json.parseObject(request.body).string("reason")
         } catch (e: MalformedJson) {
             return HttpServer.refusal(HttpStatus.BAD_REQUEST, e.message.orEmpty())
         }
-        if (reason.isBlank() || reason.length > MAX_REASON_LENGTH) {
-            val message = "reason: empty or over $MAX_REASON_LENGTH characters"
+        if (reason.isBlank() || reason.length > MAX_REASON_CHARS) {
+            val message = "reason: empty or over $MAX_REASON_CHARS characters"
             return HttpServer.refusal(HttpStatus.BAD_REQUEST, message)
         }
         val released = jobService.release(id) { it.kind == HoldKind.ATTEMPTS }
@@ -107,11 +109,11 @@
             val printable = reason.filter { it >= ' ' && it != '"' }
             log.info("job released job={} from={} reason=\"{}\"", id, request.from, printable)
         }
-        if (released != JobResponse.Unknown) return response(released)
+        if (released != JobResponse.Unknown) return toResponse(released)
         return HttpServer.refusal(HttpStatus.NOT_FOUND, "no such job held by a rule")
     }
 
-    private fun response(result: JobResponse): Response = when (result) {
+    private fun toResponse(result: JobResponse): Response = when (result) {
         is JobResponse.Accepted -> {
             val status = if (result.isNew) HttpStatus.CREATED else HttpStatus.OK
             Response(status, JobCodec.encodeStatus(result.id, result.status))
@@ -131,26 +133,26 @@
     }
 
     internal companion object {
-        private const val JOBS = "/work"
-        private const val CANCEL = "/withdraw"
-        private const val EXPLAIN = "/explain/"
-        private const val RELEASE = "/release/"
-        private const val MAX_REASON_LENGTH = 300
+        private const val JOBS_PATH = "/work"
+        private const val CANCEL_SUFFIX = "/withdraw"
+        private const val EXPLAIN_PATH = "/explain/"
+        private const val RELEASE_PATH = "/release/"
+        private const val MAX_REASON_CHARS = 300
 
-        /** Short: most causes are over within seconds, and another controller may be able to answer at once. */
+        /** Short because most causes pass within seconds, and another controller may be able to serve the request. */
         private val RETRY_AFTER = 1.seconds
         private val CAPACITY_RETRY_AFTER = 10.seconds
         private val capacityRefusal = Json.bytes(mapOf("error" to "as many jobs are open as the controllers can hold"))
         private val capacityRefusalHeaders =
             mapOf("Retry-After" to CAPACITY_RETRY_AFTER.inWholeSeconds.toString())
 
-        /** Whether the path names jobs: all of them, one, or the cancellation of one. */
-        fun isJobPath(path: String): Boolean = path == JOBS || path.startsWith("$JOBS/")
+        /** Whether the path is that of all jobs, of one job, or of the cancellation of one. */
+        fun isJobPath(path: String): Boolean = path == JOBS_PATH || path.startsWith("$JOBS_PATH/")
 
-        /** Whether the path is one of the operators' requests about a job. */
-        fun isExplainOrRelease(path: String): Boolean = path.startsWith(EXPLAIN) || path.startsWith(RELEASE)
+        /** Whether the path is that of an operator's request to explain or release a job. */
+        fun isExplainOrRelease(path: String): Boolean = path.startsWith(EXPLAIN_PATH) || path.startsWith(RELEASE_PATH)
 
-        /** Whether a submission was refused because the controllers can hold no more open jobs. */
+        /** Whether [response] rejects a submission because the controllers can't hold any more open jobs. */
         fun isCapacityRefusal(response: Response): Boolean = response.body === capacityRefusal
     }
 }
--- a/src/main/kotlin/org/elderhitch/app/LeaderQueries.kt
+++ b/src/main/kotlin/org/elderhitch/app/LeaderQueries.kt
@@ -23,15 +23,15 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Sends a request to the controller that leads. */
+/** Sends requests to the leader. */
 public fun interface LeaderRpcClient {
-    /** Calls [path], one of [LeaderRpc], at [leader]. Null if no answer arrives within [timeout]. */
-    public suspend fun ask(leader: NodeName, path: String, body: ByteArray, timeout: Duration): Response?
+    /** Calls [path], one of [LeaderRpc], at [leader]. Null if no response arrives within [timeout]. */
+    public suspend fun call(leader: NodeName, path: String, body: ByteArray, timeout: Duration): Response?
 }
 
 /**
- * Questions about jobs that only the leader can answer. Any controller may ask: if it leads, its own scheduler answers,
- * otherwise [LeaderRpcHandler] at the leader does.
+ * Queries and requests about jobs that only the leader can serve. Any controller may send them: on the leader its own
+ * scheduler serves them, elsewhere they are sent to [LeaderRpcHandler] at the leader.
  */
 public class LeaderQueries(
     private val scheduler: SchedulerActor,
@@ -40,42 +40,45 @@
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.app")
 
-    /** The usage of a job so far; null if no leader answers within [ACCOUNT_TIMEOUT] or the leader has none. */
+    /** The resource usage of a job so far; null if no leader responds within [ACCOUNT_TIMEOUT] or it has none. */
     public suspend fun account(id: JobId): JobAccount? {
         if (isLeader()) {
             return withTimeoutOrNull(ACCOUNT_TIMEOUT) { askScheduler { SchedulerMessage.GetAccount(id, it) } }
         }
-        val answer = askLeader(LeaderRpc.ACCOUNT, mapOf(LeaderRpc.ID to id.text), ACCOUNT_TIMEOUT) ?: return null
-        return decoded { answer.objectOrNull(LeaderRpc.JOB_ACCOUNT)?.let(JobAccount::decode) }
+        val answer =
+            askLeader(LeaderRpc.ACCOUNT_PATH, mapOf(LeaderRpc.ID_FIELD to id.text), ACCOUNT_TIMEOUT) ?: return null
+        return decodeOrNull { answer.objectOrNull(LeaderRpc.ACCOUNT_FIELD)?.let(JobAccount::decode) }
     }
 
-    /** Why the job is in its state; empty if the leader knows no such open job, null if no leader answers. */
+    /** Explains the state of a job; empty if the leader knows no such open job, null if no leader responds. */
     public suspend fun explain(id: JobId): List<String>? {
         if (isLeader()) return askScheduler<List<String>?> { SchedulerMessage.ExplainJob(id, it) }.orEmpty()
-        val answer = askLeader(LeaderRpc.EXPLAIN, mapOf(LeaderRpc.ID to id.text), QUERY_TIMEOUT) ?: return null
-        return decoded { answer.stringsOrNull(LeaderRpc.LINES).orEmpty() }
+        val answer =
+            askLeader(LeaderRpc.EXPLAIN_PATH, mapOf(LeaderRpc.ID_FIELD to id.text), QUERY_TIMEOUT) ?: return null
+        return decodeOrNull { answer.stringsOrNull(LeaderRpc.LINES_FIELD).orEmpty() }
     }
 
-    /** Has the leader hold the job. */
+    /** Asks the leader to hold the job. */
     public suspend fun hold(id: JobId, kind: HoldKind, reason: String): HoldResult {
         if (isLeader()) return askScheduler { SchedulerMessage.HoldJob(id, kind, reason, it) }
-        val body = mapOf(LeaderRpc.ID to id.text, LeaderRpc.KIND to kind.name, LeaderRpc.REASON to reason)
-        val answer = askLeader(LeaderRpc.HOLD, body, HOLD_TIMEOUT) ?: return HoldResult.NotNow("no leader answers")
+        val body =
+            mapOf(LeaderRpc.ID_FIELD to id.text, LeaderRpc.KIND_FIELD to kind.name, LeaderRpc.REASON_FIELD to reason)
+        val answer = askLeader(LeaderRpc.HOLD_PATH, body, HOLD_TIMEOUT) ?: return HoldResult.NotNow("no leader answers")
         return LeaderRpc.decodeHoldResult(answer)
     }
 
-    /** The machine of each task; null if this controller doesn't lead. */
+    /** The machine of each task; null if this controller isn't the leader. */
     public suspend fun placements(): Map<TaskId, MachineId>? = askScheduler { SchedulerMessage.GetPlacements(it) }
 
-    /** Names [node] a lease delegate; null if that isn't possible now, or if this controller doesn't lead. */
+    /** Makes [node] a lease delegate; null if that isn't possible now, or if this controller isn't the leader. */
     public suspend fun grantDelegation(node: NodeName): DelegationOffer? =
         askScheduler { SchedulerMessage.RequestDelegation(node, it) }
 
-    /** Open jobs whose tasks failed on every machine that tried them; null if no leader answers. */
+    /** Open jobs whose tasks failed on every machine that tried them; null if no leader responds. */
     public suspend fun faultyJobs(): Set<JobId>? {
         if (isLeader()) return askScheduler { SchedulerMessage.GetFaultyJobs(it) }
-        val answer = askLeader(LeaderRpc.FAULTY_JOBS, emptyMap(), QUERY_TIMEOUT) ?: return null
-        return decoded { answer.stringsOrNull(LeaderRpc.JOBS).orEmpty().mapNotNull(JobId::parse).toSet() }
+        val answer = askLeader(LeaderRpc.FAULTY_JOBS_PATH, emptyMap(), QUERY_TIMEOUT) ?: return null
+        return decodeOrNull { answer.stringsOrNull(LeaderRpc.JOBS_FIELD).orEmpty().mapNotNull(JobId::parse).toSet() }
     }
 
     internal fun isLeader(): Boolean = leadershipState() is LeadershipState.Leader
@@ -88,12 +91,12 @@
 
     private suspend fun askLeader(path: String, body: Map<String, Any?>, timeout: Duration): JsonObject? {
         val leader = (leadershipState() as? LeadershipState.Follower)?.leader ?: return null
-        val response = rpcClient.ask(leader, path, Json.bytes(body), timeout) ?: return null
+        val response = rpcClient.call(leader, path, Json.bytes(body), timeout) ?: return null
         if (response.status != HttpStatus.OK) return null
-        return decoded { Json.parseObject(response.body) }
+        return decodeOrNull { Json.parseObject(response.body) }
     }
 
-    private fun <T> decoded(decode: () -> T?): T? = try {
+    private fun <T> decodeOrNull(decode: () -> T?): T? = try {
         decode()
     } catch (e: MalformedJson) {
         log.info("malformed answer from=leader reason=\"{}\"", e.message)
@@ -101,11 +104,11 @@
     }
 
     private companion object {
-        /** Short, because a cancellation waits for the account, and is valid without it. */
+        /** Short because a cancellation waits for the account, but doesn't depend on it. */
         val ACCOUNT_TIMEOUT = 300.milliseconds
         val QUERY_TIMEOUT = 1500.milliseconds
 
-        /** Covers three attempts to write the hold to the state service. */
+        /** Long enough for three attempts to write the hold to the state service. */
         val HOLD_TIMEOUT = 8.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/app/LeaderRpc.kt
+++ b/src/main/kotlin/org/elderhitch/app/LeaderRpc.kt
@@ -5,35 +5,35 @@
 
 /** Paths, fields and codecs of the requests that controllers send to their leader. */
 internal object LeaderRpc {
-    const val ACCOUNT = "account"
-    const val EXPLAIN = "explain"
-    const val HOLD = "hold"
-    const val FAULTY_JOBS = "faults"
+    const val ACCOUNT_PATH = "account"
+    const val EXPLAIN_PATH = "explain"
+    const val HOLD_PATH = "hold"
+    const val FAULTY_JOBS_PATH = "faults"
 
-    const val ID = "id"
-    const val JOB_ACCOUNT = "acct"
-    const val LINES = "lines"
-    const val KIND = "kind"
-    const val REASON = "why"
-    const val JOBS = "jobs"
+    const val ID_FIELD = "id"
+    const val ACCOUNT_FIELD = "acct"
+    const val LINES_FIELD = "lines"
+    const val KIND_FIELD = "kind"
+    const val REASON_FIELD = "why"
+    const val JOBS_FIELD = "jobs"
 
-    private const val HOLD_RESULT = "hold"
+    private const val RESULT_FIELD = "hold"
     private const val HELD = "held"
     private const val INCONSISTENT = "inconsistent"
     private const val NO_SUCH_JOB = "unknown"
     private const val NOT_NOW = "later"
 
     fun encode(result: HoldResult): Map<String, Any?> = when (result) {
-        HoldResult.Held -> mapOf(HOLD_RESULT to HELD)
-        is HoldResult.Inconsistent -> mapOf(HOLD_RESULT to INCONSISTENT, REASON to result.reason)
-        HoldResult.NoSuchJob -> mapOf(HOLD_RESULT to NO_SUCH_JOB)
-        is HoldResult.NotNow -> mapOf(HOLD_RESULT to NOT_NOW, REASON to result.reason)
+        HoldResult.Held -> mapOf(RESULT_FIELD to HELD)
+        is HoldResult.Inconsistent -> mapOf(RESULT_FIELD to INCONSISTENT, REASON_FIELD to result.reason)
+        HoldResult.NoSuchJob -> mapOf(RESULT_FIELD to NO_SUCH_JOB)
+        is HoldResult.NotNow -> mapOf(RESULT_FIELD to NOT_NOW, REASON_FIELD to result.reason)
     }
 
-    /** Unknown results, which a later version may send, count as [HoldResult.NotNow]. */
+    /** A result that this version doesn't know counts as [HoldResult.NotNow]; a later version may send one. */
     fun decodeHoldResult(answer: JsonObject): HoldResult {
-        val reason = answer.stringOrNull(REASON).orEmpty()
-        return when (answer.stringOrNull(HOLD_RESULT)) {
+        val reason = answer.stringOrNull(REASON_FIELD).orEmpty()
+        return when (answer.stringOrNull(RESULT_FIELD)) {
             HELD -> HoldResult.Held
             INCONSISTENT -> HoldResult.Inconsistent(reason)
             NO_SUCH_JOB -> HoldResult.NoSuchJob
--- a/src/main/kotlin/org/elderhitch/app/LeaderRpcHandler.kt
+++ b/src/main/kotlin/org/elderhitch/app/LeaderRpcHandler.kt
@@ -12,51 +12,51 @@
 import org.elderhitch.json.MalformedJson
 
 /**
- * The leader's side of [LeaderQueries]: answers the requests of other controllers, whose paths are those of
- * [LeaderRpc]. A controller that doesn't lead answers 503.
+ * The server side of [LeaderQueries]: serves the paths of [LeaderRpc] to other controllers. A controller that isn't the
+ * leader responds with 503.
  */
 public class LeaderRpcHandler(private val queries: LeaderQueries) : Handler {
     private class JobQuery(val id: JobId, val body: JsonObject)
 
     override suspend fun handle(request: Request): Response {
         if (!queries.isLeader()) return HttpServer.refusal(HttpStatus.SERVICE_UNAVAILABLE, "not the leader")
-        if (request.path == LeaderRpc.FAULTY_JOBS) return faultyJobs()
+        if (request.path == LeaderRpc.FAULTY_JOBS_PATH) return faultyJobs()
         val query = try {
             jobQuery(request)
         } catch (e: MalformedJson) {
             return HttpServer.refusal(HttpStatus.BAD_REQUEST, e.message.orEmpty())
         }
         return when (request.path) {
-            LeaderRpc.ACCOUNT -> ok(mapOf(LeaderRpc.JOB_ACCOUNT to queries.account(query.id)?.encode()))
-            LeaderRpc.EXPLAIN -> ok(mapOf(LeaderRpc.LINES to queries.explain(query.id).orEmpty()))
-            LeaderRpc.HOLD -> hold(query)
-            else -> HttpServer.refusal(HttpStatus.BAD_REQUEST, "no such question")
+            LeaderRpc.ACCOUNT_PATH -> ok(mapOf(LeaderRpc.ACCOUNT_FIELD to queries.account(query.id)?.encode()))
+            LeaderRpc.EXPLAIN_PATH -> ok(mapOf(LeaderRpc.LINES_FIELD to queries.explain(query.id).orEmpty()))
+            LeaderRpc.HOLD_PATH -> hold(query)
+            else -> HttpServer.refusal(HttpStatus.BAD_REQUEST, "unknown request")
         }
     }
 
     private fun jobQuery(request: Request): JobQuery {
         val body = Json.parseObject(request.body)
-        val id = JobId.parse(body.string(LeaderRpc.ID)) ?: throw MalformedJson("id: no job's")
+        val id = JobId.parse(body.string(LeaderRpc.ID_FIELD)) ?: throw MalformedJson("id: not a job id")
         return JobQuery(id, body)
     }
 
     private suspend fun faultyJobs(): Response {
         val jobs = queries.faultyJobs().orEmpty().take(MAX_FAULTY_JOBS)
-        return ok(mapOf(LeaderRpc.JOBS to jobs.map { it.text }))
+        return ok(mapOf(LeaderRpc.JOBS_FIELD to jobs.map { it.text }))
     }
 
     private suspend fun hold(query: JobQuery): Response {
-        val kindName = query.body.stringOrNull(LeaderRpc.KIND)
+        val kindName = query.body.stringOrNull(LeaderRpc.KIND_FIELD)
         val kind = HoldKind.entries.firstOrNull { it.name == kindName }
             ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "kind: unknown")
-        val reason = query.body.stringOrNull(LeaderRpc.REASON).orEmpty()
+        val reason = query.body.stringOrNull(LeaderRpc.REASON_FIELD).orEmpty()
         return ok(LeaderRpc.encode(queries.hold(query.id, kind, reason)))
     }
 
-    private fun ok(answer: Map<String, Any?>) = Response(HttpStatus.OK, Json.bytes(answer))
+    private fun ok(body: Map<String, Any?>) = Response(HttpStatus.OK, Json.bytes(body))
 
     private companion object {
-        /** Bounds the answer when very many jobs are faulty. */
+        /** Bounds the size of the response. */
         const val MAX_FAULTY_JOBS = 1000
     }
 }
--- a/src/main/kotlin/org/elderhitch/app/Main.kt
+++ b/src/main/kotlin/org/elderhitch/app/Main.kt
@@ -12,29 +12,29 @@
 
 private const val SERVE = "serve"
 
-/** Names of commands in earlier versions; accepted, but not listed in the help. */
-private val formerNames = mapOf(
+/** Names of commands in earlier versions: still accepted, but not listed in the help. */
+private val deprecatedNames = mapOf(
     "withdraw" to listOf(CancelCommand.NAME),
     "rehearse" to listOf(TrainClassArchiveCommand.NAME),
 )
 
 private class Elderhitch : CoreCliktCommand(name = "elderhitch") {
     init {
-        // CoreCliktCommand alone leaves it to the program to exit with an error's status code.
+        // CoreCliktCommand doesn't exit with the status code of an error by itself.
         context { exitProcess = { code -> kotlin.system.exitProcess(code) } }
         versionOption(Elderhitch::class.java.`package`.implementationVersion ?: "development")
     }
 
-    override fun aliases(): Map<String, List<String>> = formerNames
+    override fun aliases(): Map<String, List<String>> = deprecatedNames
 
     override fun run() = Unit
 }
 
-/** The program's entry point. `--config FILE` alone, as the platform starts it, means `serve --config FILE`. */
+/** The entry point. The platform starts a controller with `--config FILE` alone, short for `serve --config FILE`. */
 public fun main(args: Array<String>) {
     Logging.configure(System.getenv("LOG_LEVEL"))
     val arguments = if (args.firstOrNull() == "--config") arrayOf(SERVE) + args else args
-    // A controller starts on a small share of a core, so it doesn't load the classes of commands that it won't run.
+    // A controller starts with a small share of a CPU core, so it doesn't load classes of commands that it won't run.
     val extensionCommands = if (arguments.firstOrNull() == SERVE) emptyList() else extensionCommands()
     Elderhitch().subcommands(coreCommands() + extensionCommands).main(arguments)
 }
--- a/src/main/kotlin/org/elderhitch/app/Metrics.kt
+++ b/src/main/kotlin/org/elderhitch/app/Metrics.kt
@@ -19,13 +19,13 @@
     private val cancellations = Timer.builder("users.withdraw").register(registry)
     private val refusals = Counter.builder("users.refused").register(registry)
 
-    /** Registers a gauge, whose value is read whenever the status is. */
+    /** Registers a gauge whose value is computed whenever the metrics are read. */
     public fun gauge(name: String, value: () -> Number) {
         Gauge.builder(name, value).register(registry)
     }
 
-    /** Serves a user's request about jobs, and records how long that took and whether it was refused with 503. */
-    public suspend fun timed(request: Request, serve: suspend () -> Response): Response {
+    /** Serves a user's request about jobs, and records its duration and whether the response is 503. */
+    public suspend fun recordRequest(request: Request, serve: suspend () -> Response): Response {
         val startedAt = clock.now()
         val response = serve()
         val elapsed = clock.now() - startedAt
--- a/src/main/kotlin/org/elderhitch/app/PartitionDetector.kt
+++ b/src/main/kotlin/org/elderhitch/app/PartitionDetector.kt
@@ -7,7 +7,7 @@
 import org.elderhitch.settings.Settings
 import org.elderhitch.store.StateWatch
 
-/** Decides whether a network partition separates this controller from the leader. */
+/** Detects whether a network partition separates this controller from the leader. */
 internal class PartitionDetector(
     private val scope: CoroutineScope,
     private val settings: Settings,
@@ -16,12 +16,12 @@
     private val stateWatch: StateWatch,
 ) {
     /**
-     * Whether no heartbeats arrive from [leader], and none from any other controller of its zone or none from the state
-     * service either.
+     * Whether no heartbeats arrive from [leader], and either none arrive from the other controllers of its zone or the
+     * state service doesn't respond.
      *
-     * Two zones that can't reach each other may both reach the state service, so its answers alone prove nothing: with
-     * them as the only criterion, controllers redirected the workers of the zone without the leader to a leader that
-     * those couldn't reach, and the tasks ended with their leases.
+     * Two zones that can't reach each other may both reach the state service, so reaching it doesn't rule out a
+     * partition. When it was the only criterion, controllers in the zone without the leader redirected workers to a
+     * leader that those couldn't reach, and the workers' tasks ended when their leases expired.
      */
     fun isCutOffFrom(leader: NodeName): Boolean {
         if (cluster.hasRecentHeartbeat(leader)) return false
--- a/src/main/kotlin/org/elderhitch/app/ProbeEndpoint.kt
+++ b/src/main/kotlin/org/elderhitch/app/ProbeEndpoint.kt
@@ -6,7 +6,7 @@
 import org.elderhitch.json.Json
 import kotlin.time.Duration.Companion.seconds
 
-/** Answers the readiness probes of load balancers and the operators' requests for the status. */
+/** Serves the readiness probes of load balancers and the operators' status requests. */
 internal class ProbeEndpoint(private val isReady: () -> Boolean, private val readStatus: () -> Map<String, Any?>) {
     fun ready(): Response = if (isReady()) {
         Response(HttpStatus.OK, Json.bytes(mapOf("ready" to true)))
--- a/src/main/kotlin/org/elderhitch/app/RequestRouter.kt
+++ b/src/main/kotlin/org/elderhitch/app/RequestRouter.kt
@@ -14,24 +14,24 @@
     private val jobs: JobEndpoint,
     private val probes: ProbeEndpoint,
     private val cluster: Cluster,
-    private val reachesState: () -> Boolean,
+    private val reachesStateService: () -> Boolean,
     private val metrics: Metrics,
     private val features: FeatureSet,
 ) : Handler {
     override suspend fun handle(request: Request): Response {
         val path = request.path
         return when {
-            path == HEARTBEAT -> HttpServer.only("POST", request) { heartbeats.handle(request) }
+            path == HEARTBEAT_PATH -> HttpServer.only("POST", request) { heartbeats.handle(request) }
 
-            path == READY -> HttpServer.only("GET", request) { probes.ready() }
+            path == READY_PATH -> HttpServer.only("GET", request) { probes.ready() }
 
-            path == STATUS -> HttpServer.only("GET", request) { probes.status() }
+            path == STATUS_PATH -> HttpServer.only("GET", request) { probes.status() }
 
-            JobEndpoint.isJobPath(path) -> metrics.timed(request) { handleJobRequest(request) }
+            JobEndpoint.isJobPath(path) -> metrics.recordRequest(request) { handleJobRequest(request) }
 
             JobEndpoint.isExplainOrRelease(path) -> handleJobRequest(request)
 
-            // Not forwarded to other controllers: the clients of features know all of them.
+            // Not forwarded to another controller: the clients of features know the addresses of all controllers.
             else -> features.forPath(path)?.handle(request)
                 ?: HttpServer.refusal(HttpStatus.NOT_FOUND, "no such path")
         }
@@ -39,9 +39,9 @@
 
     /** Forwards the request to another controller if this one can't serve it now. */
     private suspend fun handleJobRequest(request: Request): Response {
-        if (!reachesState()) cluster.forward(request)?.let { return it }
+        if (!reachesStateService()) cluster.forward(request)?.let { return it }
         val response = jobs.handle(request)
-        // The limit on open jobs is the same at all controllers, so forwarding wouldn't help.
+        // All controllers have the same limit on open jobs, so another one would reject the submission too.
         if (response.status != HttpStatus.SERVICE_UNAVAILABLE || JobEndpoint.isCapacityRefusal(response)) {
             return response
         }
@@ -49,8 +49,8 @@
     }
 
     private companion object {
-        const val HEARTBEAT = "/checkin"
-        const val READY = "/ready"
-        const val STATUS = "/status"
+        const val HEARTBEAT_PATH = "/checkin"
+        const val READY_PATH = "/ready"
+        const val STATUS_PATH = "/status"
     }
 }
--- a/src/main/kotlin/org/elderhitch/app/SchedulerStateWriter.kt
+++ b/src/main/kotlin/org/elderhitch/app/SchedulerStateWriter.kt
@@ -27,8 +27,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Writes the scheduler's records to the state service, each in a coroutine of its own, and sends the results back to
- * the scheduler as messages.
+ * Writes the scheduler's records to the state service, each in a separate coroutine, and sends the results to the
+ * scheduler as messages.
  */
 internal class SchedulerStateWriter(
     private val scope: CoroutineScope,
@@ -41,11 +41,11 @@
 ) {
     private var lastImageHints: Map<String, Any?> = emptyMap()
 
-    /** Records completed tasks; [SchedulerMessage.CompletionsRecorded] says which of them are recorded. */
+    /** Records completed tasks; [SchedulerMessage.CompletionsRecorded] lists those that were recorded. */
     fun recordCompletions(leader: LeadershipState.Leader, batches: List<CompletionBatch>) {
         scope.launch {
             val recorded = completionWriter.record(leader, batches.filter { !it.providerOwned })
-            val recordedByProviders = recordAtProviders(leader, batches.filter { it.providerOwned })
+            val recordedByProviders = recordWithProviders(leader, batches.filter { it.providerOwned })
             if (recorded == null || recordedByProviders == null) {
                 leadership.tell(LeadershipMessage.TermObserved(Term(leader.term.number + 1)))
             }
@@ -55,8 +55,8 @@
         }
     }
 
-    /** Null if another term has begun, or if the provider of a job isn't switched on. */
-    private suspend fun recordAtProviders(
+    /** Null if another term has begun, or if the provider of a job is disabled. */
+    private suspend fun recordWithProviders(
         leader: LeadershipState.Leader,
         batches: List<CompletionBatch>,
     ): Map<JobId, List<Int>>? {
@@ -77,25 +77,26 @@
     }
 
     /**
-     * Records a hold in place of revision [replaces] of its key. Each attempt sends [SchedulerMessage.HoldWritten]; the
-     * scheduler starts no task of the job until the result is known, so an unknown one is retried without limit.
+     * Records a hold, replacing revision [replaces] of its key. Each attempt sends [SchedulerMessage.HoldWritten]. The
+     * scheduler starts no task of the job until the result is known, so an attempt whose result is unknown is retried
+     * without limit.
      */
     fun writeHold(leader: LeadershipState.Leader, job: JobId, version: Revision, replaces: Revision, hold: JobHold) {
         scope.launch {
-            var unknownBefore = false
+            var hasUnknownAttempt = false
             while (true) {
                 val outcome = completionWriter.hold(leader, job, version, replaces, hold)
-                val result = holdWriteResult(outcome, job, unknownBefore)
+                val result = holdWriteResult(outcome, job, hasUnknownAttempt)
                 tellScheduler(SchedulerMessage.HoldWritten(leader.term, job, result))
                 if (result != HoldWriteResult.UNKNOWN) return@launch
-                unknownBefore = true
-                delay(HOLD_RETRY)
+                hasUnknownAttempt = true
+                delay(HOLD_RETRY_DELAY)
             }
         }
     }
 
-    /** [unknownBefore]: an earlier attempt got no answer, and may still be executed although this one was refused. */
-    private fun holdWriteResult(outcome: CommitOutcome, job: JobId, unknownBefore: Boolean): HoldWriteResult =
+    /** If [hasUnknownAttempt], an earlier attempt got no response and may be executed even if this one is refused. */
+    private fun holdWriteResult(outcome: CommitOutcome, job: JobId, hasUnknownAttempt: Boolean): HoldWriteResult =
         when (outcome) {
             is CommitOutcome.Committed -> HoldWriteResult.WRITTEN
 
@@ -107,7 +108,7 @@
             CommitOutcome.Unknown -> HoldWriteResult.UNKNOWN
 
             CommitOutcome.Refused, CommitOutcome.NoSuchLease ->
-                if (unknownBefore) HoldWriteResult.UNKNOWN else HoldWriteResult.NOT_WRITTEN
+                if (hasUnknownAttempt) HoldWriteResult.UNKNOWN else HoldWriteResult.NOT_WRITTEN
         }
 
     /** Deletes the hold of a job. */
@@ -130,6 +131,6 @@
     }
 
     private companion object {
-        val HOLD_RETRY = 1.seconds
+        val HOLD_RETRY_DELAY = 1.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
+++ b/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
@@ -18,20 +18,20 @@
 import org.elderhitch.settings.NodeName
 import org.elderhitch.store.Revision
 
-/** Connects the scheduler to the other parts of a controller. None of its functions waits for a result. */
+/** Connects the scheduler to the other components of a controller. None of its functions waits for a result. */
 internal class SchedulerWiring(
     private val jobRegistry: JobRegistry,
     private val leadership: Leadership,
     private val provisioning: () -> ProvisioningActor,
     private val stateWriter: SchedulerStateWriter,
     private val workerCommands: WorkerCommandSender,
-    private val cutOffCheck: (NodeName) -> Boolean,
+    private val isCutOff: (NodeName) -> Boolean,
 ) : SchedulerPorts {
     /** The number of running tasks of each job, by the leader's latest count. */
     var runningTasks: Map<JobId, Int> = emptyMap()
         private set
 
-    /** Counts of the actions that the latest term led here requested of workers, for `/status`. */
+    /** Counts of the actions that this controller requested of workers in its latest term as leader, for `/status`. */
     var workerActionCounts: Map<String, Any?> = emptyMap()
         private set
 
@@ -78,5 +78,5 @@
         commands: List<Command>,
     ) = workerCommands.send(leader, address, machine, agentEpoch, commands)
 
-    override fun isCutOffFrom(leader: NodeName): Boolean = cutOffCheck(leader)
+    override fun isCutOffFrom(leader: NodeName): Boolean = isCutOff(leader)
 }
--- a/src/main/kotlin/org/elderhitch/app/StandInServices.kt
+++ b/src/main/kotlin/org/elderhitch/app/StandInServices.kt
@@ -19,9 +19,9 @@
 import java.io.IOException
 import kotlin.random.Random
 
-/** Runs the stand-ins for the state service, the cloud and the workers on loopback, to try out a controller. */
+/** Runs simulated services, namely the state service, the cloud and the workers, to try out a controller. */
 internal object StandInServices {
-    /** The most connections that the server of the stand-ins keeps open. */
+    /** The maximum number of connections of the server that hosts the simulated services. */
     const val MAX_CONNECTIONS = 256
 
     private const val MACHINES_PER_ZONE = 8
@@ -34,25 +34,25 @@
     }
 
     /**
-     * Runs the services at the addresses that the settings file [config] names. The workers report to [controllers], by
-     * default the one that the settings are for. [uploads] is the folder of job descriptions that workers fetch.
+     * Runs the services at the addresses in the settings file [config]. The workers report to [controllers], by default
+     * the controller that the settings are for. [uploads] is a directory of job descriptions that workers fetch.
      */
     fun run(config: String, controllers: Map<String, Address>?, uploads: File?) {
         val settings = Daemon.settings(config)
-        val loop = Daemon.loop()
+        val loop = Daemon.eventLoop()
         val scope = Daemon.scope(loop)
         val group = channelGroup(loop)
         val client = HttpClient(group, SystemSteadyClock)
         val server = HttpServer(group, scope, SystemSteadyClock, MAX_CONNECTIONS)
         val platform = start(settings, scope, client, server, controllers ?: ownAddress(settings))
-        uploads?.let { folder -> platform.uploaded = { job -> readUpload(File(folder, "$job.json")) } }
+        uploads?.let { directory -> platform.uploaded = { job -> readUpload(File(directory, "$job.json")) } }
         log.info("stand-ins up state={} cloud={}", settings.state, settings.cloud)
     }
 
-    /** The client address of the controller that the settings are for; they don't name those of other controllers. */
+    /** The client address of the controller that the settings are for; they don't contain those of its peers. */
     fun ownAddress(settings: Settings): Map<String, Address> = mapOf(settings.node.text to settings.clientListen)
 
-    /** Starts the services and serves them at the addresses in the settings. */
+    /** Starts the services and listens on their addresses in the settings. */
     fun start(
         settings: Settings,
         scope: CoroutineScope,
@@ -76,7 +76,7 @@
         return platform
     }
 
-    /** Null if there is no such file, or if it is no job's description. */
+    /** Null if the file doesn't exist, or if it isn't a job description. */
     private fun readUpload(file: File): TaskScript? = try {
         if (file.isFile) StandInPlatform.script(Json.parseObject(file.readBytes())) else null
     } catch (e: IOException) {
--- a/src/main/kotlin/org/elderhitch/app/StateConnection.kt
+++ b/src/main/kotlin/org/elderhitch/app/StateConnection.kt
@@ -9,59 +9,59 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * This controller's connection to the state service: the client, this controller's share of the request rates that all
- * controllers share, and whether the service answers.
+ * The connection to the state service: the client, this controller's share of the request rates that apply to all
+ * controllers together, and whether the service responds.
  */
 internal class StateConnection(private val settings: Settings, transport: Transport, private val clock: SteadyClock) {
     private val requests = RequestRateLimiter(clock, rateShare(settings.stateLimits.requestsPerS, FOLLOWER_SHARE))
     private val writes = RequestRateLimiter(clock, rateShare(settings.stateLimits.writesPerS, FOLLOWER_SHARE))
-    private var answeredAt = MonotonicInstant.NEVER
+    private var lastResponseAt = MonotonicInstant.NEVER
     private var lastRequestFailed = false
-    private var probedAt = MonotonicInstant.NEVER
+    private var lastProbeAt = MonotonicInstant.NEVER
 
     val client: StateClient =
         StateClient(transport, settings.state, settings.stateLimits, requests, writes, ::requestCompleted)
 
     private fun requestCompleted(answered: Boolean) {
         lastRequestFailed = !answered
-        if (answered) answeredAt = clock.now()
+        if (answered) lastResponseAt = clock.now()
     }
 
-    /** Sets the request rates to the share of a leader, which writes more, or of a follower. */
-    fun setRates(leads: Boolean) {
-        val share = if (leads) LEADER_SHARE else FOLLOWER_SHARE
+    /** Sets the request rates to the share of a leader, which writes more, or to that of a follower. */
+    fun setRates(isLeader: Boolean) {
+        val share = if (isLeader) LEADER_SHARE else FOLLOWER_SHARE
         requests.setRate(rateShare(settings.stateLimits.requestsPerS, share))
         writes.setRate(rateShare(settings.stateLimits.writesPerS, share))
     }
 
     private fun rateShare(rate: Double, share: Double): Double =
-        if (settings.peers.isEmpty()) rate * USABLE_RATE else rate * USABLE_RATE * share
+        if (settings.peers.isEmpty()) rate * USABLE_SHARE else rate * USABLE_SHARE * share
 
-    /** Whether the latest request was answered, and recently enough to expect that the next one will be. */
-    fun isReachable(): Boolean = !lastRequestFailed && clock.now() - answeredAt < CONTACT_FRESH
+    /** Whether the latest request got a response, recently enough to expect one to the next request. */
+    fun isReachable(): Boolean = !lastRequestFailed && clock.now() - lastResponseAt < REACHABLE_AFTER_RESPONSE
 
     /**
-     * Whether the state service is lost, which [isReachable] notices later: while nothing changes, the service is
-     * silent for so long that half of the workers' leases could expire first. After [PROBE_AFTER] without an answer
-     * this calls [sendProbe], which must send a request, and counts the service as lost if no answer arrives within
-     * [PROBE_TIMEOUT].
+     * Whether the connection to the state service is lost. [isReachable] notices that too late: while nothing changes,
+     * a watch gets no response for so long that half of the workers' leases could expire first. After [PROBE_AFTER]
+     * without a response this calls [sendProbe], which must send a request, and returns true if no response arrives
+     * within [PROBE_TIMEOUT].
      */
     fun isLost(sendProbe: () -> Unit): Boolean {
         val now = clock.now()
-        if (answeredAt > probedAt && now - answeredAt > PROBE_AFTER) {
-            probedAt = now
+        if (lastResponseAt > lastProbeAt && now - lastResponseAt > PROBE_AFTER) {
+            lastProbeAt = now
             sendProbe()
         }
-        val probeUnanswered = answeredAt <= probedAt && now - probedAt > PROBE_TIMEOUT
+        val probeUnanswered = lastResponseAt <= lastProbeAt && now - lastProbeAt > PROBE_TIMEOUT
         return lastRequestFailed || probeUnanswered
     }
 
     private companion object {
-        /** The rest of the rate covers controllers whose clocks run fast. */
-        const val USABLE_RATE = 0.92
+        /** The share of a rate that is used; the rest allows for controllers whose clocks run fast. */
+        const val USABLE_SHARE = 0.92
         const val LEADER_SHARE = 0.6
         const val FOLLOWER_SHARE = 0.2
-        val CONTACT_FRESH = 13.seconds
+        val REACHABLE_AFTER_RESPONSE = 13.seconds
         val PROBE_AFTER = 1.seconds
         val PROBE_TIMEOUT = 1.seconds
     }
--- a/src/main/kotlin/org/elderhitch/app/TermLifecycle.kt
+++ b/src/main/kotlin/org/elderhitch/app/TermLifecycle.kt
@@ -12,21 +12,21 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Starts and ends the terms that this controller leads, and keeps the leader's knowledge fresh. */
+/** Starts and ends the terms in which this controller is the leader, and keeps its copy of the state fresh. */
 internal class TermLifecycle(
     private val scope: CoroutineScope,
     private val leadership: Leadership,
     private val cluster: Cluster,
     private val stateWatch: StateWatch,
     private val features: FeatureSet,
-    /** How often a leader proves that it has missed no change: as often as it renews its lease. */
+    /** How often a leader verifies that it has missed no change; the same as the interval of its lease renewals. */
     private val freshnessInterval: Duration,
-    /** Called once everything that was recorded before the claim of the term is known here. */
+    /** Called once everything that was recorded before the term was claimed is loaded. */
     private val onLoaded: (Term) -> Unit,
 ) {
     private var currentTerm: Term? = null
 
-    /** Must be called with each state of [Leadership], in order. */
+    /** Must be called with each state of [Leadership] in order. */
     fun leadershipChanged(state: LeadershipState) {
         val term = (state as? LeadershipState.Leader)?.term
         if (term == currentTerm) return
@@ -39,20 +39,20 @@
         }
     }
 
-    /** A term acts only once everything that was recorded before its claim is known here. */
+    /** The leader acts only once everything that was recorded before its term was claimed is loaded. */
     private suspend fun load(leader: LeadershipState.Leader) {
         while (!stateWatch.awaitFreshness() || !features.prepare()) {
-            delay(LOAD_RETRY)
+            delay(LOAD_RETRY_DELAY)
             if (!isLeading(leader.term)) return
         }
         onLoaded(leader.term)
         if (currentTerm == leader.term) features.onTermStarted(leader)
     }
 
-    /** A leader's windows for commands and answers extend only as far as its knowledge is fresh. */
+    /** A leader may send commands and responses only for a limited time after its copy of the state was last fresh. */
     private suspend fun keepFresh(leader: LeadershipState.Leader) {
         while (isLeading(leader.term)) {
-            delay(if (stateWatch.checkFreshness()) freshnessInterval else FRESHNESS_RETRY)
+            delay(if (stateWatch.checkFreshness()) freshnessInterval else FRESHNESS_RETRY_DELAY)
         }
     }
 
@@ -60,7 +60,7 @@
         (leadership.leadershipState.value as? LeadershipState.Leader)?.term == term
 
     private companion object {
-        val LOAD_RETRY = 100.milliseconds
-        val FRESHNESS_RETRY = 300.milliseconds
+        val LOAD_RETRY_DELAY = 100.milliseconds
+        val FRESHNESS_RETRY_DELAY = 300.milliseconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/app/TrainingInputs.kt
+++ b/src/main/kotlin/org/elderhitch/app/TrainingInputs.kt
@@ -2,8 +2,8 @@
 
 /** The settings and jobs of [ClassArchiveTraining], in their wire formats. */
 internal object TrainingInputs {
-    /** The number of ports that [settings] needs. */
-    const val PORTS = 5
+    /** The number of ports that [settings] requires. */
+    const val PORT_COUNT = 5
 
     private val jobTemplate: Map<String, Any?> = linkedMapOf(
         "id" to null,
@@ -31,7 +31,7 @@
     private val team: Map<String, Any?> =
         linkedMapOf("name" to "team", "cpus" to 0.0, "cpus_max" to 0.0, "gpus" to 0.0, "gpus_max" to 64.0)
 
-    private val platform: Map<String, Any?> = linkedMapOf(
+    private val platformSettings: Map<String, Any?> = linkedMapOf(
         "zones" to listOf("a", "b"),
         "teams" to listOf(team),
         "workers" to linkedMapOf(
@@ -52,7 +52,7 @@
     }
 
     /**
-     * The settings of a controller on loopback. Its one peer doesn't run, so that calls to an absent peer are covered.
+     * The settings of a controller on loopback. Its only peer isn't running, so that the training covers failed calls.
      */
     fun settings(ports: List<Int>): Map<String, Any?> {
         val addresses = ports.map { "127.0.0.1:$it" }.iterator()
@@ -65,7 +65,7 @@
                 linkedMapOf("node_name" to "training-1", "zone" to "b", "address" to addresses.next()),
             ),
             "external" to linkedMapOf("cloud" to addresses.next(), "state" to addresses.next()),
-            "settings" to platform,
+            "settings" to platformSettings,
         )
     }
 }
--- a/src/main/kotlin/org/elderhitch/app/WatchDispatcher.kt
+++ b/src/main/kotlin/org/elderhitch/app/WatchDispatcher.kt
@@ -18,7 +18,7 @@
 import org.elderhitch.tasks.ImageHints
 import org.elderhitch.time.MonotonicInstant
 
-/** Passes what the watch of the state service reports to the parts of the controller that follow it. */
+/** Dispatches the snapshots and changes of the state watch to the components of the controller that use them. */
 internal class WatchDispatcher(
     private val jobRegistry: JobRegistry,
     private val provisioning: ProvisioningActor,
@@ -26,7 +26,7 @@
     private val scheduler: SchedulerActor,
     private val leadership: Leadership,
     private val features: () -> FeatureSet,
-    /** Called with the reason when an entry requires a feature that is off. */
+    /** Called with the reason when an entry requires a feature that is disabled. */
     private val onMissingFeature: (String) -> Unit,
 ) : StateWatchListener {
     override fun snapshot(entries: List<Entry>, revision: Revision) {
@@ -50,7 +50,7 @@
         leadership.tell(LeadershipMessage.LeaderObserved(newEntry(leaderChange)))
     }
 
-    /** Passed through the job registry, as the changes are, so that it reaches the scheduler after them. */
+    /** Sent through the job registry, like the changes, so that it reaches the scheduler after them. */
     override fun freshAsOf(since: MonotonicInstant) = jobRegistry.tell(JobMessage.FreshAsOf(since))
 
     /** Null if the change deletes the key. */
--- a/src/main/kotlin/org/elderhitch/app/WorkerCommandSender.kt
+++ b/src/main/kotlin/org/elderhitch/app/WorkerCommandSender.kt
@@ -10,17 +10,17 @@
 import org.elderhitch.scheduler.SchedulerMessage
 
 /**
- * Calls workers at their own addresses for the scheduler, each call in a coroutine of its own, and sends the results
- * back to the scheduler as messages.
+ * Sends requests of the scheduler to workers' own addresses, each in a separate coroutine, and sends the results to the
+ * scheduler as messages.
  */
 internal class WorkerCommandSender(
     private val scope: CoroutineScope,
     private val workerClient: WorkerClient,
-    /** Whether the term may still send commands; checked right before each request is sent. */
+    /** Whether the leader may still send commands; checked right before each request is sent. */
     private val maySendCommands: (LeadershipState.Leader) -> Boolean,
     private val tellScheduler: (SchedulerMessage) -> Unit,
 ) {
-    /** Sends commands; the result comes back as [SchedulerMessage.CommandsDelivered]. */
+    /** Sends commands; the result is sent as [SchedulerMessage.CommandsDelivered]. */
     fun send(
         leader: LeadershipState.Leader,
         address: Address,
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Asks a worker for its tasks and tells it the term; the result comes back as [SchedulerMessage.ProbeCompleted].
+     * Requests a worker's task list and tells it the term; the result is sent as [SchedulerMessage.ProbeCompleted].
      */
     fun probe(leader: LeadershipState.Leader, address: Address, machine: MachineId) {
         scope.launch {
