--- a/src/test/kotlin/org/elderhitch/app/QuotaFaultsTest.kt
+++ b/src/test/kotlin/org/elderhitch/app/QuotaFaultsTest.kt
@@ -16,9 +16,10 @@
     private val ofTeamFew = mapOf("desk" to "few", "accelerators" to 2.0)
 
     /**
-     * Both teams are at their quota, of accelerators and of cores, with more work pending. Jobs on unreachable machines
-     * are cancelled, and the leader changes twice meanwhile. What the machines may still run counts towards the quota
-     * until they report, their leases end, or the cloud confirms their termination.
+     * Both teams are at their quota, of accelerators and of cores, with more jobs pending. Jobs on unreachable machines
+     * are cancelled, and the leader changes twice meanwhile. Tasks that may still run on these machines count towards
+     * the quota until a heartbeat shows otherwise, their leases end, or the cloud confirms the termination of the
+     * machine.
      */
     @Test
     fun `cancellations on unreachable machines keep to the quota while the leader changes`() = faultScenario(1L..12L, {
@@ -94,8 +95,8 @@
     }
 
     /**
-     * What two machines may run that can be neither probed nor terminated counts towards the quota until their leases
-     * have ended, and no longer.
+     * Tasks that may run on two machines that can be neither probed nor terminated count towards the quota until their
+     * leases have ended, and no longer.
      */
     @Test
     fun `a team at its quota goes on after a takeover in which some machines could not be probed`() =
