--- a/src/main/kotlin/org/elderhitch/sweeps/Sources.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/DescriptionReader.kt
@@ -17,16 +17,16 @@
 import java.nio.charset.CodingErrorAction
 
 /**
- * Reads what a user wrote: a template's file, and points from a table or a script. On the client's machine; what is
- * sent is a [Description].
+ * Reads a sweep from the user's files: the template, and points from a CSV table or a Lua script. Runs on the client's
+ * machine; only the resulting [Description] is sent.
  */
-public object Sources {
-    private const val MOST_TEMPLATE_BYTES = 256 * 1024L
+public object DescriptionReader {
+    private const val MAX_TEMPLATE_BYTES = 256 * 1024L
 
-    /** Throws [BadTemplate] with one line. [table]: a CSV file instead of the points that the file names. */
+    /** [table]: a CSV file that replaces the points in [file]. Throws [BadTemplate] with a message of one line. */
     public fun read(file: File, table: File?): Description {
         if (!file.isFile) throw BadTemplate("$file: no such file")
-        if (file.length() > MOST_TEMPLATE_BYTES) throw BadTemplate("$file: over $MOST_TEMPLATE_BYTES bytes")
+        if (file.length() > MAX_TEMPLATE_BYTES) throw BadTemplate("$file: over $MAX_TEMPLATE_BYTES bytes")
         val json = try {
             Json.parseObject(file.readBytes())
         } catch (e: MalformedJson) {
@@ -34,25 +34,25 @@
         } catch (e: IOException) {
             throw BadTemplate("$file can't be read: ${e.message}", e)
         }
-        return Description.parse(json, table?.let(::csv) ?: points(json, file))
+        return Description.parse(json, table?.let(::readCsv) ?: points(json, file))
     }
 
-    /** Null: as the record itself has them. */
+    /** Null if the points are given in the template file itself. */
     private fun points(json: JsonObject, file: File): Points? {
         val from = json.objectOrNull("points") ?: throw BadTemplate("points: missing")
-        from.stringOrNull("script")?.let { return script(file.name, it, json.longOrNull("seed") ?: 0) }
-        from.stringOrNull("table")?.let { name -> return csv(File(file.absoluteFile.parentFile, name)) }
+        from.stringOrNull("script")?.let { return runScript(file.name, it, json.longOrNull("seed") ?: 0) }
+        from.stringOrNull("table")?.let { name -> return readCsv(File(file.absoluteFile.parentFile, name)) }
         return null
     }
 
-    /** Streamed: a file of any size is refused once it is too much, and never held. Throws [BadTemplate]. */
-    public fun csv(file: File): Table {
+    /** Reads the file as a stream: one that is too large is refused without being held. Throws [BadTemplate]. */
+    public fun readCsv(file: File): Table {
         if (!file.isFile) throw BadTemplate("$file: no such file")
         val decoder = Charsets.UTF_8.newDecoder().onMalformedInput(
             CodingErrorAction.REPORT,
         ).onUnmappableCharacter(CodingErrorAction.REPORT)
         return try {
-            java.io.InputStreamReader(file.inputStream(), decoder).use { csv(file.name, it) }
+            java.io.InputStreamReader(file.inputStream(), decoder).use { readCsv(file.name, it) }
         } catch (_: CharacterCodingException) {
             throw BadTemplate("${file.name}: not UTF-8")
         } catch (e: UncheckedIOException) {
@@ -64,7 +64,7 @@
         }
     }
 
-    internal fun csv(name: String, from: Reader): Table = try {
+    internal fun readCsv(name: String, from: Reader): Table = try {
         var builder: Table.Companion.Builder? = null
         CsvReader.builder().ignoreDifferentFieldCount(
             true,
@@ -99,18 +99,18 @@
     }
 
     /**
-     * A Lua script that returns a list of tables, one a point. It knows `seed` and a `random` of that seed, no clock
-     * and no files, so the same
-     * script and seed give the same points; and what is recorded are the points. Throws [BadTemplate].
+     * Runs a Lua script that returns a list of tables, one per point. The script has the variable `seed` and a random
+     * generator with that seed, but no clock and no files, so the same script and seed give the same points. The
+     * points are stored, not the script. Throws [BadTemplate].
      */
-    public fun script(name: String, script: String, seed: Long): Table {
+    public fun runScript(name: String, runScript: String, seed: Long): Table {
         val prelude = "local seed = $seed; local state = (seed * 2654435761 + 12345) % 2147483648; " +
             "local function random() state = (state * 1103515245 + 12345) % 2147483648; " +
             "return state / 2147483648 end; " +
             "math.random = function(a, b) local r = random(); if not a then return r end; " +
             "if not b then a, b = 1, a end; return a + math.floor(r * (b - a + 1)) end; math.randomseed = nil; "
         val rows = try {
-            rowsOf(LuaScript.table(name, prelude + script))
+            rowsOf(LuaScript.table(name, prelude + runScript))
         } catch (e: BadScript) {
             throw BadTemplate(e.message.orEmpty(), e)
         }
--- a/src/main/kotlin/org/elderhitch/sweeps/DescriptionStore.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/DescriptionStore.kt
@@ -13,105 +13,107 @@
 import kotlin.time.Duration.Companion.hours
 import kotlin.time.Duration.Companion.minutes
 
-/** What reading the parts of a description came to. */
-internal sealed interface Reading {
-    class Packed(val bytes: ByteArray, val firstPart: Revision) : Reading
-    data class Missing(val part: Int) : Reading
-    data object NotNow : Reading
+/** The result of reading the parts of a description. */
+internal sealed interface PartsResult {
+    class Complete(val bytes: ByteArray, val firstPart: Revision) : PartsResult
+    data class Missing(val part: Int) : PartsResult
+    data object Unavailable : PartsResult
 }
 
-/** The descriptions of sweeps, read from their parts when they are needed; a node that doesn't lead holds none. */
+/** Reads the descriptions of sweeps from their stored parts on demand; only a leader keeps them in memory. */
 internal class DescriptionStore(
     private val client: StateClient,
     private val wallClock: WallClock,
     private val valueBytes: Int,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.sweeps")
-    private val held = HashMap<SweepId, Description>()
+    private val cache = HashMap<SweepId, Description>()
 
     /**
-     * Descriptions that can't be read: torn, or with parts gone. Their points wait for somebody to withdraw them, and
-     * hold up nobody else's.
+     * When the descriptions that are corrupt or lack parts were last read. The points of such a sweep wait until a user
+     * withdraws them, and don't hold up other sweeps.
      */
     private val broken = HashMap<SweepId, WallTime>()
 
-    fun loaded(id: SweepId): Description? = held[id]
+    fun loaded(id: SweepId): Description? = cache[id]
 
     fun forget(id: SweepId) {
-        held.remove(id)
+        cache.remove(id)
     }
 
-    fun clear() = held.clear()
+    fun clear() = cache.clear()
 
-    /** False: it can't be had now. Whether it is [loaded] then is another question: one that is broken is not. */
+    /** False if the state service doesn't answer. True doesn't mean that it is [loaded]: a broken description isn't. */
     suspend fun load(state: SweepState): Boolean {
-        if (state.id in held || broken[state.id].let { it != null && wallClock.now() - it < BROKEN_AGAIN }) return true
-        return when (val fetched = fetch(state)) {
-            is Fetched.Whole -> true.also { held[state.id] = fetched.description }
+        if (state.id in cache || broken[state.id].let { it != null && wallClock.now() - it < RETRY_DELAY }) return true
+        return when (val result = fetch(state)) {
+            is FetchResult.Loaded -> true.also { cache[state.id] = result.description }
 
-            is Fetched.Broken -> {
-                log.error("sweep description broken sweep={} reason=\"{}\"", state.id, fetched.reason)
+            is FetchResult.Broken -> {
+                log.error("sweep description broken sweep={} reason=\"{}\"", state.id, result.reason)
                 broken[state.id] = wallClock.now()
                 true
             }
 
-            Fetched.NotNow -> false
+            FetchResult.Unavailable -> false
         }
     }
 
     /**
-     * Null: it can't be had now, or at all. What is read for an answer is not held: only a leader needs it again, and
-     * drops it itself.
+     * Null if the description can't be read now, or is broken. A description that is read to answer a request is not
+     * kept: only a leader needs it again, and drops it when its term or the sweep ends.
      */
-    suspend fun read(state: SweepState): Description? = held[state.id] ?: (fetch(state) as? Fetched.Whole)?.description
+    suspend fun read(state: SweepState): Description? =
+        cache[state.id] ?: (fetch(state) as? FetchResult.Loaded)?.description
 
-    private sealed interface Fetched {
-        class Whole(val description: Description) : Fetched
-        class Broken(val reason: String) : Fetched
-        data object NotNow : Fetched
+    private sealed interface FetchResult {
+        class Loaded(val description: Description) : FetchResult
+        class Broken(val reason: String) : FetchResult
+        data object Unavailable : FetchResult
     }
 
-    private suspend fun fetch(state: SweepState): Fetched = when (val read = parts(state.id, state.manifest.parts)) {
-        is Reading.Packed -> described(state, read.bytes)
-        is Reading.Missing -> Fetched.Broken("part ${read.part} is missing")
-        Reading.NotNow -> Fetched.NotNow
-    }
+    private suspend fun fetch(state: SweepState): FetchResult =
+        when (val read = readParts(state.id, state.manifest.parts)) {
+            is PartsResult.Complete -> unpack(state, read.bytes)
+            is PartsResult.Missing -> FetchResult.Broken("part ${read.part} is missing")
+            PartsResult.Unavailable -> FetchResult.Unavailable
+        }
 
-    private fun described(state: SweepState, packed: ByteArray): Fetched {
-        if (Description.sum(packed) != state.manifest.sum) return Fetched.Broken("its checksum is another")
+    private fun unpack(state: SweepState, packed: ByteArray): FetchResult {
+        if (Description.sum(packed) != state.manifest.sum) return FetchResult.Broken("checksum mismatch")
         return try {
-            Fetched.Whole(Description.unpack(packed))
+            FetchResult.Loaded(Description.unpack(packed))
         } catch (e: BadTemplate) {
-            Fetched.Broken(e.message.orEmpty())
+            FetchResult.Broken(e.message.orEmpty())
         }
     }
 
-    suspend fun parts(id: SweepId, count: Int): Reading {
-        val texts = ArrayList<String>()
+    suspend fun readParts(id: SweepId, count: Int): PartsResult {
+        val partTexts = ArrayList<String>()
         var first = Revision.ABSENT
         for (part in 0 until count) {
             when (val read = client.read(SweepKeys.part(id, part), RequestPriority.END)) {
                 is ReadOutcome.Found -> {
                     if (part == 0) first = read.entry.version
-                    texts.add(read.entry.value.stringOrNull("data") ?: return Reading.Missing(part))
+                    partTexts.add(read.entry.value.stringOrNull("data") ?: return PartsResult.Missing(part))
                 }
 
-                ReadOutcome.Absent -> return Reading.Missing(part)
+                ReadOutcome.Absent -> return PartsResult.Missing(part)
 
-                ReadOutcome.Unavailable -> return Reading.NotNow
+                ReadOutcome.Unavailable -> return PartsResult.Unavailable
             }
         }
-        return Parts.join(texts)?.let { Reading.Packed(it, first) } ?: Reading.Missing(0)
+        return Parts.join(partTexts)?.let { PartsResult.Complete(it, first) } ?: PartsResult.Missing(0)
     }
 
-    /** What stands at that part afterwards: what was given, something else, or it can't be told. */
-    enum class Put { RECORDED, OTHER, NOT_NOW, TOO_LARGE }
+    /** [CONFLICT]: other data is already stored. [UNAVAILABLE]: not stored now, or the outcome is unknown. */
+    enum class PutResult { STORED, CONFLICT, UNAVAILABLE, TOO_LARGE }
 
-    suspend fun put(id: SweepId, part: Int, data: String): Put {
+    suspend fun putPart(id: SweepId, part: Int, data: String): PutResult {
         val value = mapOf("data" to data, "at" to wallClock.now().ms)
-        if (org.elderhitch.json.Json.bytes(value).size > valueBytes) return Put.TOO_LARGE
+        if (org.elderhitch.json.Json.bytes(value).size > valueBytes) return PutResult.TOO_LARGE
         val key = SweepKeys.part(id, part)
-        repeat(TRIES) {
+        repeat(MAX_ATTEMPTS) {
             when (
                 client.commit(
                     listOf(Condition(key, Revision.ABSENT)),
@@ -119,40 +121,40 @@
                     RequestPriority.PROGRESS,
                 )
             ) {
-                is CommitOutcome.Committed -> return Put.RECORDED
+                is CommitOutcome.Committed -> return PutResult.STORED
 
                 is CommitOutcome.Conflict -> return when (val read = client.read(key, RequestPriority.PROGRESS)) {
                     is ReadOutcome.Found -> if (read.entry.value.stringOrNull("data") == data) {
-                        Put.RECORDED
+                        PutResult.STORED
                     } else {
-                        Put.OTHER
+                        PutResult.CONFLICT
                     }
 
-                    else -> Put.NOT_NOW
+                    else -> PutResult.UNAVAILABLE
                 }
 
                 CommitOutcome.Unknown -> Unit
 
-                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Put.NOT_NOW
+                CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return PutResult.UNAVAILABLE
             }
         }
-        return Put.NOT_NOW
+        return PutResult.UNAVAILABLE
     }
 
     /**
-     * Parts that nobody made a sweep of for a long time go, the first part first: a manifest is written only under the
-     * version of the first part
-     * that its node read before all others, and no other part goes while a first one is there. So no manifest ever
-     * stands without its parts.
+     * Deletes parts without a manifest that are older than [MIN_ORPHAN_AGE], the first part of each sweep first. A
+     * manifest is written only on condition that the first part still has the version that the writer read before all
+     * other parts, and no other part is deleted while the first one exists. So no manifest is ever left without its
+     * parts.
      */
-    suspend fun collect(isRecorded: (SweepId) -> Boolean) {
+    suspend fun collectOrphanedParts(isRecorded: (SweepId) -> Boolean) {
         var after: String? = null
         while (true) {
             val page = client.list(SweepKeys.PARTS, after) ?: return
             for (entry in page.entries) {
                 val id = SweepKeys.sweepOfPart(entry.key) ?: continue
                 val at = entry.value.longOrNull("at")?.let(::WallTime) ?: continue
-                if (isRecorded(id) || wallClock.now() - at < ORPHANED) continue
+                if (isRecorded(id) || wallClock.now() - at < MIN_ORPHAN_AGE) continue
                 log.info("sweep part collected key={}", entry.key)
                 val first = SweepKeys.part(id, 0)
                 val conditions =
@@ -179,8 +181,8 @@
     }
 
     private companion object {
-        const val TRIES = 3
-        val ORPHANED = 1.hours
-        val BROKEN_AGAIN = 1.minutes
+        const val MAX_ATTEMPTS = 3
+        val MIN_ORPHAN_AGE = 1.hours
+        val RETRY_DELAY = 1.minutes
     }
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/Points.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Points.kt
@@ -3,20 +3,20 @@
 import org.elderhitch.json.JsonObject
 import java.math.BigDecimal
 
-/** The points of a sweep, numbered from 0: the k-th alone is the k-th of all. */
+/** The points of a sweep, numbered from 0. Each point can be computed without those before it. */
 public sealed interface Points {
     public val count: Int
 
     /**
-     * What the point gives its parameters; texts are typed by the template. Throws [BadPoint] for a row that was cut
-     * short.
+     * The parameter values of a point; the template converts texts to the parameters' types. Throws [BadPoint] for a
+     * row that does not have one field per column.
      */
     public fun values(point: Int): Map<String, Any?>
 
     public fun encode(): Map<String, Any?>
 
     public companion object {
-        public const val MOST: Int = 100_000
+        public const val MAX: Int = 100_000
 
         /** Throws [BadTemplate]. */
         public fun decode(from: JsonObject): Points = when {
@@ -28,17 +28,19 @@
 }
 
 /**
- * The product of axes. An axis is one parameter's values, or several parameters' that go together (a zip). The last
- * axis changes fastest.
+ * The Cartesian product of axes. An axis holds the values of one parameter, or of several parameters that vary together
+ * (a zip). The last axis varies fastest.
  */
 public class Grid private constructor(private val axes: List<Axis>) : Points {
-    /** [at]: the axis' values at each of its places; [source]: as the user wrote it, which is how it is recorded. */
+    /** [at] returns the values at an index of the axis; [source] is the axis as the user wrote it, and is stored so. */
     private class Axis(val names: List<String>, val size: Int, val source: Any, val at: (Int) -> List<Any?>)
 
-    override val count: Int = axes.fold(1L) { product, axis -> minOf(product * axis.size, Points.MOST + 1L) }.toInt()
+    override val count: Int = axes.fold(1L) { product, axis ->
+        minOf(product * axis.size, Points.MAX + 1L)
+    }.toInt()
 
     init {
-        if (count > Points.MOST) throw BadTemplate("points.grid: more than ${Points.MOST} points")
+        if (count > Points.MAX) throw BadTemplate("points.grid: more than ${Points.MAX} points")
     }
 
     override fun values(point: Int): Map<String, Any?> {
@@ -63,7 +65,7 @@
         private val RANGE = Regex("\\s*(-?[0-9.]+)\\s*\\.\\.\\s*(-?[0-9.]+)\\s*(?:step\\s+(-?[0-9.]+)\\s*)?")
 
         /**
-         * An object of axes: `"threshold": "0.1 .. 0.9 step 0.1"`, `"lake": ["tana", "ziway"]`, and for a zip
+         * Parses an object of axes: `"threshold": "0.1 .. 0.9 step 0.1"`, `"lake": ["tana", "ziway"]`, and for a zip
          * `"lake,tasks": [["tana", 4], ["ziway", 2]]`. Throws [BadTemplate].
          */
         public fun parse(from: JsonObject): Grid {
@@ -87,7 +89,7 @@
                 )
             }
             if (value.isEmpty()) throw BadTemplate("points.grid.$key: empty")
-            if (value.size > Points.MOST) throw BadTemplate("points.grid.$key: more than ${Points.MOST} values")
+            if (value.size > Points.MAX) throw BadTemplate("points.grid.$key: more than ${Points.MAX} values")
             val zipped = names.size > 1
             for (entry in value) {
                 val row = if (zipped) {
@@ -97,41 +99,41 @@
                     listOf(entry)
                 }
                 if (row.any { it == null || it is List<*> || it is Map<*, *> }) {
-                    throw BadTemplate("points.grid.$key: an entry is no text, number, true or false")
+                    throw BadTemplate("points.grid.$key: each value must be a text, a number, true or false")
                 }
             }
             return Axis(names, value.size, value) { n -> if (zipped) value[n] as List<*> else listOf(value[n]) }
         }
 
-        /** In decimal steps: 0.1 .. 0.9 step 0.1 has nine values, and the last is 0.9. */
+        /** Steps in decimal arithmetic: 0.1 .. 0.9 step 0.1 has nine values, and the last is exactly 0.9. */
         private fun range(key: String, text: String): Axis {
             val parts =
                 RANGE.matchEntire(text)?.groupValues
                     ?: throw BadTemplate(
-                        "points.grid.$key: \"${text.take(SHOWN)}\" is no range like \"0.1 .. 0.9 step 0.1\"",
+                        "points.grid.$key: \"${text.take(MAX_QUOTED)}\" is not a range like \"0.1 .. 0.9 step 0.1\"",
                     )
             val (first, last, step) = try {
                 val (from, to, by) = parts.drop(1)
                 Triple(BigDecimal(from), BigDecimal(to), if (by.isEmpty()) BigDecimal.ONE else BigDecimal(by))
             } catch (_: NumberFormatException) {
-                throw BadTemplate("points.grid.$key: \"${text.take(SHOWN)}\" has a number that is none")
+                throw BadTemplate("points.grid.$key: \"${text.take(MAX_QUOTED)}\" has a malformed number")
             }
             if (step.signum() == 0 || (last - first).signum() * step.signum() < 0) {
-                throw BadTemplate("points.grid.$key: never gets from $first to $last by $step")
+                throw BadTemplate("points.grid.$key: a step of $step never leads from $first to $last")
             }
             val steps = (last - first).divideToIntegralValue(step)
-            if (steps >= BigDecimal(Points.MOST)) throw BadTemplate("points.grid.$key: more than ${Points.MOST} values")
+            if (steps >= BigDecimal(Points.MAX)) throw BadTemplate("points.grid.$key: more than ${Points.MAX} values")
             val whole = listOf(first, step).all { it.stripTrailingZeros().scale() <= 0 }
             return Axis(listOf(key), steps.toInt() + 1, text) { n ->
                 listOf((first + step * BigDecimal(n)).let { if (whole) it.toLong() else it.toDouble() })
             }
         }
 
-        private const val SHOWN = 40
+        private const val MAX_QUOTED = 40
     }
 }
 
-/** Rows of texts under named columns, held as one text: some bytes a value, whatever their number. */
+/** Rows of texts under named columns, kept in one byte array so that a value costs only a few bytes of memory. */
 public class Table private constructor(
     public val columns: List<String>,
     private val text: ByteArray,
@@ -151,28 +153,28 @@
                 },
             )
         }
-        // An empty field is no value: then the default holds.
+        // An empty field is a missing value: the parameter's default applies.
         return columns.indices.filter { row[it].isNotEmpty() }.associate { columns[it] to row[it] }
     }
 
     private fun row(point: Int): List<String> =
-        String(text, starts[point], starts[point + 1] - 1 - starts[point]).split(FIELD)
+        String(text, starts[point], starts[point + 1] - 1 - starts[point]).split(FIELD_SEPARATOR)
 
     override fun encode(): Map<String, Any?> = mapOf("columns" to columns, "rows" to text.decodeToString())
 
     public companion object {
-        private const val ROW = '\n'
-        private const val FIELD = '\t'
-        public const val MOST_BYTES: Int = 4 * 1024 * 1024
+        private const val ROW_SEPARATOR = '\n'
+        private const val FIELD_SEPARATOR = '\t'
+        public const val MAX_BYTES: Int = 4 * 1024 * 1024
 
-        /** Adds rows one by one, so that a file of any size is refused before it is held. Throws [BadTemplate]. */
+        /** Takes rows one by one, so that a file that is too large is never held in full. Throws [BadTemplate]. */
         public class Builder(private val columns: List<String>) {
             private val text = java.io.ByteArrayOutputStream()
             private val starts = it.unimi.dsi.fastutil.ints.IntArrayList()
 
             init {
                 if (columns.isEmpty() || columns.any { it.isBlank() }) {
-                    throw BadTemplate("columns: a header without a name")
+                    throw BadTemplate("columns: a column has no name")
                 }
                 columns.groupBy {
                     it
@@ -182,10 +184,11 @@
             }
 
             public fun add(row: List<String>) {
-                if (starts.size >= Points.MOST) throw BadTemplate("more than ${Points.MOST} points")
-                // Control characters separate rows and fields here; the template's parameters refuse them anyway.
+                if (starts.size >= Points.MAX) throw BadTemplate("more than ${Points.MAX} points")
+                // Control characters separate rows and fields in the text, so those in a value become spaces. The
+                // template's text parameters refuse them anyway.
                 val line =
-                    row.joinToString(FIELD.toString()) { field ->
+                    row.joinToString(FIELD_SEPARATOR.toString()) { field ->
                         field.map {
                             if (it < ' ') {
                                 ' '
@@ -194,14 +197,14 @@
                             }
                         }.joinToString("")
                     } +
-                        ROW
+                        ROW_SEPARATOR
                 starts.add(text.size())
                 text.write(line.encodeToByteArray())
-                if (text.size() > MOST_BYTES) throw BadTemplate("the points are more than $MOST_BYTES bytes")
+                if (text.size() > MAX_BYTES) throw BadTemplate("the points are more than $MAX_BYTES bytes")
             }
 
             public fun build(): Table {
-                if (starts.isEmpty) throw BadTemplate("points: there are none")
+                if (starts.isEmpty) throw BadTemplate("points: none given")
                 return Table(columns, text.toByteArray(), (starts + text.size()).toIntArray())
             }
         }
@@ -210,9 +213,11 @@
         public fun decode(from: JsonObject): Table {
             val columns = from.stringsOrNull("columns") ?: throw BadTemplate("columns: missing")
             val rows = from.stringOrNull("rows") ?: throw BadTemplate("rows: missing")
-            if (rows.length > MOST_BYTES) throw BadTemplate("rows: more than $MOST_BYTES bytes")
+            if (rows.length > MAX_BYTES) throw BadTemplate("rows: more than $MAX_BYTES bytes")
             val builder = Builder(columns)
-            rows.removeSuffix(ROW.toString()).split(ROW).forEach { builder.add(it.split(FIELD)) }
+            rows.removeSuffix(ROW_SEPARATOR.toString()).split(ROW_SEPARATOR).forEach {
+                builder.add(it.split(FIELD_SEPARATOR))
+            }
             return builder.build()
         }
     }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepClient.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepClient.kt
@@ -12,68 +12,68 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** How a request ended that was tried at all nodes for as long as there was time. */
+/** The outcome of a request that was tried at all nodes until its timeout. */
 public sealed interface Told {
     public class Response(public val status: Int, public val body: JsonObject) : Told
 
-    /** [mayBeDone]: a try went out and nobody said what became of it. */
+    /** [mayBeDone]: a POST got no response, so it may have been carried out. */
     public class NoResponse(public val mayBeDone: Boolean) : Told
 }
 
 /**
- * Speaks to whichever controller answers. All requests of sweeps may be repeated: the same one again changes nothing.
+ * Sends requests to whichever controller answers. All requests about sweeps are idempotent, so any may be retried.
  */
 public class SweepClient(
     private val nodes: List<Address>,
     private val transport: Transport,
     private val clock: SteadyClock,
 ) {
-    private var at = 0
+    private var nodeIndex = 0
 
-    public suspend fun ask(method: String, path: String, body: Map<String, Any?>?, patience: Duration): Told {
-        val until = clock.now() + patience
+    public suspend fun ask(method: String, path: String, body: Map<String, Any?>?, timeout: Duration): Told {
+        val deadline = clock.now() + timeout
         var sent = false
         while (true) {
             val response = transport.call(
-                nodes[at % nodes.size],
+                nodes[nodeIndex % nodes.size],
                 method,
                 path,
                 body?.let { Json.bytes(it) } ?: if (method == "POST") ByteArray(0) else null,
-                TIMEOUT,
+                REQUEST_TIMEOUT,
             )
-            val answer = response?.let(::answer)
-            if (answer != null && answer.status != BUSY && answer.status != TOO_MANY) return answer
-            // Whatever was said, or not: the next node may do better.
+            val answer = response?.let(::parseResponse)
+            if (answer != null && answer.status != UNAVAILABLE && answer.status != TOO_MANY_REQUESTS) return answer
+            // No usable response: try the next node.
             if (response == null && method == "POST") sent = true
-            at++
-            val pause =
+            nodeIndex++
+            val retryDelay =
                 response?.headers?.entries?.firstOrNull {
                     it.key.equals("Retry-After", ignoreCase = true)
                 }?.value?.toLongOrNull()?.seconds
-                    ?: PAUSE
-            if (clock.now() + pause >= until) return answer ?: Told.NoResponse(sent)
-            delay(pause)
+                    ?: RETRY_DELAY
+            if (clock.now() + retryDelay >= deadline) return answer ?: Told.NoResponse(sent)
+            delay(retryDelay)
         }
     }
 
-    /** Null: not what a controller says. */
-    private fun answer(response: Response): Told.Response? = try {
+    /** Null if the response is not from a controller: its body is not JSON. */
+    private fun parseResponse(response: Response): Told.Response? = try {
         Told.Response(response.status, Json.parseObject(response.body))
     } catch (_: MalformedJson) {
         null
     }
 
-    /** Parts first, then the manifest. A lost answer or a node's crash anywhere: the same again. */
-    public suspend fun submit(id: SweepId, packed: ByteArray, valueBytes: Int, dry: Boolean, patience: Duration): Told {
+    /** Sends the parts, then asks for acceptance. After a lost response or a crashed node, each request is retried. */
+    public suspend fun submit(id: SweepId, packed: ByteArray, valueBytes: Int, dry: Boolean, timeout: Duration): Told {
         val parts = Parts.split(packed, valueBytes)
-        if (parts.size > Parts.MOST) throw BadTemplate("the sweep takes ${parts.size} parts, more than ${Parts.MOST}")
-        val until = clock.now() + patience
+        if (parts.size > Parts.MAX) throw BadTemplate("the sweep takes ${parts.size} parts, more than ${Parts.MAX}")
+        val deadline = clock.now() + timeout
         while (true) {
             for ((number, data) in parts.withIndex()) {
-                val told = ask("POST", "/sweeps/$id/part/$number", mapOf("data" to data), until - clock.now())
-                if (told !is Told.Response || told.status != OK) return told
+                val result = ask("POST", "/sweeps/$id/part/$number", mapOf("data" to data), deadline - clock.now())
+                if (result !is Told.Response || result.status != OK) return result
             }
-            val told = ask(
+            val result = ask(
                 "POST",
                 "/sweeps/$id",
                 mapOf(
@@ -81,23 +81,23 @@
                     "sum" to Description.sum(packed),
                     "dry" to dry,
                 ),
-                until - clock.now(),
+                deadline - clock.now(),
             )
-            // A part that was collected meanwhile is sent again.
-            val again =
-                told is Told.Response &&
-                    told.status == CONFLICT &&
-                    told.body.stringOrNull("error").orEmpty().endsWith("is missing")
-            if (!again || clock.now() >= until) return told
+            // If a part was deleted as an orphan meanwhile, all parts are sent again.
+            val partMissing =
+                result is Told.Response &&
+                    result.status == CONFLICT &&
+                    result.body.stringOrNull("error").orEmpty().endsWith("is missing")
+            if (!partMissing || clock.now() >= deadline) return result
         }
     }
 
     private companion object {
         const val OK = 200
         const val CONFLICT = 409
-        const val TOO_MANY = 429
-        const val BUSY = 503
-        val PAUSE = 300.milliseconds
-        val TIMEOUT = 10.seconds
+        const val TOO_MANY_REQUESTS = 429
+        const val UNAVAILABLE = 503
+        val RETRY_DELAY = 300.milliseconds
+        val REQUEST_TIMEOUT = 10.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepCommands.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepCommands.kt
@@ -27,78 +27,87 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor
 import kotlin.time.Duration.Companion.seconds
 
-private const val REFUSED = 1
-private const val USAGE = 2
-private const val NO_ANSWER = 3
+private const val EXIT_REFUSED = 1
+private const val EXIT_USAGE = 2
+private const val EXIT_NO_ANSWER = 3
 
-/** For users: templates, which are files of theirs. */
+/** The user command `template`: works on a user's template files, without a controller. */
 internal class TemplateCommand : CoreCliktCommand(name = "template") {
     init {
-        subcommands(TemplateCheckCommand(), TemplateShow())
+        subcommands(TemplateCheckCommand(), TemplateShowCommand())
     }
 
-    override fun help(context: Context): String = "Check a template of a sweep, or show what a point of it becomes"
+    override fun help(context: Context): String = "Check the template of a sweep, or show the job that a point becomes"
 
     override fun run() = Unit
 }
 
-/** What a template and its points are, or the end of the command with one line. */
-private fun read(file: String, points: String?): Description = try {
-    Sources.read(File(file), points?.let(::File))
+/** Reads a template and its points; ends the command with a message of one line if they can't be used. */
+private fun readDescription(file: String, points: String?): Description = try {
+    DescriptionReader.read(File(file), points?.let(::File))
 } catch (e: BadTemplate) {
-    throw CliktError(e.message, e, statusCode = USAGE)
+    throw CliktError(e.message, e, statusCode = EXIT_USAGE)
 }
 
 private class TemplateCheckCommand : CoreCliktCommand(name = "check") {
     private val file by argument(help = "the template, a JSON file")
     private val points by option("--points", help = "a CSV file instead of the points that the template names")
 
-    override fun help(context: Context): String = "Look at each point of a sweep, without asking a controller"
+    override fun help(context: Context): String = "Validate each point of a sweep, without asking a controller"
 
     override fun run() {
-        val description = read(file, points)
-        var bad = 0
+        val description = readDescription(file, points)
+        var malformedCount = 0
         for (point in 0 until description.points.count) {
             try {
-                description.job(SAMPLE, point)
+                description.job(SAMPLE_ID, point)
             } catch (e: BadPoint) {
-                if (bad++ < SHOWN) echo("row ${point + 1}: ${e.column}: ${e.reason}", err = true)
+                if (malformedCount++ < MAX_REPORTED) echo("row ${point + 1}: ${e.column}: ${e.reason}", err = true)
             }
         }
-        echo("${description.points.count} points, $bad malformed")
-        if (bad > 0) throw CliktError(null, statusCode = REFUSED)
+        echo("${description.points.count} points, $malformedCount malformed")
+        if (malformedCount > 0) throw CliktError(null, statusCode = EXIT_REFUSED)
     }
 
     private companion object {
-        val SAMPLE = SweepId("sample")
-        const val SHOWN = 50
+        val SAMPLE_ID = SweepId("sample")
+        const val MAX_REPORTED = 50
     }
 }
 
-private class TemplateShow : CoreCliktCommand(name = "show") {
+private class TemplateShowCommand : CoreCliktCommand(name = "show") {
     private val file by argument(help = "the template, a JSON file")
     private val points by option("--points", help = "a CSV file instead of the points that the template names")
-    private val point by option("--point", help = "which point").int().restrictTo(min = 0).default(0)
+    private val point by option(
+        "--point",
+        help = "the number of the point, from 0",
+    ).int().restrictTo(min = 0).default(0)
 
     override fun help(context: Context): String = "Print the job that a point becomes"
 
     override fun run() {
-        val description = read(file, points)
+        val description = readDescription(file, points)
         if (point >= description.points.count) {
-            throw CliktError("--point: there are ${description.points.count} points, from 0", statusCode = USAGE)
+            throw CliktError("--point: there are ${description.points.count} points, from 0", statusCode = EXIT_USAGE)
         }
         try {
             echo(Json.text(description.body(SweepId("sample"), point)))
         } catch (e: BadPoint) {
-            throw CliktError("row ${point + 1}: ${e.message}", e, statusCode = REFUSED)
+            throw CliktError("row ${point + 1}: ${e.message}", e, statusCode = EXIT_REFUSED)
         }
     }
 }
 
-/** For users: sweeps. Exit codes: 0 fine, 1 refused, 2 wrongly used, 3 no answer. */
+/** The user command `sweep`. Exit codes: 0 success, 1 refused, 2 usage error, 3 no answer. */
 internal class SweepCommand : CoreCliktCommand(name = "sweep") {
     init {
-        subcommands(SweepSubmit(), SweepShow(), SweepPoints(), SweepWithdraw(), SweepWait())
+        subcommands(
+            SweepSubmitCommand(),
+            SweepShowCommand(),
+            SweepPointsCommand(),
+            SweepWithdrawCommand(),
+            SweepWaitCommand(),
+        )
     }
 
     override fun help(context: Context): String =
@@ -107,164 +116,170 @@
     override fun run() = Unit
 }
 
-private abstract class SweepAsk(name: String) : CoreCliktCommand(name = name) {
+private abstract class SweepClientCommand(name: String) : CoreCliktCommand(name = name) {
     private val nodes by option(
         "--node",
-        help = "the controllers' client addresses, between commas",
+        help = "the controllers' client addresses, separated by commas",
     ).default("127.0.0.1:8080")
     protected val timeout by option(
         "--timeout",
-        help = "seconds for all tries together",
+        help = "seconds for all attempts together",
     ).int().restrictTo(1..86_400).default(30)
 
-    protected fun <T> speak(talk: suspend (SweepClient) -> T): T {
+    protected fun <T> withClient(call: suspend (SweepClient) -> T): T {
         val addresses = nodes.split(',').map {
             Address.parse(it.trim())
-                ?: throw CliktError("--node: \"$it\" is no address of the form 127.0.0.1:8080", statusCode = USAGE)
+                ?: throw CliktError(
+                    "--node: \"$it\" is not an address of the form 127.0.0.1:8080",
+                    statusCode = EXIT_USAGE,
+                )
         }
         val loop = ScheduledThreadPoolExecutor(1) { task -> Thread(task, "loop").apply { isDaemon = true } }
         try {
             return runBlocking(loop.asCoroutineDispatcher()) {
-                talk(SweepClient(addresses, HttpClient(channelGroup(loop), SystemSteadyClock), SystemSteadyClock))
+                call(SweepClient(addresses, HttpClient(channelGroup(loop), SystemSteadyClock), SystemSteadyClock))
             }
         } finally {
             loop.shutdownNow()
         }
     }
 
-    /** The answer's body, or the end of the command. */
-    protected fun fine(told: Told): JsonObject = when (told) {
+    /** The body of a successful response; ends the command for any other. */
+    protected fun bodyOrExit(result: Told): JsonObject = when (result) {
         is Told.NoResponse -> throw CliktError(
-            if (told.mayBeDone) {
-                "no answer: it may have been carried out; the same command again tells, and does no harm"
+            if (result.mayBeDone) {
+                "no answer: the request may have been carried out; it is safe to repeat the command to find out"
             } else {
-                "no controller answers"
+                "no controller answered"
             },
-            statusCode = NO_ANSWER,
+            statusCode = EXIT_NO_ANSWER,
         )
 
-        is Told.Response -> if (told.status < REFUSALS) told.body else refused(told)
+        is Told.Response -> if (result.status < FIRST_ERROR_STATUS) result.body else refused(result)
     }
 
-    private fun refused(told: Told.Response): Nothing {
-        told.body.objects("bad").forEach {
+    private fun refused(result: Told.Response): Nothing {
+        result.body.objects("bad").forEach {
             echo("row ${it.raw("row")}: ${it.raw("column")}: ${it.raw("reason")}", err = true)
         }
         throw CliktError(
-            "${told.status} ${told.body.stringOrNull("error") ?: "refused"}",
-            statusCode = if (told.status == BUSY) {
-                NO_ANSWER
+            "${result.status} ${result.body.stringOrNull("error") ?: "refused"}",
+            statusCode = if (result.status == SERVICE_UNAVAILABLE) {
+                EXIT_NO_ANSWER
             } else {
-                REFUSED
+                EXIT_REFUSED
             },
         )
     }
 
-    protected fun sweep(text: String): SweepId = SweepId.parse(text)
+    protected fun parseId(text: String): SweepId = SweepId.parse(text)
         ?: throw CliktError(
-            "\"$text\": the name of a sweep is 4 to 24 small letters and digits",
-            statusCode = USAGE,
+            "\"$text\": the name of a sweep must be 4 to 24 lowercase letters and digits",
+            statusCode = EXIT_USAGE,
         )
 
-    protected fun line(shown: JsonObject): String = "${shown.raw(
+    protected fun summary(details: JsonObject): String = "${details.raw(
         "sweep",
-    )}: ${shown.raw(
+    )}: ${details.raw(
         "points",
-    )} points, ${shown.raw(
+    )} points, ${details.raw(
         "done",
-    )} done, ${shown.raw("withdrawn")} withdrawn, ${shown.raw("skipped")} skipped, ${shown.raw("open")} open"
+    )} done, ${details.raw("withdrawn")} withdrawn, ${details.raw("skipped")} skipped, ${details.raw("open")} open"
 
     private companion object {
-        const val REFUSALS = 300
-        const val BUSY = 503
+        const val FIRST_ERROR_STATUS = 300
+        const val SERVICE_UNAVAILABLE = 503
     }
 }
 
-private class SweepSubmit : SweepAsk("submit") {
+private class SweepSubmitCommand : SweepClientCommand("submit") {
     private val file by argument(help = "the template, a JSON file")
     private val id by option(
         "--id",
-        help = "the sweep's name, 4 to 24 small letters and digits; without it one is drawn and told first",
+        help = "the sweep's name, 4 to 24 lowercase letters and digits; by default a random one, printed first",
     )
     private val points by option("--points", help = "a CSV file instead of the points that the template names")
     private val upload by option(
         "--upload",
-        help = "a folder for the description of each point, as workers must find it, before the sweep is submitted",
+        help = "a folder to write the job of each point to, for workers to find, before the sweep is submitted",
     )
-    private val dry by option("--dry-run", help = "tell what it would come to, and record nothing but the parts").flag()
+    private val dry by option(
+        "--dry-run",
+        help = "show what the sweep would amount to, and record nothing but its parts",
+    ).flag()
     private val valueBytes by option(
         "--value-bytes",
-        help = "what a value of the state service may have",
+        help = "the largest value that the state service accepts, in bytes",
     ).int().restrictTo(1024..65_536).default(8192)
 
-    override fun help(context: Context): String = "Submit a sweep; a repeat with the same name is harmless"
+    override fun help(context: Context): String = "Submit a sweep; submitting it again under the same name is harmless"
 
     override fun run() {
-        val description = read(file, points)
+        val description = readDescription(file, points)
         val name =
-            id?.let(::sweep)
+            id?.let(::parseId)
                 ?: SweepId(
-                    List(NAME) {
-                        LETTERS[java.security.SecureRandom().nextInt(LETTERS.length)]
+                    List(RANDOM_NAME_LENGTH) {
+                        NAME_ALPHABET[java.security.SecureRandom().nextInt(NAME_ALPHABET.length)]
                     }.joinToString(""),
                 )
-        // Told before anything is sent, so that a lost answer can be followed up.
+        // Printed before anything is sent, so that the user can follow up if the answer is lost.
         if (id == null) echo("sweep $name", err = true)
-        upload?.let { folder -> if (!dry) write(File(folder), name, description) }
-        val told = speak { it.submit(name, description.pack(), valueBytes, dry, timeout.seconds) }
-        echo(Json.text(fine(told).let { body -> body.names.associateWith { body.raw(it) } }))
+        upload?.let { directory -> if (!dry) writeJobs(File(directory), name, description) }
+        val result = withClient { it.submit(name, description.pack(), valueBytes, dry, timeout.seconds) }
+        echo(Json.text(bodyOrExit(result).let { body -> body.names.associateWith { body.raw(it) } }))
     }
 
-    private fun write(folder: File, name: SweepId, description: Description) {
-        if (!folder.isDirectory && !folder.mkdirs()) {
-            throw CliktError("--upload: $folder is no folder and can't be made", statusCode = USAGE)
+    private fun writeJobs(directory: File, name: SweepId, description: Description) {
+        if (!directory.isDirectory && !directory.mkdirs()) {
+            throw CliktError("--upload: $directory is not a folder and can't be created", statusCode = EXIT_USAGE)
         }
         for (point in 0 until description.points.count) {
             try {
-                File(folder, "${name.point(point)}.json").writeBytes(Json.bytes(description.body(name, point)))
+                File(directory, "${name.point(point)}.json").writeBytes(Json.bytes(description.body(name, point)))
             } catch (_: BadPoint) {
                 continue
             } catch (e: java.io.IOException) {
-                throw CliktError("--upload: $folder can't be written: ${e.message}", e, statusCode = USAGE)
+                throw CliktError("--upload: $directory can't be written: ${e.message}", e, statusCode = EXIT_USAGE)
             }
         }
     }
 
     private companion object {
-        const val NAME = 10
-        const val LETTERS = "abcdefghjkmnpqrstuvwxyz23456789"
+        const val RANDOM_NAME_LENGTH = 10
+        const val NAME_ALPHABET = "abcdefghjkmnpqrstuvwxyz23456789"
     }
 }
 
-private class SweepShow : SweepAsk("show") {
+private class SweepShowCommand : SweepClientCommand("show") {
     private val id by argument(help = "the sweep's name")
 
-    override fun help(context: Context): String = "Tell how a sweep stands, and what its points took"
+    override fun help(context: Context): String = "Show the progress of a sweep, and the work of its points"
 
     override fun run() {
-        val shown = fine(speak { it.ask("GET", "/sweeps/${sweep(id)}", null, timeout.seconds) })
-        echo(line(shown))
-        shown.objectOrNull("account")?.let { account ->
+        val details = bodyOrExit(withClient { it.ask("GET", "/sweeps/${parseId(id)}", null, timeout.seconds) })
+        echo(summary(details))
+        details.objectOrNull("account")?.let { account ->
             echo(account.names.joinToString(", ") { "$it ${account.raw(it)}" })
         }
     }
 }
 
-private class SweepPoints : SweepAsk("points") {
+private class SweepPointsCommand : SweepClientCommand("points") {
     private val id by argument(help = "the sweep's name")
     private val state by option(
         "--state",
-        help = "only points that stand so",
+        help = "only points in this state",
     ).choice("open", "running", "failed", "done", "withdrawn", "skipped")
 
-    override fun help(context: Context): String = "List a sweep's points, one a line"
+    override fun help(context: Context): String = "List a sweep's points, one per line"
 
     override fun run() {
-        val name = sweep(id)
+        val name = parseId(id)
         var after = -1L
         while (true) {
             val query = "after=$after" + state?.let { "&state=$it" }.orEmpty()
-            val page = fine(speak { it.ask("GET", "/sweeps/$name/points?$query", null, timeout.seconds) })
+            val page = bodyOrExit(withClient { it.ask("GET", "/sweeps/$name/points?$query", null, timeout.seconds) })
             val points = page.objects("points")
             points.forEach { echo("${it.raw("point")}\t${it.raw("state")}\t${it.raw("id")}") }
             if (page.raw("more") != true || points.isEmpty()) return
@@ -273,25 +288,25 @@
     }
 }
 
-private class SweepWithdraw : SweepAsk("withdraw") {
+private class SweepWithdrawCommand : SweepClientCommand("withdraw") {
     private val id by argument(help = "the sweep's name")
-    private val points by option("--points", help = "which points, like 10-200; without it all")
+    private val points by option("--points", help = "the points to withdraw, like 10-200; by default all")
 
     override fun help(context: Context): String =
-        "Cancel a sweep or some of its points; those that have ended keep their end"
+        "Cancel a sweep or some of its points; points that have ended are not affected"
 
     override fun run() {
         val range = points?.let { text ->
             RANGE.matchEntire(text)?.destructured?.let { (a, b) ->
                 mapOf("from" to a.toLong(), "to" to b.ifEmpty { a }.toLong())
             }
-                ?: throw CliktError("--points: \"$text\" is not of the form 10-200", statusCode = USAGE)
+                ?: throw CliktError("--points: \"$text\" is not of the form 10-200", statusCode = EXIT_USAGE)
         }
         echo(
-            line(
-                fine(
-                    speak {
-                        it.ask("POST", "/sweeps/${sweep(id)}/withdraw", range ?: emptyMap(), timeout.seconds)
+            summary(
+                bodyOrExit(
+                    withClient {
+                        it.ask("POST", "/sweeps/${parseId(id)}/withdraw", range ?: emptyMap(), timeout.seconds)
                     },
                 ),
             ),
@@ -303,52 +318,60 @@
     }
 }
 
-/** Waits until no point is open: a bar on a terminal, lines elsewhere. */
-private class SweepWait : SweepAsk("wait") {
+/** Waits until no point is open. Shows a progress bar on a terminal, and prints lines elsewhere. */
+private class SweepWaitCommand : SweepClientCommand("wait") {
     private val id by argument(help = "the sweep's name")
 
     override fun help(context: Context): String =
         "Wait until a sweep has ended; exit code 3 if that takes longer than --timeout"
 
     override fun run() {
-        val name = sweep(id)
-        // Without its native parts the library can't tell a terminal from a pipe; the platform can.
-        val onTerminal = System.console() != null
-        val terminal = Terminal(interactive = onTerminal)
-        val until = SystemSteadyClock.now() + timeout.seconds
+        val name = parseId(id)
+        // Without its native code the terminal library can't tell a terminal from a pipe; the Java platform can.
+        val isTerminal = System.console() != null
+        val terminal = Terminal(interactive = isTerminal)
+        val deadline = SystemSteadyClock.now() + timeout.seconds
         var last = ""
         while (true) {
-            val shown =
-                fine(
-                    speak {
-                        it.ask("GET", "/sweeps/$name", null, (until - SystemSteadyClock.now()).coerceAtLeast(1.seconds))
+            val details =
+                bodyOrExit(
+                    withClient {
+                        it.ask(
+                            "GET",
+                            "/sweeps/$name",
+                            null,
+                            (deadline - SystemSteadyClock.now()).coerceAtLeast(1.seconds),
+                        )
                     },
                 )
-            val open = shown.long("open")
-            if (onTerminal) {
-                val ended = shown.long("points") - open
+            val open = details.long("open")
+            if (isTerminal) {
+                val ended = details.long("points") - open
                 terminal.rawPrint(
-                    "\r" + terminal.render(ProgressBar(total = shown.long("points"), completed = ended, width = BAR)) +
+                    "\r" +
+                        terminal.render(
+                            ProgressBar(total = details.long("points"), completed = ended, width = PROGRESS_BAR_WIDTH),
+                        ) +
                         " " +
-                        TextColors.cyan("$ended/${shown.long("points")}"),
+                        TextColors.cyan("$ended/${details.long("points")}"),
                 )
-            } else if (line(shown) != last) {
-                last = line(shown)
+            } else if (summary(details) != last) {
+                last = summary(details)
                 echo(last)
             }
             if (open == 0L) {
-                if (onTerminal) echo("\n" + line(shown))
+                if (isTerminal) echo("\n" + summary(details))
                 return
             }
-            if (SystemSteadyClock.now() >= until) {
-                throw CliktError("$open points are still open", statusCode = NO_ANSWER)
+            if (SystemSteadyClock.now() >= deadline) {
+                throw CliktError("$open points are still open", statusCode = EXIT_NO_ANSWER)
             }
-            runBlocking { delay(POLL) }
+            runBlocking { delay(POLL_INTERVAL) }
         }
     }
 
     private companion object {
-        const val BAR = 40
-        val POLL = 2.seconds
+        const val PROGRESS_BAR_WIDTH = 40
+        val POLL_INTERVAL = 2.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepService.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepService.kt
@@ -10,51 +10,51 @@
 import org.elderhitch.store.Revision
 import org.slf4j.LoggerFactory
 
-/** The paths of sweeps, `/sweeps/…`: statuses and bodies, and what each asks for. */
+/** The HTTP interface of sweeps, `/sweeps/…`. */
 internal class SweepService(
     private val settings: SweepsSettings,
     private val sweepRegistry: SweepRegistry,
-    private val library: DescriptionStore,
-    private val endings: Endings,
-    private val acceptance: Acceptance,
+    private val descriptionStore: DescriptionStore,
+    private val sweepWriter: SweepWriter,
+    private val validator: SweepValidator,
     private val context: FeatureContext,
     private val valueBytes: Int,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.sweeps")
 
     suspend fun handle(request: Request): Response = try {
-        val words = request.path.removePrefix("/sweeps").split('/').filter { it.isNotEmpty() }
-        if (words.isEmpty()) {
+        val segments = request.path.removePrefix("/sweeps").split('/').filter { it.isNotEmpty() }
+        if (segments.isEmpty()) {
             HttpServer.only("GET", request) { list(request.query["after"]) }
         } else {
             val id =
-                SweepId.parse(words[0])
-                    ?: throw MalformedJson("the name of a sweep is 4 to 24 small letters and digits")
-            sweep(id, words.drop(1), request)
+                SweepId.parse(segments[0])
+                    ?: throw MalformedJson("the name of a sweep must be 4 to 24 lowercase letters and digits")
+            sweep(id, segments.drop(1), request)
         }
     } catch (e: MalformedJson) {
-        HttpServer.refusal(BAD, e.message.orEmpty())
+        HttpServer.refusal(BAD_REQUEST, e.message.orEmpty())
     } catch (e: BadTemplate) {
-        HttpServer.refusal(BAD, e.message.orEmpty())
+        HttpServer.refusal(BAD_REQUEST, e.message.orEmpty())
     }
 
-    private suspend fun sweep(id: SweepId, rest: List<String>, request: Request): Response = when {
-        rest.isEmpty() && request.method == "POST" -> accept(id, Json.parseObject(request.body))
+    private suspend fun sweep(id: SweepId, subpath: List<String>, request: Request): Response = when {
+        subpath.isEmpty() && request.method == "POST" -> accept(id, Json.parseObject(request.body))
 
-        rest.isEmpty() -> HttpServer.only("GET", request) { known(id) { ok(shown(it)) } }
+        subpath.isEmpty() -> HttpServer.only("GET", request) { withSweep(id) { ok(details(it)) } }
 
-        rest.size == 2 && rest[0] == "part" -> HttpServer.only("POST", request) {
-            part(id, rest[1].toIntOrNull(), Json.parseObject(request.body))
+        subpath.size == 2 && subpath[0] == "part" -> HttpServer.only("POST", request) {
+            putPart(id, subpath[1].toIntOrNull(), Json.parseObject(request.body))
         }
 
-        rest == listOf("points") -> HttpServer.only("GET", request) { known(id) { points(it, request.query) } }
+        subpath == listOf("points") -> HttpServer.only("GET", request) { withSweep(id) { points(it, request.query) } }
 
-        rest.size == 2 && rest[0] == "points" -> HttpServer.only("GET", request) {
-            known(id) { point(it, rest[1].toIntOrNull()) }
+        subpath.size == 2 && subpath[0] == "points" -> HttpServer.only("GET", request) {
+            withSweep(id) { point(it, subpath[1].toIntOrNull()) }
         }
 
-        rest == listOf("withdraw") -> HttpServer.only("POST", request) {
-            known(id) {
+        subpath == listOf("withdraw") -> HttpServer.only("POST", request) {
+            withSweep(id) {
                 cancel(
                     it,
                     if (request.body.isEmpty()) {
@@ -71,80 +71,84 @@
         else -> HttpServer.refusal(NOT_FOUND, "no such path")
     }
 
-    /** 404 only after all that is recorded by now is known here. */
-    private suspend fun known(id: SweepId, answer: suspend (SweepState) -> Response): Response {
-        if (!context.sync()) return later("the state service doesn't answer")
+    /** Synchronizes with the state service first, so that a sweep recorded by another node is not answered with 404. */
+    private suspend fun withSweep(id: SweepId, answer: suspend (SweepState) -> Response): Response {
+        if (!context.sync()) return unavailable("the state service doesn't answer")
         return sweepRegistry.of(id)?.let { answer(it) } ?: HttpServer.refusal(NOT_FOUND, "no such sweep")
     }
 
-    private suspend fun part(id: SweepId, number: Int?, body: JsonObject): Response {
-        if (number == null || number !in 0 until Parts.MOST) {
-            throw MalformedJson("part: not from 0 to ${Parts.MOST - 1}")
+    private suspend fun putPart(id: SweepId, number: Int?, body: JsonObject): Response {
+        if (number == null || number !in 0 until Parts.MAX) {
+            throw MalformedJson("part: not from 0 to ${Parts.MAX - 1}")
         }
-        return when (library.put(id, number, body.string("data"))) {
-            DescriptionStore.Put.RECORDED -> ok(mapOf("part" to number))
+        return when (descriptionStore.putPart(id, number, body.string("data"))) {
+            DescriptionStore.PutResult.STORED -> ok(mapOf("part" to number))
 
-            DescriptionStore.Put.OTHER -> HttpServer.refusal(
+            DescriptionStore.PutResult.CONFLICT -> HttpServer.refusal(
                 CONFLICT,
-                "another part $number stands under this name: choose another name for the sweep",
+                "another part $number is stored under this name: choose another name for the sweep",
             )
 
-            DescriptionStore.Put.TOO_LARGE -> HttpServer.refusal(BAD, "data: a part's value may have $valueBytes bytes")
+            DescriptionStore.PutResult.TOO_LARGE -> HttpServer.refusal(
+                BAD_REQUEST,
+                "data: a part's value may have at most $valueBytes bytes",
+            )
 
-            DescriptionStore.Put.NOT_NOW -> later("the state service takes no record now")
+            DescriptionStore.PutResult.UNAVAILABLE -> unavailable("the state service accepts no writes now")
         }
     }
 
     /**
-     * Accepted once its manifest stands. A repeat of an accepted sweep is told so, whatever would be said of it now.
+     * A sweep is accepted once its manifest is stored. A repeated submission of an accepted sweep succeeds without
+     * being validated again.
      */
     private suspend fun accept(id: SweepId, body: JsonObject): Response {
         val parts = body.count("parts").toInt()
         val sum = body.string("sum")
-        if (parts !in 1..Parts.MOST) throw MalformedJson("parts: not from 1 to ${Parts.MOST}")
-        if (!context.sync()) return later("the state service doesn't answer")
+        if (parts !in 1..Parts.MAX) throw MalformedJson("parts: not from 1 to ${Parts.MAX}")
+        if (!context.sync()) return unavailable("the state service doesn't answer")
         sweepRegistry.of(id)?.let { return repeated(it, sum) }
-        return when (val read = library.parts(id, parts)) {
-            is Reading.Packed -> if (Description.sum(read.bytes) == sum) {
+        return when (val read = descriptionStore.readParts(id, parts)) {
+            is PartsResult.Complete -> if (Description.sum(read.bytes) == sum) {
                 accept(id, body, read)
             } else {
-                HttpServer.refusal(CONFLICT, "the parts are not those of sum $sum")
+                HttpServer.refusal(CONFLICT, "the checksum of the parts is not $sum")
             }
 
-            is Reading.Missing -> HttpServer.refusal(CONFLICT, "part ${read.part} is missing")
+            is PartsResult.Missing -> HttpServer.refusal(CONFLICT, "part ${read.part} is missing")
 
-            Reading.NotNow -> later("the state service doesn't answer")
+            PartsResult.Unavailable -> unavailable("the state service doesn't answer")
         }
     }
 
-    private suspend fun accept(id: SweepId, body: JsonObject, packed: Reading.Packed): Response {
+    private suspend fun accept(id: SweepId, body: JsonObject, packed: PartsResult.Complete): Response {
         val description = Description.unpack(packed.bytes)
         val dry = body.booleanOrNull("dry") ?: false
-        return when (val checked = acceptance.check(id, description)) {
-            is Checked.Refused -> refused(checked)
+        return when (val validation = validator.check(id, description)) {
+            is ValidationResult.Refused -> refused(validation)
 
-            is Checked.NotNow -> later(checked.reason)
+            is ValidationResult.Unavailable -> unavailable(validation.reason)
 
-            is Checked.Fine -> if (dry) {
-                ok(estimate(id, description, checked))
+            is ValidationResult.Valid -> if (dry) {
+                ok(estimate(id, description, validation))
             } else {
                 val parts = body.count("parts").toInt()
-                record(id, parts, body.string("sum"), packed.firstPart, description, checked)
+                record(id, parts, body.string("sum"), packed.firstPart, description, validation)
             }
         }
     }
 
-    private fun refused(checked: Checked.Refused): Response {
+    private fun refused(validation: ValidationResult.Refused): Response {
         val body = linkedMapOf(
-            "error" to checked.reason,
-            "bad_count" to checked.badCount,
-            "bad" to checked.bad.map(::told),
+            "error" to validation.reason,
+            "bad_count" to validation.malformedCount,
+            "bad" to validation.malformed.map(::encode),
         )
-        return Response(BAD, Json.bytes(body))
+        return Response(BAD_REQUEST, Json.bytes(body))
     }
 
     private fun repeated(state: SweepState, sum: String): Response = if (state.manifest.sum == sum) {
-        ok(shown(state))
+        ok(details(state))
     } else {
         HttpServer.refusal(CONFLICT, "another sweep has the name ${state.id}")
     }
@@ -155,12 +159,12 @@
         sum: String,
         firstPart: Revision,
         description: Description,
-        checked: Checked.Fine,
+        validation: ValidationResult.Valid,
     ): Response {
-        if (sweepRegistry.all.count { it.open > 0 } >= settings.mostOpen) {
+        if (sweepRegistry.all.count { it.open > 0 } >= settings.maxOpenSweeps) {
             return Response(
-                BUSY,
-                Json.bytes(mapOf("error" to "${settings.mostOpen} sweeps are open")),
+                SERVICE_UNAVAILABLE,
+                Json.bytes(mapOf("error" to "${settings.maxOpenSweeps} sweeps are open")),
                 mapOf("Retry-After" to "10"),
             )
         }
@@ -169,80 +173,86 @@
                 description.points.count,
                 parts,
                 sum,
-                checked.first.team.text,
-                checked.first.jobClass,
+                validation.firstJob.team.text,
+                validation.firstJob.jobClass,
                 context.wallClock.now(),
-                acceptance.packed(checked.skipped),
+                validator.packSkipped(validation.skipped),
             )
         if (Json.bytes(manifest.encode()).size > valueBytes) {
-            return HttpServer.refusal(BAD, "too many malformed points lie scattered: ${checked.badCount}")
+            return HttpServer.refusal(
+                BAD_REQUEST,
+                "too many scattered malformed points to record as skipped: ${validation.malformedCount}",
+            )
         }
-        val accepted = endings.accept(id, manifest, firstPart) ?: return later("the state service takes no record now")
+        val accepted =
+            sweepWriter.recordManifest(id, manifest, firstPart)
+                ?: return unavailable("the state service accepts no writes now")
         if (!accepted.isNew) return repeated(accepted.state, sum)
         log.info(
             "sweep accepted sweep={} points={} skipped={} team={} class={}",
             id,
             manifest.points,
-            checked.badCount,
+            validation.malformedCount,
             manifest.team,
             manifest.jobClass,
         )
         return Response(
             CREATED,
             Json.bytes(
-                shown(accepted.state) + mapOf("bad_count" to checked.badCount, "bad" to checked.bad.map(::told)),
+                details(accepted.state) +
+                    mapOf("bad_count" to validation.malformedCount, "bad" to validation.malformed.map(::encode)),
             ),
         )
     }
 
-    private fun told(bad: Malformed): Map<String, Any?> = linkedMapOf(
-        "row" to bad.row,
-        "column" to bad.column,
-        "reason" to bad.reason,
+    private fun encode(malformed: MalformedPoint): Map<String, Any?> = linkedMapOf(
+        "row" to malformed.row,
+        "column" to malformed.column,
+        "reason" to malformed.reason,
     )
 
-    /** What a submission would come to. */
-    private fun estimate(id: SweepId, description: Description, checked: Checked.Fine): Map<String, Any?> {
-        val good = (0 until description.points.count).filter { it !in checked.skipped }
-        val team = context.settings.teams[checked.first.team]
-        val perGpu = team?.mostGpus?.let { limit ->
-            checked.first.resources.gpus.takeIf { it > 0 }?.let { (limit / it).toInt() }
+    /** The answer to a dry run: what submitting the sweep would amount to. */
+    private fun estimate(id: SweepId, description: Description, validation: ValidationResult.Valid): Map<String, Any?> {
+        val validPoints = (0 until description.points.count).filter { it !in validation.skipped }
+        val team = context.settings.teams[validation.firstJob.team]
+        val tasksByGpus = team?.mostGpus?.let { limit ->
+            validation.firstJob.resources.gpus.takeIf { it > 0 }?.let { (limit / it).toInt() }
         }
-        val perCpu = team?.mostCpus?.let { limit ->
-            checked.first.resources.cpus.takeIf { it > 0 }?.let { (limit / it).toInt() }
+        val tasksByCpus = team?.mostCpus?.let { limit ->
+            validation.firstJob.resources.cpus.takeIf { it > 0 }?.let { (limit / it).toInt() }
         }
         return linkedMapOf(
-            "sweep" to id.text, "points" to description.points.count, "skipped" to checked.badCount,
-            "bad" to checked.bad.map(::told), "tasks" to checked.tasks,
-            "first" to description.body(id, good.first()), "last" to description.body(id, good.last()),
+            "sweep" to id.text, "points" to description.points.count, "skipped" to validation.malformedCount,
+            "bad" to validation.malformed.map(::encode), "tasks" to validation.tasks,
+            "first" to description.body(id, validPoints.first()), "last" to description.body(id, validPoints.last()),
             "at_once" to description.atOnce,
-            "team_limit_tasks" to listOfNotNull(perGpu, perCpu).minOrNull(),
-            "task_hours" to Math.rint(checked.taskSeconds / SECONDS_PER_HUNDREDTH) / HUNDREDTHS,
+            "team_limit_tasks" to listOfNotNull(tasksByGpus, tasksByCpus).minOrNull(),
+            "task_hours" to Math.rint(validation.taskSeconds / SECONDS_PER_HUNDREDTH_HOUR) / HUNDREDTHS,
         ).filterValues { it != null }
     }
 
     private fun list(after: String?): Response {
         val all = sweepRegistry.all.sortedBy { it.id.text }.filter { after == null || it.id.text > after }
-        val page = all.take(PAGE)
-        return ok(linkedMapOf("sweeps" to page.map { counts(it) }, "more" to (all.size > page.size)))
+        val page = all.take(SWEEPS_PER_PAGE)
+        return ok(linkedMapOf("sweeps" to page.map { summary(it) }, "more" to (all.size > page.size)))
     }
 
-    private fun counts(state: SweepState): Map<String, Any?> = linkedMapOf(
+    private fun summary(state: SweepState): Map<String, Any?> = linkedMapOf(
         "sweep" to state.id.text, "points" to state.points, "done" to state.done, "withdrawn" to state.cancelled,
         "skipped" to state.skippedCount,
         "open" to state.open, "team" to state.manifest.team, "class" to state.manifest.jobClass,
         "accepted" to state.manifest.at.toString(),
     )
 
-    private fun shown(state: SweepState): Map<String, Any?> {
+    private fun details(state: SweepState): Map<String, Any?> {
         val work = state.work
-        return counts(state) + linkedMapOf(
+        return summary(state) + linkedMapOf(
             "sum" to state.manifest.sum,
             "account" to linkedMapOf(
                 "completed" to work.completed, "attempts" to work.attempts, "lost" to work.lost,
                 "useful_s" to hundredths(work.usefulS), "lost_s" to hundredths(work.lostS),
-                "lower_bounds" to work.least, "p50_s" to work.percentile(HALF), "p90_s" to work.percentile(MOST),
-                "p99_s" to work.percentile(NEARLY_ALL),
+                "lower_bounds" to work.least, "p50_s" to work.percentile(P50), "p90_s" to work.percentile(P90),
+                "p99_s" to work.percentile(P99),
             ).filterValues { it != null },
         )
     }
@@ -258,32 +268,32 @@
     }
 
     private suspend fun points(state: SweepState, query: Map<String, String>): Response {
-        val wanted = query["state"]
-        if (wanted != null && wanted !in STATES) throw MalformedJson("state: none of $STATES")
-        val after = query["after"]?.let { it.toIntOrNull() ?: throw MalformedJson("after: no number") } ?: -1
+        val wantedState = query["state"]
+        if (wantedState != null && wantedState !in STATES) throw MalformedJson("state: must be one of $STATES")
+        val after = query["after"]?.let { it.toIntOrNull() ?: throw MalformedJson("after: not a number") } ?: -1
         val count =
             query["count"]?.let {
-                it.toIntOrNull()?.takeIf { n -> n in 1..MOST_POINTS }
-                    ?: throw MalformedJson("count: not from 1 to $MOST_POINTS")
+                it.toIntOrNull()?.takeIf { n -> n in 1..MAX_POINTS_PER_PAGE }
+                    ?: throw MalformedJson("count: not from 1 to $MAX_POINTS_PER_PAGE")
             }
-                ?: MOST_POINTS
-        if (wanted == FAILED) return failed(state, after, count)
+                ?: MAX_POINTS_PER_PAGE
+        if (wantedState == FAILED) return failed(state, after, count)
         val matching = (after + 1 until state.points).asSequence().map { it to stateOf(state, it) }.filter {
-            wanted ==
+            wantedState ==
                 null ||
-                it.second == wanted
+                it.second == wantedState
         }.take(count + 1).toList()
         return ok(
             linkedMapOf(
-                "points" to matching.take(count).map { (point, word) -> entry(state, point, word) },
+                "points" to matching.take(count).map { (point, pointState) -> entry(state, point, pointState) },
                 "more" to (matching.size > count),
             ),
         )
     }
 
-    /** Open points that failed wherever they were tried: with a mistake of their own, most likely. */
+    /** Open points that failed wherever they were tried: most likely the fault is in the points themselves. */
     private suspend fun failed(state: SweepState, after: Int, count: Int): Response {
-        val failing = context.faultyJobs() ?: return later("no leader answers")
+        val failing = context.faultyJobs() ?: return unavailable("no leader answers")
         val points = failing.mapNotNull { job ->
             SweepId.ofPoint(job)?.takeIf { it.first == state.id }?.second
         }.filter {
@@ -299,15 +309,15 @@
         )
     }
 
-    private fun entry(state: SweepState, point: Int, word: String): Map<String, Any?> = linkedMapOf(
+    private fun entry(state: SweepState, point: Int, pointState: String): Map<String, Any?> = linkedMapOf(
         "point" to point,
         "id" to state.id.point(point).text,
-        "state" to word,
+        "state" to pointState,
     )
 
     private suspend fun point(state: SweepState, point: Int?): Response {
         if (point == null || point !in 0 until state.points) return HttpServer.refusal(NOT_FOUND, "no such point")
-        val description = library.read(state) ?: return later("the description can't be read now")
+        val description = descriptionStore.read(state) ?: return unavailable("the description can't be read now")
         val body = try {
             description.body(state.id, point)
         } catch (e: BadPoint) {
@@ -333,38 +343,40 @@
         val from = body.longOrNull("from") ?: 0
         val to = body.longOrNull("to") ?: (state.points - 1L)
         if (from < 0 || to < from || from >= state.points) {
-            throw MalformedJson("from, to: no points of 0 to ${state.points - 1}")
+            throw MalformedJson("from, to: must be a range within 0 to ${state.points - 1}")
         }
         val range = from.toInt()..minOf(to, state.points - 1L).toInt()
-        if (endings.cancel(state, range) == Withdrawal.NOT_NOW) {
-            return later("the state service takes no record now; what was not recorded is asked for again")
+        if (sweepWriter.cancel(state, range) == WithdrawalResult.UNAVAILABLE) {
+            return unavailable(
+                "the state service accepts no writes now; repeat the request to withdraw the remaining points",
+            )
         }
         log.info("sweep withdrawn sweep={} points={}", state.id, range)
-        return ok(shown(state))
+        return ok(details(state))
     }
 
     private fun ok(body: Map<String, Any?>) = Response(OK, Json.bytes(body))
 
-    private fun later(reason: String) =
-        Response(BUSY, Json.bytes(mapOf("error" to reason)), mapOf("Retry-After" to "1"))
+    private fun unavailable(reason: String) =
+        Response(SERVICE_UNAVAILABLE, Json.bytes(mapOf("error" to reason)), mapOf("Retry-After" to "1"))
 
     private companion object {
         const val OK = 200
         const val CREATED = 201
-        const val BAD = 400
+        const val BAD_REQUEST = 400
         const val NOT_FOUND = 404
         const val CONFLICT = 409
-        const val BUSY = 503
-        const val PAGE = 200
+        const val SERVICE_UNAVAILABLE = 503
+        const val SWEEPS_PER_PAGE = 200
 
-        /** A line of an answer may be 64 KiB long; a point's entry takes some 70 bytes. */
-        const val MOST_POINTS = 500
+        /** A line of an answer may have 64 KiB; the entry of a point takes about 70 bytes. */
+        const val MAX_POINTS_PER_PAGE = 500
         const val FAILED = "failed"
         val STATES = listOf("open", "running", "done", "withdrawn", "skipped", FAILED)
-        const val HALF = 0.5
-        const val MOST = 0.9
-        const val NEARLY_ALL = 0.99
-        const val SECONDS_PER_HUNDREDTH = 36.0
+        const val P50 = 0.5
+        const val P90 = 0.9
+        const val P99 = 0.99
+        const val SECONDS_PER_HUNDREDTH_HOUR = 36.0
         const val HUNDREDTHS = 100.0
     }
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepState.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepState.kt
@@ -7,22 +7,22 @@
 import org.elderhitch.store.Revision
 import org.elderhitch.time.WallTime
 
-/** How a point stands for good; null where it is used: it is open. */
+/** How a point has ended, which never changes again. Where it is null, the point is open. */
 public enum class PointEnd { DONE, WITHDRAWN, SKIPPED }
 
 /**
- * What stands once and for ever beside a sweep's parts: written last, and whoever writes it first has decided that
- * there is such a sweep.
+ * The immutable record that makes a sweep accepted. It is written after all parts, and the first write under a name
+ * decides which sweep has that name.
  */
 public class Manifest(
     public val points: Int,
     public val parts: Int,
-    /** Of the packed description. */
+    /** The checksum of the packed description. */
     public val sum: String,
     public val team: String,
     public val jobClass: String,
     public val at: WallTime,
-    /** Points that are no jobs: of each block, as [CompletedTasks] packs it. */
+    /** Malformed points, which never become jobs: by block, each in the form that [CompletedTasks] packs. */
     public val skipped: Map<Int, String>,
 ) {
     public fun encode(): Map<String, Any?> = linkedMapOf(
@@ -41,7 +41,7 @@
         public fun decode(from: JsonObject): Manifest {
             val points = from.count("points")
             val parts = from.count("parts")
-            if (points !in 1..Points.MOST || parts !in 1..Parts.MOST) throw MalformedJson("points, parts: out of range")
+            if (points !in 1..Points.MAX || parts !in 1..Parts.MAX) throw MalformedJson("points, parts: out of range")
             val skip = from.objectOrNull("skip")
             return Manifest(
                 points.toInt(),
@@ -60,8 +60,8 @@
 }
 
 /**
- * One block of a sweep's points as the state service keeps it: which are done, which withdrawn, and what the done ones
- * did. Immutable.
+ * One block of a sweep's points as the state service stores it: which are done, which are withdrawn, and the work of
+ * those that are done. Immutable.
  */
 public class Block internal constructor(
     public val number: Int,
@@ -71,9 +71,9 @@
     public val version: Revision,
 ) {
     public val doneCount: Int get() = done.count
-    public val withdrawnCount: Int get() = cancelled.count
+    public val cancelledCount: Int get() = cancelled.count
 
-    /** [at]: the point's place in the block. */
+    /** [at]: the point's index within the block. */
     public fun endOf(at: Int): PointEnd? = if (at in done) {
         PointEnd.DONE
     } else if (at in cancelled) {
@@ -83,22 +83,23 @@
     }
 
     /**
-     * With these points done, as far as they are open. Whoever replaces this version first has decided how they end.
+     * This block with those of [points] done that are open. The first write to replace this version decides how the
+     * points end.
      */
     public fun withDone(points: Map<Int, JobAccount?>): Block {
-        val fresh = points.filterKeys { endOf(it) == null }
-        if (fresh.isEmpty()) return this
-        return Block(number, with(done, fresh.keys), cancelled, work.with(fresh.values), version)
+        val newlyEnded = points.filterKeys { endOf(it) == null }
+        if (newlyEnded.isEmpty()) return this
+        return Block(number, with(done, newlyEnded.keys), cancelled, work.with(newlyEnded.values), version)
     }
 
-    /** With these points withdrawn, as far as they are open. */
-    public fun withWithdrawn(points: Collection<Int>): Block {
-        val fresh = points.filter { endOf(it) == null }
-        return if (fresh.isEmpty()) this else Block(number, done, with(cancelled, fresh), work, version)
+    /** This block with those of [points] withdrawn that are open. */
+    public fun withCancelled(points: Collection<Int>): Block {
+        val newlyEnded = points.filter { endOf(it) == null }
+        return if (newlyEnded.isEmpty()) this else Block(number, done, with(cancelled, newlyEnded), work, version)
     }
 
-    /** The same, standing at [at]. */
-    internal fun written(at: Revision): Block = Block(number, done, cancelled, work, at)
+    /** This block as stored under the version [at]. */
+    internal fun withVersion(at: Revision): Block = Block(number, done, cancelled, work, at)
 
     private fun with(set: CompletedTasks, points: Collection<Int>): CompletedTasks = CompletedTasks(set.tasks).also {
         it.addAll(set)
@@ -119,7 +120,7 @@
 
         private fun sizeOf(number: Int, points: Int): Int = minOf(SIZE, points - number * SIZE)
 
-        /** Throws [MalformedJson] for a value that this program did not write. */
+        /** Throws [MalformedJson] for a value that [encode] did not produce. */
         public fun decode(number: Int, points: Int, value: JsonObject, version: Revision): Block {
             val empty = empty(number, points)
             if (!empty.done.unpack(0, value.string("d")) || !empty.cancelled.unpack(0, value.string("w"))) {
@@ -130,7 +131,7 @@
     }
 }
 
-/** How the points of one sweep stand, by the latest known version of each block. Some bits a point. */
+/** The states of one sweep's points, by the latest known version of each block. Takes a few bits per point. */
 public class SweepState(public val id: SweepId, public val manifest: Manifest, public val version: Revision) {
     public val points: Int get() = manifest.points
     private val blocks = Array((points + Block.SIZE - 1) / Block.SIZE) { Block.empty(it, points) }
@@ -143,8 +144,8 @@
 
     public fun block(number: Int): Block = blocks[number]
 
-    /** A newer version of a block; false if what is known is as new. */
-    public fun take(block: Block): Boolean {
+    /** Replaces a block by a newer version; false if the known version is as new. */
+    public fun update(block: Block): Boolean {
         if (block.version <= blocks[block.number].version) return false
         blocks[block.number] = block
         return true
@@ -157,27 +158,27 @@
     }
 
     public val done: Int get() = blocks.sumOf { it.doneCount }
-    public val cancelled: Int get() = blocks.sumOf { it.withdrawnCount }
+    public val cancelled: Int get() = blocks.sumOf { it.cancelledCount }
     public val skippedCount: Int get() = skipped.count
     public val open: Int get() = points - done - cancelled - skippedCount
     public val work: Work get() = blocks.fold(Work.NONE) { sum, block -> sum + block.work }
 
-    /** Open points in their order, from [from] on. */
+    /** The open points in order, starting at [from]. */
     public fun openFrom(from: Int): Sequence<Int> = (from until points).asSequence().filter { endOf(it) == null }
 }
 
 /**
- * Which points the leader's table holds: as many as a sweep may have there at once, in order. The rest costs bits. A
- * table of ten thousand
- * jobs would make every round longer, and rent for all of them.
+ * Selects which points of a sweep enter the leader's job table: in order, and no more than the sweep may have there at
+ * a time. All other points cost only bits. A table of ten thousand jobs would make every scheduling cycle longer, and
+ * machines would be provisioned for all of them.
  */
-public object Window {
+public object PointSelector {
     /**
-     * What to open beside [opened], of a sweep that may have [atOnce] open. [next]: where the last look left off, as
-     * all before it are opened or ended.
+     * The points to add to [admitted], for a sweep that may have [maxPoints] points there. [next]: the point to start
+     * from; all before it are in the table or have ended.
      */
-    public fun next(state: SweepState, opened: Set<Int>, atOnce: Int, next: Int): List<Int> {
-        val room = atOnce - opened.size
-        return if (room <= 0) emptyList() else state.openFrom(next).filter { it !in opened }.take(room).toList()
+    public fun next(state: SweepState, admitted: Set<Int>, maxPoints: Int, next: Int): List<Int> {
+        val room = maxPoints - admitted.size
+        return if (room <= 0) emptyList() else state.openFrom(next).filter { it !in admitted }.take(room).toList()
     }
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/Endings.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepWriter.kt
@@ -12,46 +12,48 @@
 import org.elderhitch.store.StateClient
 import org.elderhitch.store.Write
 
-/** What became of the wish to withdraw points. */
-internal enum class Withdrawal { RECORDED, NOT_NOW }
+/** The outcome of withdrawing points. */
+internal enum class WithdrawalResult { RECORDED, UNAVAILABLE }
 
 /**
- * Ends points, a block at a time. Each block is one value, replaced under the version that it replaces: of an end and a
- * withdrawal of the same point
- * whoever replaces the block first has decided, and the other finds the point ended when it reads the block again. A
- * transaction
- * without an answer that is carried out late meets a newer version, or is the one that came through.
+ * Records the ends of points, a block at a time, and the manifests of new sweeps. Each block is one value, replaced on
+ * condition of its version: when a point is completed and withdrawn at the same time, the first write of the block
+ * decides, and the other writer finds the point ended when it reads the block again. A transaction that got no answer
+ * and is carried out late fails on the newer version, or is the write that took effect.
  */
-internal class Endings(
+internal class SweepWriter(
     private val sweepRegistry: SweepRegistry,
     private val client: StateClient,
     private val sync: suspend () -> Boolean,
     private val txnOps: Int,
 ) {
-    /** As [org.elderhitch.jobs.JobProvider.record] has it. */
-    suspend fun done(leadership: LeadershipState.Leader, complete: List<CompletionBatch>): Map<JobId, List<Int>>? {
-        val wanted = LinkedHashMap<Pair<SweepState, Int>, HashMap<Int, JobAccount?>>()
+    /** Implements [org.elderhitch.jobs.JobProvider.record] for points. */
+    suspend fun recordDone(
+        leadership: LeadershipState.Leader,
+        complete: List<CompletionBatch>,
+    ): Map<JobId, List<Int>>? {
+        val pointsByBlock = LinkedHashMap<Pair<SweepState, Int>, HashMap<Int, JobAccount?>>()
         for (batch in complete) {
             val (id, point) = SweepId.ofPoint(batch.job) ?: continue
             val state = sweepRegistry.of(id) ?: continue
-            wanted.getOrPut(state to point / Block.SIZE) { HashMap() }[point % Block.SIZE] = batch.account
+            pointsByBlock.getOrPut(state to point / Block.SIZE) { HashMap() }[point % Block.SIZE] = batch.account
         }
-        for (group in wanted.entries.chunked(txnOps)) {
-            val blocks = group.map { (at, points) -> at.first to at.first.block(at.second).withDone(points) }
+        for (group in pointsByBlock.entries.chunked(txnOps)) {
+            val blocks = group.map { (key, points) -> key.first to key.first.block(key.second).withDone(points) }
             if (write(blocks, Condition(Keys.TERM, leadership.termRevision), RequestPriority.END) == null) return null
         }
-        // Only what is recorded now is told: a point that was withdrawn first is ended too, and needs nothing more.
+        // Only points that are recorded as ended are returned. A point that was withdrawn first has ended too.
         return complete.filter { batch ->
             SweepId.ofPoint(batch.job)?.let { (id, point) -> sweepRegistry.of(id)?.endOf(point) } !=
                 null
         }.associate { it.job to it.newlyCompleted }
     }
 
-    /** False: some block could not be written now; null: another term has begun. */
+    /** False if some block could not be written now; null if another term has begun. */
     private suspend fun write(
         blocks: List<Pair<SweepState, Block>>,
         term: Condition?,
-        purpose: RequestPriority,
+        priority: RequestPriority,
     ): Boolean? {
         val changed = blocks.filter { (state, block) -> block !== state.block(block.number) }
         if (changed.isEmpty()) return true
@@ -63,22 +65,26 @@
             changed.map { (state, block) ->
                 Write.Put(SweepKeys.block(state.id, block.number), block.encode())
             },
-            purpose,
+            priority,
         )
         return when (outcome) {
             is CommitOutcome.Committed -> {
-                changed.forEach { (state, block) -> sweepRegistry.written(state, block.written(outcome.revision)) }
+                changed.forEach { (state, block) ->
+                    sweepRegistry.applyBlock(state, block.withVersion(outcome.revision))
+                }
                 true
             }
 
             is CommitOutcome.Conflict -> {
                 if (Keys.TERM in outcome.failed) return null
-                // A withdrawal came first, or an earlier try of ours: the next round starts from what stands there.
+                // A withdrawal was recorded first, or an earlier attempt of this node: the next attempt starts from
+                // the stored blocks.
                 sync()
                 false
             }
 
-            // What it did is seen by the feed; the next try meets the version that it left, or its own.
+            // The watch shows whether the transaction took effect; the next attempt starts from the version that
+            // it left.
             CommitOutcome.Unknown -> {
                 sync()
                 false
@@ -88,8 +94,8 @@
         }
     }
 
-    /** Recorded for all open points of [range] when it says so; those that had ended keep their end. */
-    suspend fun cancel(state: SweepState, range: IntRange): Withdrawal {
+    /** Withdraws all open points of [range]; points that have already ended keep their end. */
+    suspend fun cancel(state: SweepState, range: IntRange): WithdrawalResult {
         for (number in range.first / Block.SIZE..range.last / Block.SIZE) {
             val first = number * Block.SIZE
             val points = (
@@ -101,22 +107,22 @@
                 state.endOf(it) !=
                     PointEnd.SKIPPED
             }.map { it - first }
-            var tries = 0
+            var attempts = 0
             while (points.any { state.block(number).endOf(it) == null }) {
-                if (++tries > TRIES) return Withdrawal.NOT_NOW
-                write(listOf(state to state.block(number).withWithdrawn(points)), null, RequestPriority.RECORD)
+                if (++attempts > MAX_ATTEMPTS) return WithdrawalResult.UNAVAILABLE
+                write(listOf(state to state.block(number).withCancelled(points)), null, RequestPriority.RECORD)
             }
         }
-        return Withdrawal.RECORDED
+        return WithdrawalResult.RECORDED
     }
 
     /**
-     * Puts a sweep's manifest, if nothing stands there; the manifest that stands there afterwards, or null if that
-     * can't be told.
+     * Writes a sweep's manifest unless there is one already. Returns the sweep with the manifest that is then stored,
+     * or null if the outcome is unknown.
      */
-    suspend fun accept(id: SweepId, manifest: Manifest, firstPart: Revision): Accepted? {
+    suspend fun recordManifest(id: SweepId, manifest: Manifest, firstPart: Revision): RecordedManifest? {
         val key = SweepKeys.manifest(id)
-        repeat(TRIES) {
+        repeat(MAX_ATTEMPTS) {
             when (
                 val outcome = client.commit(
                     listOf(Condition(key, Revision.ABSENT), Condition(SweepKeys.part(id, 0), firstPart)),
@@ -124,14 +130,14 @@
                     RequestPriority.RECORD,
                 )
             ) {
-                is CommitOutcome.Committed -> return Accepted(
-                    sweepRegistry.recorded(id, manifest, outcome.revision),
+                is CommitOutcome.Committed -> return RecordedManifest(
+                    sweepRegistry.add(id, manifest, outcome.revision),
                     isNew = true,
                 )
 
                 is CommitOutcome.Conflict -> return if (sync()) {
                     sweepRegistry.of(id)?.let {
-                        Accepted(it, isNew = false)
+                        RecordedManifest(it, isNew = false)
                     }
                 } else {
                     null
@@ -145,10 +151,10 @@
         return null
     }
 
-    class Accepted(val state: SweepState, val isNew: Boolean)
+    class RecordedManifest(val state: SweepState, val isNew: Boolean)
 
     private companion object {
-        /** The leader writes a block once a second at most; a withdrawal that meets it reads again. */
-        const val TRIES = 5
+        /** The leader writes a block at most once a second; a withdrawal that conflicts with it tries again. */
+        const val MAX_ATTEMPTS = 5
     }
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Sweeps.kt
@@ -20,8 +20,8 @@
 import kotlin.time.Duration.Companion.minutes
 
 /**
- * Serves sweeps: many jobs from one template, recorded as one thing, each of them a job to its user and to the leader's
- * table.
+ * The feature of parameter sweeps: many jobs from one template, recorded as one unit. Each point is a job of its own to
+ * users and in the leader's job table.
  */
 public class Sweeps(private val settings: SweepsSettings, private val context: FeatureContext) :
     Feature,
@@ -30,53 +30,60 @@
     override val jobProvider: JobProvider get() = this
 
     private val limits = context.settings.stateLimits
-    private val library = DescriptionStore(context.client, context.wallClock, limits.valueBytes)
+    private val descriptionStore = DescriptionStore(context.client, context.wallClock, limits.valueBytes)
     private val sweepRegistry: SweepRegistry =
-        SweepRegistry { state, before, after -> feeder.ended(state, before, after) }
-    private val feeder: AdmissionWindow =
-        AdmissionWindow(context.scope, sweepRegistry, library, settings, context::publish, context::runningTasks)
-    private val endings = Endings(sweepRegistry, context.client, context::sync, limits.txnOps)
-    private val jobService =
+        SweepRegistry { state, before, after -> admissionWindow.onBlockChanged(state, before, after) }
+    private val admissionWindow: AdmissionWindow =
+        AdmissionWindow(
+            context.scope,
+            sweepRegistry,
+            descriptionStore,
+            settings,
+            context::publish,
+            context::runningTasks,
+        )
+    private val sweepWriter = SweepWriter(sweepRegistry, context.client, context::sync, limits.txnOps)
+    private val sweepService =
         SweepService(
             settings,
             sweepRegistry,
-            library,
-            endings,
-            Acceptance(context.jobService),
+            descriptionStore,
+            sweepWriter,
+            SweepValidator(context.jobService),
             context,
             limits.valueBytes,
         )
-    private var collecting: Job? = null
+    private var collectionJob: Job? = null
 
     override fun start() {
         context.metrics.gauge("sweeps.open") { sweepRegistry.all.count { it.open > 0 } }
-        context.metrics.gauge("sweeps.in_table") { feeder.inTable }
+        context.metrics.gauge("sweeps.in_table") { admissionWindow.admittedCount }
     }
 
-    override fun onSnapshot(entries: List<Entry>) = sweepRegistry.snapshot(entries)
+    override fun onSnapshot(entries: List<Entry>) = sweepRegistry.applySnapshot(entries)
 
-    override fun onChanges(changes: List<Change>) = sweepRegistry.changed(changes)
+    override fun onChanges(changes: List<Change>) = sweepRegistry.applyChanges(changes)
 
     /**
-     * A worker's report of a point can't be judged without its description: a point that isn't known would be stopped
-     * as ended.
+     * Loads the descriptions of all open sweeps. Without them the leader would take a point that a worker reports for
+     * an ended job, and stop it.
      */
-    override suspend fun prepare(): Boolean = sweepRegistry.all.filter { it.open > 0 }.all { library.load(it) }
+    override suspend fun prepare(): Boolean = sweepRegistry.all.filter { it.open > 0 }.all { descriptionStore.load(it) }
 
     override fun onTermStarted(leadership: LeadershipState.Leader) {
-        feeder.begin()
-        collecting = context.scope.launch {
+        admissionWindow.start()
+        collectionJob = context.scope.launch {
             while (true) {
-                delay(COLLECT_EVERY)
-                library.collect { sweepRegistry.of(it) != null }
+                delay(COLLECTION_INTERVAL)
+                descriptionStore.collectOrphanedParts { sweepRegistry.of(it) != null }
             }
         }
     }
 
     override fun onTermEnded() {
-        feeder.end()
-        library.clear()
-        collecting?.cancel()
+        admissionWindow.stop()
+        descriptionStore.clear()
+        collectionJob?.cancel()
     }
 
     override fun retainsCompletions(job: JobId): Boolean = owns(job)
@@ -85,10 +92,10 @@
         "open" to sweepRegistry.all.count { it.open > 0 },
         "ended" to sweepRegistry.all.count { it.open == 0 },
         "open_points" to sweepRegistry.all.sumOf { it.open },
-        "points_in_table" to feeder.inTable,
+        "points_in_table" to admissionWindow.admittedCount,
     )
 
-    override suspend fun handle(request: Request): Response = jobService.handle(request)
+    override suspend fun handle(request: Request): Response = sweepService.handle(request)
 
     override suspend fun explain(job: JobId): List<String>? {
         val (id, point) = SweepId.ofPoint(job) ?: return null
@@ -97,22 +104,22 @@
             when (state.endOf(point)) {
                 PointEnd.DONE -> "point $point of sweep $id is done"
                 PointEnd.WITHDRAWN -> "point $point of sweep $id was withdrawn"
-                PointEnd.SKIPPED -> "point $point of sweep $id is malformed and was skipped: it is no job"
+                PointEnd.SKIPPED -> "point $point of sweep $id is malformed and was skipped: it never becomes a job"
                 null ->
-                    "point $point of sweep $id is open, as ${state.open} of ${state.points}; points are started in " +
-                        "their order, at most so many at a time as the sweep asked for"
+                    "point $point of sweep $id is open, one of ${state.open} open of ${state.points}; points are " +
+                        "started in order, at most as many at a time as the sweep asked for"
             },
         )
     }
 
-    // ---- points as jobs ----------------------------------------------------------------------------------------
+    // ---- JobProvider: points as jobs ---------------------------------------------------------------------------
 
     override fun owns(id: JobId): Boolean = SweepId.ofPoint(id) != null
 
     override suspend fun show(id: JobId): JobResponse {
         val (sweep, point) = SweepId.ofPoint(id) ?: return JobResponse.Unknown
         final(id, sweep, point)?.let { return it }
-        // An answer that isn't final is never older than one that another node gave.
+        // An answer that isn't final must not be older than one that another node has given.
         if (!context.sync()) return JobResponse.NotNow("the state service doesn't answer")
         final(id, sweep, point)?.let { return it }
         val state = sweepRegistry.of(sweep)
@@ -127,7 +134,7 @@
                 id,
                 JobStatus.ended(
                     TerminalState.DONE,
-                    library.loaded(sweep)?.let { tasks(it, sweep, point) } ?: 1,
+                    descriptionStore.loaded(sweep)?.let { taskCount(it, sweep, point) } ?: 1,
                 ),
             )
 
@@ -137,8 +144,8 @@
         }
     }
 
-    /** For display: the word is what counts. */
-    private fun tasks(description: Description, sweep: SweepId, point: Int): Int = try {
+    /** The point's number of tasks, for display only; 1 if its description can't tell. */
+    private fun taskCount(description: Description, sweep: SweepId, point: Int): Int = try {
         description.job(sweep, point).tasks
     } catch (_: BadPoint) {
         1
@@ -149,23 +156,23 @@
         val shown = show(id)
         val state = sweepRegistry.of(sweep)
         if (shown !is JobResponse.State || state == null) return shown
-        return if (endings.cancel(state, point..point) == Withdrawal.RECORDED) {
+        return if (sweepWriter.cancel(state, point..point) == WithdrawalResult.RECORDED) {
             show(id)
         } else {
-            JobResponse.NotNow("the state service takes no record now")
+            JobResponse.NotNow("the state service accepts no writes now")
         }
     }
 
     override fun open(id: JobId): JobEvent.Opened? = SweepId.ofPoint(id)?.let { (sweep, point) ->
-        feeder.named(sweep, point)
+        admissionWindow.admitReported(sweep, point)
     }
 
     override suspend fun record(
         leadership: LeadershipState.Leader,
         complete: List<CompletionBatch>,
-    ): Map<JobId, List<Int>>? = endings.done(leadership, complete)
+    ): Map<JobId, List<Int>>? = sweepWriter.recordDone(leadership, complete)
 
     private companion object {
-        val COLLECT_EVERY = 10.minutes
+        val COLLECTION_INTERVAL = 10.minutes
     }
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/SweepsSettings.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/SweepsSettings.kt
@@ -5,34 +5,35 @@
 import org.elderhitch.settings.LuaSection
 import java.io.File
 
-/** What the operators set for sweeps. */
+/** The operator's settings for sweeps. */
 public class SweepsSettings(
-    /** Sweeps with open points, at a time. */
-    public val mostOpen: Int = 50,
-    /** Points that the leader's table holds at a time, of all sweeps together. */
+    /** The maximum number of sweeps with open points. */
+    public val maxOpenSweeps: Int = 50,
+    /** The maximum number of points in the leader's job table, of all sweeps together. */
     public val tablePoints: Int = 2000,
     /**
-     * Points of one sweep that wait for room at a time: a round looks at no more of them, and no more is rented for.
+     * The maximum number of points of one sweep that wait for capacity. A scheduling cycle considers no more of them,
+     * and machines are provisioned for no more.
      */
     public val waitingPoints: Int = 64,
 )
 
-/** The section `sweeps` of the features file. */
+/** Reads the section `sweeps` of the features file. */
 public class SweepsSection : SectionReader {
     override fun read(section: LuaSection, file: File): FeatureFactory {
         section.requireKnownKeys(listOf("most_open", "table_points", "waiting_points"))
         val defaults = SweepsSettings()
         val settings = SweepsSettings(
-            section.intOrNull("most_open", 1, MOST_OPEN) ?: defaults.mostOpen,
-            section.intOrNull("table_points", 1, MOST_TABLE) ?: defaults.tablePoints,
-            section.intOrNull("waiting_points", 1, MOST_WAITING) ?: defaults.waitingPoints,
+            section.intOrNull("most_open", 1, MAX_OPEN_SWEEPS) ?: defaults.maxOpenSweeps,
+            section.intOrNull("table_points", 1, MAX_TABLE_POINTS) ?: defaults.tablePoints,
+            section.intOrNull("waiting_points", 1, MAX_WAITING_POINTS) ?: defaults.waitingPoints,
         )
         return FeatureFactory { Sweeps(settings, it) }
     }
 
     private companion object {
-        const val MOST_OPEN = 1000
-        const val MOST_TABLE = 20_000
-        const val MOST_WAITING = 1000
+        const val MAX_OPEN_SWEEPS = 1000
+        const val MAX_TABLE_POINTS = 20_000
+        const val MAX_WAITING_POINTS = 1000
     }
 }
--- a/src/main/kotlin/org/elderhitch/sweeps/Template.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Template.kt
@@ -6,10 +6,10 @@
 import org.elderhitch.json.JsonObject
 import org.elderhitch.json.MalformedJson
 
-/** What a parameter's values are. */
+/** The type of a parameter's values. */
 public enum class ParamType(
-    /** Its name in a template. */
-    internal val word: String,
+    /** The name of the type in a template. */
+    internal val keyword: String,
 ) {
     TEXT("text"),
     WHOLE("whole"),
@@ -17,34 +17,36 @@
     FLAG("flag"),
 }
 
-/** A point that its template can't make a job of. [column]: the parameter or field at fault. */
+/** A malformed point: its template can't make a job of it. [column]: the parameter or job field at fault. */
 public class BadPoint(public val column: String, public val reason: String, cause: Throwable? = null) :
     Exception("$column: $reason", cause)
 
-/** A template that can't be used, whatever the point. */
+/** A template, description or points source that can't be used at all. */
 public class BadTemplate(message: String, cause: Throwable? = null) : Exception(message, cause)
 
-/** A parameter of a template: its type, what it is without a value, and what values it may have. */
+/** A parameter of a template: its type, its default and the values that it may have. */
 public class Param internal constructor(
     public val name: String,
     public val type: ParamType,
-    /** Null: none. A text may have places of other parameters. */
+    /** Null if there is none. A text may contain placeholders of other parameters. */
     public val default: Any?,
-    private val least: Double?,
-    private val most: Double?,
+    private val min: Double?,
+    private val max: Double?,
     private val choices: List<Any>?,
 ) {
-    /** The value as its type has it. Throws [BadPoint]. */
-    public fun typed(raw: Any): Any {
-        val value = converted(raw) ?: throw BadPoint(name, "\"${raw.toString().take(SHOWN)}\" is no ${type.word}")
+    /** [raw] converted to the parameter's type and checked. Throws [BadPoint]. */
+    public fun convert(raw: Any): Any {
+        val value =
+            convertOrNull(raw)
+                ?: throw BadPoint(name, "\"${raw.toString().take(MAX_QUOTED)}\" is not of type ${type.keyword}")
         if (value is String) checkText(value)
         if (value is Number) checkRange(value)
-        if (choices != null && value !in choices) throw BadPoint(name, "$value is none of $choices")
+        if (choices != null && value !in choices) throw BadPoint(name, "$value is not one of $choices")
         return value
     }
 
-    /** Null: it can't be read as a value of this type. */
-    private fun converted(raw: Any): Any? = when (type) {
+    /** Null if [raw] is not a value of this type. */
+    private fun convertOrNull(raw: Any): Any? = when (type) {
         ParamType.TEXT -> raw.toString()
 
         ParamType.WHOLE -> raw as? Long ?: raw.toString().trim().toLongOrNull()
@@ -56,54 +58,54 @@
     }
 
     private fun checkText(value: String) {
-        if (value.length > LONGEST) throw BadPoint(name, "over $LONGEST characters")
+        if (value.length > MAX_TEXT_LENGTH) throw BadPoint(name, "over $MAX_TEXT_LENGTH characters")
         if (value.any { it < ' ' }) throw BadPoint(name, "has control characters")
     }
 
     private fun checkRange(value: Number) {
         val number = value.toDouble()
-        val tooSmall = least != null && number < least
-        val tooLarge = most != null && number > most
+        val tooSmall = min != null && number < min
+        val tooLarge = max != null && number > max
         if (tooSmall || tooLarge) {
-            throw BadPoint(name, "$value is not from ${least ?: "any"} to ${most ?: "any"}")
+            throw BadPoint(name, "$value is not from ${min ?: "any"} to ${max ?: "any"}")
         }
     }
 
     private companion object {
-        const val SHOWN = 40
-        const val LONGEST = 200
+        const val MAX_QUOTED = 40
+        const val MAX_TEXT_LENGTH = 200
     }
 }
 
 /**
- * A native job's body with places `${name}`, and the parameters that fill them. Pure: the same values give the same
- * job.
+ * A native job body with placeholders `${name}`, and the parameters whose values replace them. The same values always
+ * give the same job.
  */
 public class Template private constructor(
     public val params: Map<String, Param>,
     private val body: Map<String, Any?>,
-    private val order: List<Param>,
+    private val orderedParams: List<Param>,
 ) {
-    /** The point's parameters, defaults filled in. Throws [BadPoint]. */
+    /** The values of all parameters for a point: those [given], and defaults for the rest. Throws [BadPoint]. */
     public fun values(given: Map<String, Any?>): Map<String, Any> {
-        given.keys.firstOrNull { it !in params }?.let { throw BadPoint(it, "no parameter of the template") }
+        given.keys.firstOrNull { it !in params }?.let { throw BadPoint(it, "not a parameter of the template") }
         val values = HashMap<String, Any>()
-        for (param in order) {
+        for (param in orderedParams) {
             val raw =
-                given[param.name] ?: param.default?.let { if (it is String) fill(it, values) else it }
+                given[param.name] ?: param.default?.let { if (it is String) substitute(it, values) else it }
                     ?: throw BadPoint(param.name, "no value and no default")
-            values[param.name] = param.typed(raw)
+            values[param.name] = param.convert(raw)
         }
         return values
     }
 
-    /** The native body of a point. Throws [BadPoint]. */
+    /** The native job body of a point. Throws [BadPoint]. */
     public fun body(id: JobId, given: Map<String, Any?>): Map<String, Any?> {
         val values = values(given)
-        return linkedMapOf<String, Any?>("id" to id.text) + body.mapValues { fill(it.value, values) }
+        return linkedMapOf<String, Any?>("id" to id.text) + body.mapValues { substitute(it.value, values) }
     }
 
-    /** Throws [BadPoint] with the field that the codec refuses. */
+    /** The job of a point. Throws [BadPoint], naming the field if the job codec refuses one. */
     public fun job(id: JobId, given: Map<String, Any?>): JobSpec = try {
         JobCodec.decode(JsonObject.of(body(id, given)))
     } catch (e: MalformedJson) {
@@ -111,24 +113,24 @@
         throw BadPoint(message.substringBefore(':'), message.substringAfter(": "))
     }
 
-    private fun fill(value: Any?, values: Map<String, Any>): Any? = when (value) {
-        // A text that is one place and nothing else has the parameter's type.
-        is String -> PLACE.matchEntire(value)?.let { values[it.groupValues[1]] }
-            ?: PLACE.replace(value) { values[it.groupValues[1]].toString().let(Regex::escapeReplacement) }
+    private fun substitute(value: Any?, values: Map<String, Any>): Any? = when (value) {
+        // A text that is a single placeholder and nothing else takes the parameter's type.
+        is String -> PLACEHOLDER.matchEntire(value)?.let { values[it.groupValues[1]] }
+            ?: PLACEHOLDER.replace(value) { values[it.groupValues[1]].toString().let(Regex::escapeReplacement) }
 
-        is List<*> -> value.map { fill(it, values) }
+        is List<*> -> value.map { substitute(it, values) }
 
         else -> value
     }
 
     public companion object {
-        private val PLACE = Regex("\\$\\{([A-Za-z][A-Za-z0-9_]{0,39})}")
+        private val PLACEHOLDER = Regex("\\$\\{([A-Za-z][A-Za-z0-9_]{0,39})}")
         private val NAME = Regex("[A-Za-z][A-Za-z0-9_]{0,39}")
-        private const val MOST_PARAMS = 50
-        private const val MOST_CHOICES = 200
+        private const val MAX_PARAMS = 50
+        private const val MAX_CHOICES = 200
         private val PARAM_FIELDS = setOf("type", "default", "least", "most", "choices")
 
-        /** Not a template's: the sweep gives ids, and a point repeats nothing. */
+        /** Fields that a template may not set: the sweep assigns the ids, and a point never repeats another job. */
         private val RESERVED = setOf("id", "repeatOf")
 
         /** Throws [BadTemplate]. */
@@ -139,21 +141,21 @@
                     params?.objectOrNull(name) ?: throw BadTemplate("params.$name: must be an object"),
                 )
             }
-            if (read.size > MOST_PARAMS) throw BadTemplate("params: over $MOST_PARAMS")
+            if (read.size > MAX_PARAMS) throw BadTemplate("params: over $MAX_PARAMS")
             val body = job.names.associateWith { job.raw(it) }
-            body.keys.firstOrNull { it in RESERVED }?.let { throw BadTemplate("job.$it: is not a template's") }
+            body.keys.firstOrNull { it in RESERVED }?.let { throw BadTemplate("job.$it: can't be set by a template") }
             val byName = read.associateBy { it.name }
             for ((field, value) in body) {
-                places(value).firstOrNull {
+                placeholders(value).firstOrNull {
                     it !in byName
-                }?.let { throw BadTemplate("job.$field: $it is no parameter") }
+                }?.let { throw BadTemplate("job.$field: $it is not a parameter") }
             }
-            return Template(byName, body, ordered(byName))
+            return Template(byName, body, inDependencyOrder(byName))
         }
 
-        private fun places(value: Any?): List<String> = when (value) {
-            is String -> PLACE.findAll(value).map { it.groupValues[1] }.toList()
-            is List<*> -> value.flatMap(::places)
+        private fun placeholders(value: Any?): List<String> = when (value) {
+            is String -> PLACEHOLDER.findAll(value).map { it.groupValues[1] }.toList()
+            is List<*> -> value.flatMap(::placeholders)
             else -> emptyList()
         }
 
@@ -162,11 +164,11 @@
             val unknown = from.names.firstOrNull { it !in PARAM_FIELDS }
             if (unknown != null) throw BadTemplate("params.$name.$unknown: unknown; known are ${PARAM_FIELDS.sorted()}")
             val type = paramType(name, from.stringOrNull("type") ?: "text")
-            val least = bound(name, from, "least")
-            val most = bound(name, from, "most")
-            val choices = choices(from, Param(name, type, null, least, most, null))
-            Param(name, type, from.raw("default"), least, most, choices).also { made ->
-                made.default?.let { if (places(it).isEmpty()) made.typed(it) }
+            val min = bound(name, from, "least")
+            val max = bound(name, from, "most")
+            val choices = choices(from, Param(name, type, null, min, max, null))
+            Param(name, type, from.raw("default"), min, max, choices).also { parsed ->
+                parsed.default?.let { if (placeholders(it).isEmpty()) parsed.convert(it) }
             }
         } catch (e: BadPoint) {
             throw BadTemplate("params.$name: ${e.reason}", e)
@@ -174,8 +176,11 @@
             throw BadTemplate("params.$name.${e.message}", e)
         }
 
-        private fun paramType(name: String, word: String): ParamType = ParamType.entries.firstOrNull { it.word == word }
-            ?: throw BadTemplate("params.$name.type: $word is none of ${ParamType.entries.map { it.word }}")
+        private fun paramType(name: String, keyword: String): ParamType =
+            ParamType.entries.firstOrNull { it.keyword == keyword }
+                ?: throw BadTemplate(
+                    "params.$name.type: $keyword is not one of ${ParamType.entries.map { it.keyword }}",
+                )
 
         private fun bound(name: String, from: JsonObject, key: String): Double? {
             val value = from.raw(key) as? Number
@@ -183,31 +188,35 @@
             return value?.toDouble()
         }
 
-        /** The values that [plain], a parameter without choices, may have; null: any. */
-        private fun choices(from: JsonObject, plain: Param): List<Any>? {
+        /** The listed choices, converted by [unrestricted], the parameter without them. Null allows any value. */
+        private fun choices(from: JsonObject, unrestricted: Param): List<Any>? {
             val listed = from.raw("choices") as? List<*> ?: return null
-            val choices = listed.map { plain.typed(it ?: throw BadTemplate("params.${plain.name}.choices: null")) }
-            if (choices.isEmpty() || choices.size > MOST_CHOICES) {
-                throw BadTemplate("params.${plain.name}.choices: not from 1 to $MOST_CHOICES")
+            val choices = listed.map {
+                unrestricted.convert(
+                    it ?: throw BadTemplate("params.${unrestricted.name}.choices: null"),
+                )
+            }
+            if (choices.isEmpty() || choices.size > MAX_CHOICES) {
+                throw BadTemplate("params.${unrestricted.name}.choices: not from 1 to $MAX_CHOICES")
             }
             return choices
         }
 
-        /** Each after those that its default names. Throws [BadTemplate] for a circle. */
-        private fun ordered(params: Map<String, Param>): List<Param> {
+        /** The parameters in topological order, each after those in its default. Throws [BadTemplate] for a cycle. */
+        private fun inDependencyOrder(params: Map<String, Param>): List<Param> {
             val done = LinkedHashMap<String, Param>()
             fun add(param: Param, path: List<String>) {
                 if (param.name in done) return
                 if (param.name in path) {
                     throw BadTemplate(
-                        "params.${param.name}.default: goes in a circle: ${(path + param.name).joinToString(
+                        "params.${param.name}.default: circular reference: ${(path + param.name).joinToString(
                             " -> ",
                         )}",
                     )
                 }
-                for (name in places(param.default)) {
+                for (name in placeholders(param.default)) {
                     add(
-                        params[name] ?: throw BadTemplate("params.${param.name}.default: $name is no parameter"),
+                        params[name] ?: throw BadTemplate("params.${param.name}.default: $name is not a parameter"),
                         path + param.name,
                     )
                 }
--- a/src/main/kotlin/org/elderhitch/sweeps/Work.kt
+++ b/src/main/kotlin/org/elderhitch/sweeps/Work.kt
@@ -10,8 +10,8 @@
 import java.util.zip.DataFormatException
 
 /**
- * What the points of a block did that completed: sums, and how long each took in task-seconds. Adding two gives the
- * work of both.
+ * The work of completed points: sums, and a histogram of the task-seconds that each took. Adding two values gives the
+ * work of both sets of points.
  */
 public class Work private constructor(
     public val completed: Long,
@@ -19,25 +19,27 @@
     public val lost: Long,
     public val usefulS: Double,
     public val lostS: Double,
-    /** Points part of whose work nobody saw: of those there was at least as much. */
+    /** The number of points whose work was only partly observed, so that the sums are a lower bound for them. */
     public val least: Long,
     private val durations: Histogram?,
 ) {
-    /** With completed points more; an account is null if nobody could say. */
+    /** This work plus that of more completed points; an account is null if the point's work is unknown. */
     public fun with(accounts: Collection<JobAccount?>): Work {
-        val took = durations?.copy() ?: histogram()
+        val durationsAfter = durations?.copy() ?: histogram()
         for (account in accounts) {
-            took.recordValue(((account?.usefulSeconds ?: 0.0) * TENTHS).toLong().coerceIn(0, LONGEST))
+            durationsAfter.recordValue(
+                ((account?.usefulSeconds ?: 0.0) * TENTHS_PER_SECOND).toLong().coerceIn(0, MAX_TENTHS),
+            )
         }
-        val seen = accounts.filterNotNull()
+        val known = accounts.filterNotNull()
         return Work(
             completed + accounts.size,
-            attempts + seen.sumOf { it.attempts },
-            lost + seen.sumOf { it.lost },
-            usefulS + seen.sumOf { it.usefulSeconds },
-            lostS + seen.sumOf { it.lostSeconds },
+            attempts + known.sumOf { it.attempts },
+            lost + known.sumOf { it.lost },
+            usefulS + known.sumOf { it.usefulSeconds },
+            lostS + known.sumOf { it.lostSeconds },
             least + accounts.count { it == null || it.lowerBound },
-            took,
+            durationsAfter,
         )
     }
 
@@ -56,36 +58,36 @@
     )
 
     /**
-     * Task-seconds that the given share of the completed points took at most, to within a hundredth; null: none
-     * completed.
+     * The task-seconds within which the given share of the completed points finished, accurate to one hundredth. Null
+     * if none has completed.
      */
     public fun percentile(share: Double): Double? =
-        durations?.getValueAtPercentile(share * PERCENT)?.let { it / TENTHS }
+        durations?.getValueAtPercentile(share * PERCENT)?.let { it / TENTHS_PER_SECOND }
 
     public fun encode(): Map<String, Any?> = linkedMapOf(
         "n" to completed,
         "tries" to attempts,
         "lost" to lost,
-        "useful" to rounded(usefulS),
-        "wasted" to rounded(lostS),
+        "useful" to roundToTenths(usefulS),
+        "wasted" to roundToTenths(lostS),
         "least" to least,
-        "hist" to durations?.let(::packed),
+        "hist" to durations?.let(::encodeHistogram),
     ).filterValues { it != null }
 
     public companion object {
         public val NONE: Work = Work(0, 0, 0, 0.0, 0.0, 0, null)
         private const val PERCENT = 100.0
-        private const val TENTHS = 10.0
+        private const val TENTHS_PER_SECOND = 10.0
 
-        /** A hundred days, in tenths of a second. */
-        private const val LONGEST = 86_400_000L
-        private const val DIGITS = 2
+        /** 100 days, in tenths of a second. */
+        private const val MAX_TENTHS = 86_400_000L
+        private const val SIGNIFICANT_DIGITS = 2
 
-        private fun rounded(seconds: Double): Double = Math.rint(seconds * TENTHS) / TENTHS
+        private fun roundToTenths(seconds: Double): Double = Math.rint(seconds * TENTHS_PER_SECOND) / TENTHS_PER_SECOND
 
-        private fun histogram() = Histogram(LONGEST, DIGITS).apply { isAutoResize = false }
+        private fun histogram() = Histogram(MAX_TENTHS, SIGNIFICANT_DIGITS).apply { isAutoResize = false }
 
-        private fun packed(histogram: Histogram): String {
+        private fun encodeHistogram(histogram: Histogram): String {
             val buffer = ByteBuffer.allocate(histogram.neededByteBufferCapacity)
             val length = histogram.encodeIntoCompressedByteBuffer(buffer)
             return Base64.getEncoder().encodeToString(buffer.array().copyOf(length))
@@ -99,11 +101,11 @@
             from.amount("useful"),
             from.amount("wasted"),
             from.count("least"),
-            from.stringOrNull("hist")?.let(::unpacked),
+            from.stringOrNull("hist")?.let(::decodeHistogram),
         )
 
-        private fun unpacked(text: String): Histogram = try {
-            Histogram.decodeFromCompressedByteBuffer(ByteBuffer.wrap(Base64.getDecoder().decode(text)), LONGEST)
+        private fun decodeHistogram(text: String): Histogram = try {
+            Histogram.decodeFromCompressedByteBuffer(ByteBuffer.wrap(Base64.getDecoder().decode(text)), MAX_TENTHS)
         } catch (_: IllegalArgumentException) {
             throw MalformedJson("hist: none of ours")
         } catch (_: DataFormatException) {
