--- a/src/main/kotlin/org/elderhitch/lab/VirtualTime.kt
+++ b/src/main/kotlin/org/elderhitch/lab/VirtualTime.kt
@@ -16,10 +16,7 @@
 import java.util.PriorityQueue
 import kotlin.coroutines.CoroutineContext
 
-/**
- * Runs coroutines in the order of their simulated times, on one thread, without waiting. The same seed gives the same
- * run.
- */
+/** A deterministic dispatcher: runs coroutines on one thread in the order of their simulated times, without waiting. */
 @OptIn(InternalCoroutinesApi::class, kotlinx.coroutines.ExperimentalCoroutinesApi::class)
 internal class VirtualTime :
     CoroutineDispatcher(),
@@ -30,43 +27,43 @@
 
     private val queue = PriorityQueue<ScheduledRun>(compareBy<ScheduledRun> { it.atMs }.thenBy { it.order })
     private var order = 0L
-    private var failure: Throwable? = null
+    private var firstFailure: Throwable? = null
     var nowMs = 0L
         private set
     val clock = SteadyClock { MonotonicInstant(nowMs * NANOS_PER_MS) }
 
-    private fun add(afterMs: Long, run: Runnable): ScheduledRun =
+    private fun schedule(afterMs: Long, run: Runnable): ScheduledRun =
         ScheduledRun(nowMs + afterMs.coerceAtLeast(0), order++, run).also(queue::add)
 
     override fun dispatch(context: CoroutineContext, block: Runnable) {
-        add(0, block)
+        schedule(0, block)
     }
 
     override fun scheduleResumeAfterDelay(timeMillis: Long, continuation: CancellableContinuation<Unit>) {
         if (timeMillis >= NEVER) return
-        val due = add(timeMillis) { with(continuation) { resumeUndispatched(Unit) } }
-        continuation.invokeOnCancellation { due.cancelled = true }
+        val next = schedule(timeMillis) { with(continuation) { resumeUndispatched(Unit) } }
+        continuation.invokeOnCancellation { next.cancelled = true }
     }
 
     override fun invokeOnTimeout(timeMillis: Long, block: Runnable, context: CoroutineContext): DisposableHandle {
         if (timeMillis >= NEVER) return DisposableHandle { }
-        val due = add(timeMillis, block)
-        return DisposableHandle { due.cancelled = true }
+        val next = schedule(timeMillis, block)
+        return DisposableHandle { next.cancelled = true }
     }
 
-    /**
-     * Runs [body] to its end, and whatever else is launched in the scope for as long. Throws what a coroutine threw.
-     */
+    /** Runs [body], and coroutines launched in its scope until it ends. Throws the first uncaught exception of any. */
     fun <T> run(body: suspend CoroutineScope.() -> T): T {
         val scope =
-            CoroutineScope(SupervisorJob() + this + CoroutineExceptionHandler { _, e -> failure = failure ?: e })
+            CoroutineScope(
+                SupervisorJob() + this + CoroutineExceptionHandler { _, e -> firstFailure = firstFailure ?: e },
+            )
         val result = scope.async { body(scope) }
         while (!result.isCompleted) {
-            val due = queue.poll() ?: error("everything waits, and nothing is due")
-            if (due.cancelled) continue
-            nowMs = maxOf(nowMs, due.atMs)
-            due.run.run()
-            failure?.let { throw it }
+            val next = queue.poll() ?: error("deadlock: all coroutines wait, and no timer is pending")
+            if (next.cancelled) continue
+            nowMs = maxOf(nowMs, next.atMs)
+            next.run.run()
+            firstFailure?.let { throw it }
         }
         scope.cancel()
         return result.getCompletionExceptionOrNull()?.let { throw it } ?: result.getCompleted()
