--- a/src/main/kotlin/org/elderhitch/app/ClassArchiveTraining.kt
+++ b/src/main/kotlin/org/elderhitch/app/ClassArchiveTraining.kt
@@ -74,8 +74,8 @@
                     Random.Default,
                 )
                 controller.start()
-                server.listen(settings.clientListen, controller.clients)
-                server.listen(settings.clusterListen, controller.peers)
+                server.listen(settings.clientListen, controller.clientHandler)
+                server.listen(settings.clusterListen, controller.peerHandler)
                 sendRequests(client, settings.clientListen)
             }
         }
--- a/src/main/kotlin/org/elderhitch/app/Controller.kt
+++ b/src/main/kotlin/org/elderhitch/app/Controller.kt
@@ -70,7 +70,7 @@
     random: Random,
     features: Features = Features.NONE,
     /** The limit on open jobs that this process accepts, by their size in memory. */
-    private val maxFootprint: Footprint = Footprint.bound(Runtime.getRuntime().maxMemory()),
+    private val maxFootprint: Footprint = Footprint.limitFor(Runtime.getRuntime().maxMemory()),
     /** Called after each scheduling cycle with the number of machines and candidates that it examined. */
     onCycle: (machineVisits: Long) -> Unit = {},
     /** Called when an entry in the state service requires a feature that is disabled; the process must then exit. */
@@ -98,7 +98,7 @@
         cloud,
         stateClient,
         policy,
-        settings.instantClasses,
+        settings.nonPreemptingClasses,
         settings.cloudLimits,
         clock,
         fleetPorts(),
@@ -145,10 +145,10 @@
     )
 
     /** Serves users, workers and health probes. */
-    public val clients: Handler get() = router
+    public val clientHandler: Handler get() = router
 
     /** Serves the other controllers. */
-    public val peers: Handler get() = cluster
+    public val peerHandler: Handler get() = cluster
 
     /** Starts all components. Must be called once, after the controller has begun to listen on its addresses. */
     public fun start() {
@@ -167,12 +167,12 @@
     private fun registerGauges() {
         metrics.gauge("jobs.running_tasks") { schedulerWiring.runningTasks.values.sum() }
         metrics.gauge("jobs.open_bytes") { jobRegistry.footprint.bytes }
-        metrics.gauge("jobs.most_bytes") { (cluster.smallestPeerLimit() ?: maxFootprint).bytes }
+        metrics.gauge("jobs.most_bytes") { (cluster.smallestPeerOpenJobsLimit() ?: maxFootprint).bytes }
         metrics.gauge("term") { (leadership.leadershipState.value as? LeadershipState.Leader)?.term?.number ?: 0 }
     }
 
     /** The machine of each task in the leader's task table; null if this controller isn't the leader. */
-    internal suspend fun survey(): Map<TaskId, MachineId>? = leaderQueries.placements()
+    internal suspend fun placements(): Map<TaskId, MachineId>? = leaderQueries.placements()
 
     private fun createSchedulerWiring(transport: Transport): SchedulerWiring {
         val tellScheduler = { message: SchedulerMessage -> scheduler.tell(message) }
@@ -187,7 +187,7 @@
         )
         val workerCommands = WorkerCommandSender(scope, WorkerClient(transport), ::maySendCommands, tellScheduler)
         return SchedulerWiring(jobRegistry, leadership, { provisioning }, stateWriter, workerCommands) { leader ->
-            partitionDetector.isCutOffFrom(leader)
+            partitionDetector.isIsolatedFrom(leader)
         }
     }
 
@@ -224,7 +224,7 @@
             { catalog.canEverRun(it) },
             settings.stateLimits.valueBytes,
             features.rules,
-            Admission(maxFootprint) { cluster.smallestPeerLimit() },
+            Admission(maxFootprint) { cluster.smallestPeerOpenJobsLimit() },
         ),
         wallClock,
         { leaderQueries.account(it.id) },
@@ -264,9 +264,9 @@
     }
 
     private fun fleetPorts(): FleetPorts = object : FleetPorts {
-        override fun scheduler(message: SchedulerMessage) = scheduler.tell(message)
+        override fun tellScheduler(message: SchedulerMessage) = scheduler.tell(message)
 
-        override fun leadership(message: LeadershipMessage) = leadership.tell(message)
+        override fun tellLeadership(message: LeadershipMessage) = leadership.tell(message)
 
         override fun maySendCommands(leadershipState: LeadershipState.Leader): Boolean =
             this@Controller.maySendCommands(leadershipState)
@@ -287,7 +287,7 @@
 
         override fun observeTerm(term: Term) = leadership.tell(LeadershipMessage.TermObserved(term))
 
-        override fun previousLeaderEnded(term: Term) = scheduler.tell(SchedulerMessage.PreviousLeaderEnded(term))
+        override fun previousLeaderExited(term: Term) = scheduler.tell(SchedulerMessage.PreviousLeaderExited(term))
 
         override fun previousLeadersStopped(term: Term) = scheduler.tell(SchedulerMessage.PreviousLeadersStopped(term))
 
@@ -296,7 +296,7 @@
         override fun delegationGranted(grant: DelegationGrant) =
             scheduler.tell(SchedulerMessage.DelegationGranted(grant))
 
-        override val longestDelegation: Duration = timeouts.commandWindow + timeouts.answerGracePeriod
+        override val maxDelegationDuration: Duration = timeouts.commandWindow + timeouts.answerGracePeriod
 
         override fun receiveTerminalStates(records: Map<JobId, TerminalRecord>) = records.forEach { (id, record) ->
             jobRegistry.tell(JobMessage.TerminalStateReceived(id, record))
--- a/src/main/kotlin/org/elderhitch/app/Daemon.kt
+++ b/src/main/kotlin/org/elderhitch/app/Daemon.kt
@@ -12,8 +12,8 @@
 import org.elderhitch.http.HttpServer
 import org.elderhitch.http.channelGroup
 import org.elderhitch.json.MalformedJson
-import org.elderhitch.settings.BadScript
 import org.elderhitch.settings.PolicyScript
+import org.elderhitch.settings.ScriptException
 import org.elderhitch.settings.Settings
 import org.elderhitch.time.SystemSteadyClock
 import org.elderhitch.time.SystemWallClock
@@ -48,7 +48,7 @@
     /** Reads the features file, or exits: users rely on features, so an error must not silently disable them. */
     private fun features(file: File): Features = try {
         FeaturesFile.load(file)
-    } catch (e: BadScript) {
+    } catch (e: ScriptException) {
         exit(e.message.orEmpty())
     }
 
@@ -104,8 +104,8 @@
 
     private fun listen(server: HttpServer, settings: Settings, controller: Controller) {
         try {
-            server.listen(settings.clientListen, controller.clients)
-            server.listen(settings.clusterListen, controller.peers)
+            server.listen(settings.clientListen, controller.clientHandler)
+            server.listen(settings.clusterListen, controller.peerHandler)
         } catch (e: IOException) {
             exit("can't listen on ${settings.clientListen} or ${settings.clusterListen}: ${e.message}")
         }
--- a/src/main/kotlin/org/elderhitch/app/HeartbeatEndpoint.kt
+++ b/src/main/kotlin/org/elderhitch/app/HeartbeatEndpoint.kt
@@ -20,7 +20,7 @@
         val heartbeat = try {
             HeartbeatCodec.decode(request.body)
         } catch (e: MalformedJson) {
-            return HttpServer.refusal(HttpStatus.BAD_REQUEST, e.message.orEmpty())
+            return HttpServer.errorResponse(HttpStatus.BAD_REQUEST, e.message.orEmpty())
         }
         val reply = CompletableDeferred<HeartbeatResponse>()
         scheduler.tell(SchedulerMessage.HeartbeatReceived(heartbeat, reply))
@@ -35,7 +35,7 @@
     /** Names the leader only if this controller receives its heartbeats, so that no worker is sent to a dead one. */
     private fun redirect(response: HeartbeatResponse.Redirect): Response {
         val leader = response.leader?.takeIf(cluster::hasRecentHeartbeat)
-            ?: return HttpServer.refusal(HttpStatus.SERVICE_UNAVAILABLE, "no leader known here", RETRY_AFTER)
+            ?: return HttpServer.errorResponse(HttpStatus.SERVICE_UNAVAILABLE, "no leader known here", RETRY_AFTER)
         return Response(HttpStatus.MISDIRECTED_REQUEST, Json.bytes(mapOf("auctioneer" to leader.text)))
     }
 
--- a/src/main/kotlin/org/elderhitch/app/JobEndpoint.kt
+++ b/src/main/kotlin/org/elderhitch/app/JobEndpoint.kt
@@ -26,11 +26,11 @@
     private val log = LoggerFactory.getLogger("elderhitch.app")
 
     suspend fun handle(request: Request): Response = when {
-        request.path.startsWith(EXPLAIN_PATH) -> HttpServer.only("GET", request) {
+        request.path.startsWith(EXPLAIN_PATH) -> HttpServer.requireMethod("GET", request) {
             explain(request.path.removePrefix(EXPLAIN_PATH))
         }
 
-        request.path.startsWith(RELEASE_PATH) -> HttpServer.only("POST", request) { release(request) }
+        request.path.startsWith(RELEASE_PATH) -> HttpServer.requireMethod("POST", request) { release(request) }
 
         else -> handleJob(request)
     }
@@ -38,15 +38,15 @@
     private suspend fun handleJob(request: Request): Response {
         val rest = request.path.removePrefix(JOBS_PATH).removePrefix("/")
         return when {
-            rest.isEmpty() -> HttpServer.only("POST", request) { toResponse(jobService.submit(request.body)) }
+            rest.isEmpty() -> HttpServer.requireMethod("POST", request) { toResponse(jobService.submit(request.body)) }
 
-            rest.endsWith(CANCEL_SUFFIX) -> HttpServer.only("POST", request) {
+            rest.endsWith(CANCEL_SUFFIX) -> HttpServer.requireMethod("POST", request) {
                 cancel(rest.removeSuffix(CANCEL_SUFFIX))
             }
 
-            '/' in rest -> HttpServer.refusal(HttpStatus.NOT_FOUND, "no such path")
+            '/' in rest -> HttpServer.errorResponse(HttpStatus.NOT_FOUND, "no such path")
 
-            else -> HttpServer.only("GET", request) { show(rest) }
+            else -> HttpServer.requireMethod("GET", request) { show(rest) }
         }
     }
 
@@ -84,7 +84,7 @@
 
     private fun explainTerminated(record: TerminalRecord): List<String> {
         val account = record.account ?: return listOf("ended before accounts were kept")
-        val atLeast = if (account.lowerBound) " at least" else ""
+        val atLeast = if (account.isLowerBound) " at least" else ""
         return listOf(
             "${record.state.wireName} at ${account.end}, ${record.done} tasks done",
             "started$atLeast ${account.attempts} times, of which ${account.lost} were lost;" +
@@ -98,19 +98,19 @@
         val reason = try {
             Json.parseObject(request.body).string("reason")
         } catch (e: MalformedJson) {
-            return HttpServer.refusal(HttpStatus.BAD_REQUEST, e.message.orEmpty())
+            return HttpServer.errorResponse(HttpStatus.BAD_REQUEST, e.message.orEmpty())
         }
         if (reason.isBlank() || reason.length > MAX_REASON_CHARS) {
             val message = "reason: empty or over $MAX_REASON_CHARS characters"
-            return HttpServer.refusal(HttpStatus.BAD_REQUEST, message)
+            return HttpServer.errorResponse(HttpStatus.BAD_REQUEST, message)
         }
         val released = jobService.release(id) { it.kind == HoldKind.ATTEMPTS }
         if (released is JobResponse.State) {
             val printable = reason.filter { it >= ' ' && it != '"' }
-            log.info("job released job={} from={} reason=\"{}\"", id, request.from, printable)
+            log.info("job released job={} from={} reason=\"{}\"", id, request.remoteAddress, printable)
         }
         if (released != JobResponse.Unknown) return toResponse(released)
-        return HttpServer.refusal(HttpStatus.NOT_FOUND, "no such job held by a rule")
+        return HttpServer.errorResponse(HttpStatus.NOT_FOUND, "no such job held by a rule")
     }
 
     private fun toResponse(result: JobResponse): Response = when (result) {
@@ -121,13 +121,13 @@
 
         is JobResponse.State -> Response(HttpStatus.OK, JobCodec.encodeStatus(result.id, result.status))
 
-        is JobResponse.Malformed -> HttpServer.refusal(HttpStatus.BAD_REQUEST, result.reason)
+        is JobResponse.Malformed -> HttpServer.errorResponse(HttpStatus.BAD_REQUEST, result.reason)
 
-        is JobResponse.NeverRuns -> HttpServer.refusal(HttpStatus.UNPROCESSABLE_CONTENT, result.reason)
+        is JobResponse.NeverRuns -> HttpServer.errorResponse(HttpStatus.UNPROCESSABLE_CONTENT, result.reason)
 
-        JobResponse.Unknown -> HttpServer.refusal(HttpStatus.NOT_FOUND, "no such job")
+        JobResponse.Unknown -> HttpServer.errorResponse(HttpStatus.NOT_FOUND, "no such job")
 
-        is JobResponse.NotNow -> HttpServer.refusal(HttpStatus.SERVICE_UNAVAILABLE, result.reason, RETRY_AFTER)
+        is JobResponse.NotNow -> HttpServer.errorResponse(HttpStatus.SERVICE_UNAVAILABLE, result.reason, RETRY_AFTER)
 
         JobResponse.Full -> Response(HttpStatus.SERVICE_UNAVAILABLE, capacityRefusal, capacityRefusalHeaders)
     }
--- a/src/main/kotlin/org/elderhitch/app/LeaderRpcHandler.kt
+++ b/src/main/kotlin/org/elderhitch/app/LeaderRpcHandler.kt
@@ -19,18 +19,18 @@
     private class JobQuery(val id: JobId, val body: JsonObject)
 
     override suspend fun handle(request: Request): Response {
-        if (!queries.isLeader()) return HttpServer.refusal(HttpStatus.SERVICE_UNAVAILABLE, "not the leader")
+        if (!queries.isLeader()) return HttpServer.errorResponse(HttpStatus.SERVICE_UNAVAILABLE, "not the leader")
         if (request.path == LeaderRpc.FAULTY_JOBS_PATH) return faultyJobs()
         val query = try {
             jobQuery(request)
         } catch (e: MalformedJson) {
-            return HttpServer.refusal(HttpStatus.BAD_REQUEST, e.message.orEmpty())
+            return HttpServer.errorResponse(HttpStatus.BAD_REQUEST, e.message.orEmpty())
         }
         return when (request.path) {
             LeaderRpc.ACCOUNT_PATH -> ok(mapOf(LeaderRpc.ACCOUNT_FIELD to queries.account(query.id)?.encode()))
             LeaderRpc.EXPLAIN_PATH -> ok(mapOf(LeaderRpc.LINES_FIELD to queries.explain(query.id).orEmpty()))
             LeaderRpc.HOLD_PATH -> hold(query)
-            else -> HttpServer.refusal(HttpStatus.BAD_REQUEST, "unknown request")
+            else -> HttpServer.errorResponse(HttpStatus.BAD_REQUEST, "unknown request")
         }
     }
 
@@ -48,7 +48,7 @@
     private suspend fun hold(query: JobQuery): Response {
         val kindName = query.body.stringOrNull(LeaderRpc.KIND_FIELD)
         val kind = HoldKind.entries.firstOrNull { it.name == kindName }
-            ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "kind: unknown")
+            ?: return HttpServer.errorResponse(HttpStatus.BAD_REQUEST, "kind: unknown")
         val reason = query.body.stringOrNull(LeaderRpc.REASON_FIELD).orEmpty()
         return ok(LeaderRpc.encode(queries.hold(query.id, kind, reason)))
     }
--- a/src/main/kotlin/org/elderhitch/app/PartitionDetector.kt
+++ b/src/main/kotlin/org/elderhitch/app/PartitionDetector.kt
@@ -23,7 +23,7 @@
      * partition. When it was the only criterion, controllers in the zone without the leader redirected workers to a
      * leader that those couldn't reach, and the workers' tasks ended when their leases expired.
      */
-    fun isCutOffFrom(leader: NodeName): Boolean {
+    fun isIsolatedFrom(leader: NodeName): Boolean {
         if (cluster.hasRecentHeartbeat(leader)) return false
         if (isZoneUnreachable(leader)) return true
         return connection.isLost { scope.launch { stateWatch.awaitFreshness() } }
--- a/src/main/kotlin/org/elderhitch/app/ProbeEndpoint.kt
+++ b/src/main/kotlin/org/elderhitch/app/ProbeEndpoint.kt
@@ -11,7 +11,7 @@
     fun ready(): Response = if (isReady()) {
         Response(HttpStatus.OK, Json.bytes(mapOf("ready" to true)))
     } else {
-        HttpServer.refusal(HttpStatus.SERVICE_UNAVAILABLE, "starting", RETRY_AFTER)
+        HttpServer.errorResponse(HttpStatus.SERVICE_UNAVAILABLE, "starting", RETRY_AFTER)
     }
 
     fun status(): Response = Response(HttpStatus.OK, Json.bytes(readStatus()))
--- a/src/main/kotlin/org/elderhitch/app/RequestRouter.kt
+++ b/src/main/kotlin/org/elderhitch/app/RequestRouter.kt
@@ -21,11 +21,11 @@
     override suspend fun handle(request: Request): Response {
         val path = request.path
         return when {
-            path == HEARTBEAT_PATH -> HttpServer.only("POST", request) { heartbeats.handle(request) }
+            path == HEARTBEAT_PATH -> HttpServer.requireMethod("POST", request) { heartbeats.handle(request) }
 
-            path == READY_PATH -> HttpServer.only("GET", request) { probes.ready() }
+            path == READY_PATH -> HttpServer.requireMethod("GET", request) { probes.ready() }
 
-            path == STATUS_PATH -> HttpServer.only("GET", request) { probes.status() }
+            path == STATUS_PATH -> HttpServer.requireMethod("GET", request) { probes.status() }
 
             JobEndpoint.isJobPath(path) -> metrics.recordRequest(request) { handleJobRequest(request) }
 
@@ -33,7 +33,7 @@
 
             // Not forwarded to another controller: the clients of features know the addresses of all controllers.
             else -> features.forPath(path)?.handle(request)
-                ?: HttpServer.refusal(HttpStatus.NOT_FOUND, "no such path")
+                ?: HttpServer.errorResponse(HttpStatus.NOT_FOUND, "no such path")
         }
     }
 
--- a/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
+++ b/src/main/kotlin/org/elderhitch/app/SchedulerWiring.kt
@@ -25,7 +25,7 @@
     private val provisioning: () -> ProvisioningActor,
     private val stateWriter: SchedulerStateWriter,
     private val workerCommands: WorkerCommandSender,
-    private val isCutOff: (NodeName) -> Boolean,
+    private val isIsolated: (NodeName) -> Boolean,
 ) : SchedulerPorts {
     /** The number of running tasks of each job, by the leader's latest count. */
     var runningTasks: Map<JobId, Int> = emptyMap()
@@ -78,5 +78,5 @@
         commands: List<Command>,
     ) = workerCommands.send(leader, address, machine, agentEpoch, commands)
 
-    override fun isCutOffFrom(leader: NodeName): Boolean = isCutOff(leader)
+    override fun isIsolatedFrom(leader: NodeName): Boolean = isIsolated(leader)
 }
--- a/src/main/kotlin/org/elderhitch/app/StandInServices.kt
+++ b/src/main/kotlin/org/elderhitch/app/StandInServices.kt
@@ -11,8 +11,8 @@
 import org.elderhitch.standin.CloudStandIn
 import org.elderhitch.standin.StandInFleet
 import org.elderhitch.standin.StandInPlatform
+import org.elderhitch.standin.TaskObserver
 import org.elderhitch.standin.TaskScript
-import org.elderhitch.standin.TaskWatch
 import org.elderhitch.time.SystemSteadyClock
 import org.slf4j.LoggerFactory
 import java.io.File
@@ -27,7 +27,7 @@
     private const val MACHINES_PER_ZONE = 8
     private val log = LoggerFactory.getLogger("elderhitch.standin")
 
-    private object TaskLogger : TaskWatch {
+    private object TaskLogger : TaskObserver {
         override fun started(task: String, machine: String) = log.info("task started task={} machine={}", task, machine)
 
         override fun ended(task: String, machine: String) = log.info("task ended task={} machine={}", task, machine)
--- a/src/main/kotlin/org/elderhitch/app/WatchDispatcher.kt
+++ b/src/main/kotlin/org/elderhitch/app/WatchDispatcher.kt
@@ -51,7 +51,7 @@
     }
 
     /** Sent through the job registry, like the changes, so that it reaches the scheduler after them. */
-    override fun freshAsOf(since: MonotonicInstant) = jobRegistry.tell(JobMessage.FreshAsOf(since))
+    override fun freshAsOf(since: MonotonicInstant) = jobRegistry.tell(JobMessage.FreshnessConfirmed(since))
 
     /** Null if the change deletes the key. */
     private fun newEntry(change: Change): Entry? = (change as? Change.Put)?.entry
--- a/src/main/kotlin/org/elderhitch/cluster/Cluster.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/Cluster.kt
@@ -42,7 +42,7 @@
         TerminalStateBroadcaster.PATH -> terminalStateBroadcaster.receive(request, ports::receiveTerminalStates)
         RequestForwarder.USER_REQUEST_PATH -> forwarder.receive(request, ports::serveUserRequest)
         RequestForwarder.LEADER_REQUEST_PATH -> forwarder.receive(request, ports::serveLeaderRequest)
-        else -> HttpServer.refusal(HttpStatus.NOT_FOUND, "no such path")
+        else -> HttpServer.errorResponse(HttpStatus.NOT_FOUND, "no such path")
     }
 
     /**
@@ -56,7 +56,7 @@
         terminalStateBroadcaster.broadcast(id, record)
 
     /** The smallest limit on open jobs that any other controller has reported, or null if none has. */
-    public fun smallestPeerLimit(): Footprint? = registry.smallestOpenJobsLimit()
+    public fun smallestPeerOpenJobsLimit(): Footprint? = registry.smallestOpenJobsLimit()
 
     /**
      * Whether the node has sent or answered a heartbeat recently. A worker that is redirected to a partitioned node
--- a/src/main/kotlin/org/elderhitch/cluster/ClusterPorts.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/ClusterPorts.kt
@@ -33,7 +33,7 @@
     public fun previousLeadersStopped(term: Term)
 
     /** Called, possibly repeatedly, once the incarnation that led before [term] has ended. */
-    public fun previousLeaderEnded(term: Term)
+    public fun previousLeaderExited(term: Term)
 
     /** As the leader, decides how long from now [node] may answer as lease delegate; null if it may not now. */
     public suspend fun grantDelegation(node: NodeName): DelegationOffer?
@@ -42,7 +42,7 @@
     public fun delegationGranted(grant: DelegationGrant)
 
     /** The maximum duration of a delegation that any leader grants. */
-    public val longestDelegation: Duration
+    public val maxDelegationDuration: Duration
 
     /** Handles terminal states that a peer has recorded. */
     public fun receiveTerminalStates(records: Map<JobId, TerminalRecord>)
--- a/src/main/kotlin/org/elderhitch/cluster/PeerHeartbeats.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/PeerHeartbeats.kt
@@ -101,13 +101,13 @@
     private fun isValidDelegation(leader: NodeName, heartbeat: PeerHeartbeat): Boolean {
         val duration = heartbeat.delegateMs.milliseconds
         val isFromLeader = heartbeat.node == leader.text && heartbeat.leading
-        return isFromLeader && duration.isPositive() && duration <= ports.longestDelegation
+        return isFromLeader && duration.isPositive() && duration <= ports.maxDelegationDuration
     }
 
     /** Answers a peer's heartbeat. If this node leads, the response may grant the peer a delegation. */
     suspend fun receive(request: Request): Response {
         val heartbeat = PeerCodec.decode(PeerHeartbeat.serializer(), request.body)
-            ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "malformed peer heartbeat")
+            ?: return HttpServer.errorResponse(HttpStatus.BAD_REQUEST, "malformed peer heartbeat")
         observe(heartbeat, requestSentAt = null)
         val offer = NodeName(heartbeat.node).takeIf { it in peers }?.let { ports.grantDelegation(it) }
         // Created after the wait for the offer, so that a node that has stopped leading in the meantime grants nothing.
@@ -141,7 +141,7 @@
     /** If this node leads, reports whether the previous leader has ended and whether all previous ones have stopped. */
     fun checkPreviousLeaders() {
         val leader = ports.leadershipState() as? LeadershipState.Leader ?: return
-        if (previousLeaderTracker.hasPreviousLeaderEnded(leader)) ports.previousLeaderEnded(leader.term)
+        if (previousLeaderTracker.hasPreviousLeaderEnded(leader)) ports.previousLeaderExited(leader.term)
         if (previousLeaderTracker.havePreviousLeadersStopped(leader)) ports.previousLeadersStopped(leader.term)
     }
 
--- a/src/main/kotlin/org/elderhitch/cluster/RequestForwarder.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/RequestForwarder.kt
@@ -25,7 +25,7 @@
     }
 
     private suspend fun send(peer: PeerState, target: String, request: Request, timeout: Duration): Response? {
-        val forwarded = ForwardedRequest(request.method, request.path, request.body, request.from.orEmpty())
+        val forwarded = ForwardedRequest(request.method, request.path, request.body, request.remoteAddress.orEmpty())
         val body = PeerCodec.encode(ForwardedRequest.serializer(), forwarded)
         val response = transport.call(peer.peer.address, "POST", target, body, timeout)
         if (response == null || response.status != HttpStatus.OK) return null
@@ -36,7 +36,7 @@
     /** Unwraps a request that a peer has forwarded, passes it to [serve] and wraps the response. */
     suspend fun receive(request: Request, serve: suspend (Request) -> Response): Response {
         val forwarded = PeerCodec.decode(ForwardedRequest.serializer(), request.body)
-            ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "malformed forwarded request")
+            ?: return HttpServer.errorResponse(HttpStatus.BAD_REQUEST, "malformed forwarded request")
         val sender = forwarded.senderAddress.ifEmpty { null }
         val response = serve(Request(forwarded.method, forwarded.path, emptyMap(), forwarded.body, sender))
         return PeerCodec.respond(
--- a/src/main/kotlin/org/elderhitch/cluster/TerminalStateBroadcaster.kt
+++ b/src/main/kotlin/org/elderhitch/cluster/TerminalStateBroadcaster.kt
@@ -53,10 +53,10 @@
     /** Passes the terminal states of a peer's broadcast to [receiver]. */
     fun receive(request: Request, receiver: (Map<JobId, TerminalRecord>) -> Unit): Response {
         val message = PeerCodec.decode(TerminalStateBroadcast.serializer(), request.body)
-            ?: return HttpServer.refusal(HttpStatus.BAD_REQUEST, "malformed terminal state broadcast")
+            ?: return HttpServer.errorResponse(HttpStatus.BAD_REQUEST, "malformed terminal state broadcast")
         if (peers.none { it.name == NodeName(message.node) }) {
             log.info("terminal state ignored node={} reason=\"no such controller\"", message.node)
-            return HttpServer.refusal(HttpStatus.BAD_REQUEST, "no such controller")
+            return HttpServer.errorResponse(HttpStatus.BAD_REQUEST, "no such controller")
         }
         receiver(decodeRecords(message))
         return PeerCodec.respond(ByteArray(0))
--- a/src/main/kotlin/org/elderhitch/delegates/DelegationRules.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/DelegationRules.kt
@@ -39,7 +39,7 @@
      * Discards the delegations of earlier terms. The maximum duration of a takeover covers them, since no delegation
      * outlasts the answer window of the leader that granted it.
      */
-    public fun newTerm(): Unit = delegationEnds.clear()
+    public fun resetForNewTerm(): Unit = delegationEnds.clear()
 
     /** No lease delegate of this term answers a heartbeat that a worker of [zone] sends after this instant. */
     public fun delegationEnd(zone: Zone): MonotonicInstant = delegationEnds[zone] ?: MonotonicInstant.NEVER
--- a/src/main/kotlin/org/elderhitch/delegates/LeaseDelegate.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/LeaseDelegate.kt
@@ -39,17 +39,17 @@
      * Returns the term with which to answer a heartbeat of a worker in [workerZone] that has seen [knownTerm], or null
      * if this node may not answer it.
      *
-     * @param isCutOffFrom whether a network partition separates this node from the given leader.
+     * @param isIsolatedFrom whether a network partition separates this node from the given leader.
      */
     public fun responseTerm(
         workerZone: Zone,
         knownTerm: Term,
-        isCutOffFrom: (leader: NodeName) -> Boolean,
+        isIsolatedFrom: (leader: NodeName) -> Boolean,
         now: MonotonicInstant,
     ): Term? {
         val grant = grant ?: return null
         if (workerZone != zone || knownTerm > grant.term) return null
-        if (now >= grant.until || !isCutOffFrom(grant.leader)) return null
+        if (now >= grant.until || !isIsolatedFrom(grant.leader)) return null
         return grant.term
     }
 }
--- a/src/main/kotlin/org/elderhitch/delegates/ZoneDelegates.kt
+++ b/src/main/kotlin/org/elderhitch/delegates/ZoneDelegates.kt
@@ -50,8 +50,8 @@
     private val lastRequestAt = HashMap<NodeName, MonotonicInstant>()
     private val latestPossibleRenewals = HashMap<Zone, MonotonicInstant>()
 
-    fun newTerm() {
-        rules.newTerm()
+    fun resetForNewTerm() {
+        rules.resetForNewTerm()
         lastRequestAt.clear()
         latestPossibleRenewals.clear()
     }
@@ -118,13 +118,13 @@
      * Starts the check for a partition before the first heartbeat needs its result, because a worker whose heartbeat is
      * refused returns only after half a lease.
      */
-    fun checkReachability(now: MonotonicInstant) {
-        delegate.grant?.takeIf { now < it.until }?.let { ports.isCutOffFrom(it.leader) }
+    fun startPartitionCheck(now: MonotonicInstant) {
+        delegate.grant?.takeIf { now < it.until }?.let { ports.isIsolatedFrom(it.leader) }
     }
 
     /** Answers a heartbeat as lease delegate. Returns null if this node, a follower, may not answer it. */
-    fun respond(heartbeat: Heartbeat, now: MonotonicInstant): HeartbeatResponse? {
-        val term = delegate.responseTerm(heartbeat.zone, heartbeat.term, ports::isCutOffFrom, now)
+    fun answerHeartbeat(heartbeat: Heartbeat, now: MonotonicInstant): HeartbeatResponse? {
+        val term = delegate.responseTerm(heartbeat.zone, heartbeat.term, ports::isIsolatedFrom, now)
         if (heartbeat.zone == ownZone && isActive != (term != null)) {
             isActive = term != null
             logActivityChange(term, now)
--- a/src/main/kotlin/org/elderhitch/drmaa/Drmaa.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Drmaa.kt
@@ -97,10 +97,10 @@
 
     override suspend fun handle(request: Request): Response = try {
         when {
-            request.method != "POST" -> HttpServer.refusal(METHOD_NOT_ALLOWED, "only POST")
+            request.method != "POST" -> HttpServer.errorResponse(METHOD_NOT_ALLOWED, "only POST")
 
             !settings.networks.allow(
-                request.from,
+                request.remoteAddress,
             ) -> throw Refused(Fault.AuthorizationException, "requests from this network are not allowed")
 
             else -> dispatch(request.path.removePrefix("/$name/"), Json.parseObject(request.body))
@@ -152,7 +152,7 @@
                     "closed" to true,
                 )
             } else {
-                throw Refused(Fault.DrmCommunicationException, "the state service takes no record now")
+                throw Refused(Fault.DrmCommunicationException, "the change can't be recorded at the moment")
             }
 
             "run" -> run(claim, body)
@@ -165,7 +165,7 @@
 
             "status" -> status(claim, body)
 
-            else -> HttpServer.refusal(NOT_FOUND, "no such path")
+            else -> HttpServer.errorResponse(NOT_FOUND, "no such path")
         }
     }
 
@@ -212,7 +212,10 @@
         val request = requestId(body)
         val bulk = body.objectOrNull("bulk")?.let { Bulk.of(it.long("start"), it.long("end"), it.long("step")) }
         val job = JobName(claim.session, request.tag, request.number, bulk?.members)
-        submissions.submit(job, templates.check(job, claim.team, body.obj("template"), bulk, context.wallClock.now()))
+        submissions.submit(
+            job,
+            templates.check(job, claim.team, body.requireObject("template"), bulk, context.wallClock.now()),
+        )
         return ok("job" to job.toString(), "members" to bulk?.members)
     }
 
--- a/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Housekeeping.kt
@@ -186,7 +186,7 @@
 
     internal companion object {
         const val CLEAN_INTERVAL_S = 60
-        const val MAX_EXPIRED_PER_PASS = CompletedTasks.BLOCK
+        const val MAX_EXPIRED_PER_PASS = CompletedTasks.BLOCK_SIZE
         val CLOSED_RETENTION = 30.days
     }
 }
--- a/src/main/kotlin/org/elderhitch/drmaa/Names.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Names.kt
@@ -95,7 +95,7 @@
         }
 
     /** Index within the block. */
-    public val place: Int get() = (member ?: job.number) % CompletedTasks.BLOCK
+    public val place: Int get() = (member ?: job.number) % CompletedTasks.BLOCK_SIZE
 
     public companion object {
         public fun parse(text: String): ResultName? {
--- a/src/main/kotlin/org/elderhitch/drmaa/ReapBlock.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/ReapBlock.kt
@@ -32,7 +32,7 @@
 
     /** The block with [places] taken; [request] is null for results that expired. */
     public fun plus(places: Collection<Int>, request: RequestId?): ReapBlock {
-        val all = CompletedTasks(CompletedTasks.BLOCK)
+        val all = CompletedTasks(CompletedTasks.BLOCK_SIZE)
         all.addAll(taken)
         places.forEach(all::add)
         val latest = if (request == null) by else by + (request to (places.singleOrNull() ?: MANY))
@@ -54,16 +54,16 @@
          * to the bitmap.
          */
         public const val MAX_REQUESTS: Int = 100
-        public val EMPTY: ReapBlock = ReapBlock(CompletedTasks(CompletedTasks.BLOCK), emptyList(), Revision.ABSENT)
+        public val EMPTY: ReapBlock = ReapBlock(CompletedTasks(CompletedTasks.BLOCK_SIZE), emptyList(), Revision.ABSENT)
 
         /** Null if the value is malformed. */
         public fun decode(value: JsonObject, version: Revision): ReapBlock? {
-            val taken = CompletedTasks(CompletedTasks.BLOCK)
+            val taken = CompletedTasks(CompletedTasks.BLOCK_SIZE)
             return try {
                 val by = value.stringsOrNull("by").orEmpty().map { text ->
                     val request = RequestId.parse(text.substringBefore(':')) ?: return null
                     val place = if (':' in text) {
-                        text.substringAfter(':').toIntOrNull()?.takeIf { it in 0 until CompletedTasks.BLOCK }
+                        text.substringAfter(':').toIntOrNull()?.takeIf { it in 0 until CompletedTasks.BLOCK_SIZE }
                             ?: return null
                     } else {
                         MANY
--- a/src/main/kotlin/org/elderhitch/drmaa/Reaper.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Reaper.kt
@@ -83,7 +83,7 @@
                 }
 
                 CommitOutcome.Refused, CommitOutcome.NoSuchLease -> return Reaped.Unavailable(
-                    "the state service takes no record now",
+                    "the change can't be recorded at the moment",
                 )
             }
         }
--- a/src/main/kotlin/org/elderhitch/drmaa/SessionRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/SessionRegistry.kt
@@ -45,7 +45,7 @@
     public companion object {
         public fun decode(value: JsonObject, version: Revision): HeldJob? = try {
             HeldJob(
-                value.obj("job"),
+                value.requireObject("job"),
                 value.boolean("user"),
                 value.longOrNull("start")?.let(::WallTime),
                 WallTime(value.long("since")),
--- a/src/main/kotlin/org/elderhitch/drmaa/SessionState.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/SessionState.kt
@@ -180,7 +180,7 @@
         for ((key, block) in blocks) {
             val place = block.takenBy(request) ?: continue
             val client = clients[key.tag] ?: continue
-            val index = key.block * CompletedTasks.BLOCK + place
+            val index = key.block * CompletedTasks.BLOCK_SIZE + place
             return if (key.bulk == null) {
                 ResultName(JobName(name, key.tag, index, null), null)
             } else {
--- a/src/main/kotlin/org/elderhitch/drmaa/Sessions.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Sessions.kt
@@ -58,7 +58,7 @@
 
                 CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw Refused(
                     Fault.DrmCommunicationException,
-                    "the state service takes no record now",
+                    "the change can't be recorded at the moment",
                 )
             }
         }
--- a/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
+++ b/src/main/kotlin/org/elderhitch/drmaa/Submissions.kt
@@ -100,7 +100,7 @@
                 CommitOutcome.Unknown -> Unit
 
                 CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw unavailable(
-                    "the state service takes no record now",
+                    "the change can't be recorded at the moment",
                 )
             }
         }
@@ -144,7 +144,7 @@
     public suspend fun cancel(name: JobName, held: HeldJob): Boolean {
         val spec =
             decodeHeld(held)?.first ?: throw Refused(Fault.DeniedByDrmException, "the held job's record can't be read")
-        val account = JobAccount(spec.team, spec.jobClass, 0, 0, 0.0, 0.0, null, wallClock.now(), lowerBound = false)
+        val account = JobAccount(spec.team, spec.jobClass, 0, 0, 0.0, 0.0, null, wallClock.now(), isLowerBound = false)
         val conditions =
             listOf(
                 Condition(DrmaaKeys.held(name), held.version),
@@ -164,7 +164,7 @@
                 CommitOutcome.Unknown -> Unit
 
                 CommitOutcome.Refused, CommitOutcome.NoSuchLease -> throw unavailable(
-                    "the state service takes no record now",
+                    "the change can't be recorded at the moment",
                 )
             }
         }
--- a/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
+++ b/src/main/kotlin/org/elderhitch/explain/JobExplainer.kt
@@ -87,7 +87,7 @@
         failureAttribution.trialLimit(job)?.let {
             lines.add("failed on ${job.failedOn.size} machines: only a few of its tasks are started at a time")
         }
-        if (job.isGang && job.gang.broken) {
+        if (job.isGang && job.gang.isFailed) {
             lines.add("the gang's attempt failed: waits for its tasks to exit before the next attempt")
         }
     }
@@ -97,9 +97,9 @@
         var used = Resources.NONE
         for (other in table.jobs.values) if (other.spec.team == team.name) used += other.spec.resources * other.copies
         val needed = job.spec.resources * if (job.isGang) job.spec.tasks - job.placements.size else 1
-        val gpus = team.mostGpus?.takeIf { used.gpus + needed.gpus > it }
+        val gpus = team.maxGpus?.takeIf { used.gpus + needed.gpus > it }
         if (gpus != null) return "waits for its team's limit: ${used.gpus} of $gpus GPUs in use, ${needed.gpus} needed"
-        val cpus = team.mostCpus?.takeIf { used.cpus + needed.cpus > it } ?: return null
+        val cpus = team.maxCpus?.takeIf { used.cpus + needed.cpus > it } ?: return null
         return "waits for its team's limit: ${used.cpus} of $cpus CPUs in use, ${needed.cpus} needed"
     }
 
@@ -138,7 +138,7 @@
             freeOn(worker, context.catalog)?.let { spec.resources.fitsIn(it) } ?: false
         }
         val booting = machineRegistry.known.values.count {
-            it.id !in machineRegistry.cleared && spec.permitsMachine(it.type, it.zone, it.spot)
+            it.id !in machineRegistry.confirmedUp && spec.permitsMachine(it.type, it.zone, it.spot)
         }
         val need = "${spec.resources.cpus} CPUs, ${spec.resources.gpus} GPUs, ${spec.resources.memoryGb} GB"
         val constraints = constraints(spec)
--- a/src/main/kotlin/org/elderhitch/failuredetection/DetectionTimeouts.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/DetectionTimeouts.kt
@@ -40,8 +40,8 @@
         private val ZONE_PARTITION = 90.seconds
 
         fun of(workers: WorkerTimeouts, leases: LeaseTimeouts): DetectionTimeouts = DetectionTimeouts(
-            heartbeatOverdue = workers.heartbeatDeadline,
-            unresponsive = workers.heartbeatDeadline + WorkerTimeouts.HEARTBEAT_RESPONSE_TIMEOUT + NODE_RETRY * 2.0,
+            heartbeatOverdue = workers.maxHeartbeatInterval,
+            unresponsive = workers.maxHeartbeatInterval + WorkerTimeouts.HEARTBEAT_RESPONSE_TIMEOUT + NODE_RETRY * 2.0,
             oneWayPartition = leases.maxDuration,
             unlisted = UNLISTED,
             unprobedMargin = UNPROBED_MARGIN,
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureAttribution.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureAttribution.kt
@@ -29,7 +29,7 @@
         job.failedOn.add(worker.id)
         worker.avoid(job.id, now + JOB_AVOIDANCE)
         worker.failuresByJob.merge(job.id, 1, Int::plus)
-        if (isFaulty(job) && !runsElsewhere(job, worker)) {
+        if (isJobFaulty(job) && !runsElsewhere(job, worker)) {
             blameJob(job, now)
         } else {
             worker.quarantinedUntil = now + QUARANTINE
@@ -63,11 +63,11 @@
      */
     fun trialLimit(job: JobState): Int? {
         if (job.failedOn.size < SUSPECT_JOB_MACHINES || runsElsewhere(job, excluded = null)) return null
-        val trials = if (isFaulty(job)) 1 else SUSPECT_JOB_TRIALS
+        val trials = if (isJobFaulty(job)) 1 else SUSPECT_JOB_TRIALS
         return trials - job.placements.size
     }
 
-    fun isFaulty(job: JobState): Boolean = job.failedOn.size >= FAULTY_JOB_MACHINES
+    fun isJobFaulty(job: JobState): Boolean = job.failedOn.size >= FAULTY_JOB_MACHINES
 
     /** Reassesses earlier failures: a job that failed on one machine may have proved since to run well elsewhere. */
     fun reassess(now: MonotonicInstant) {
--- a/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/FailureDetector.kt
@@ -53,7 +53,7 @@
 ) {
     /** A worker without messages or lease renewals for longer than this is suspected, and is assigned no new tasks. */
     val suspectAfter: Duration = settings.timeouts.heartbeatInterval * SUSPECT_HEARTBEATS + SUSPECT_MARGIN
-    private val overdueAfter = settings.timeouts.heartbeatDeadline + OVERDUE_MARGIN
+    private val overdueAfter = settings.timeouts.maxHeartbeatInterval + OVERDUE_MARGIN
     private val rules = SuspicionRules(DetectionTimeouts.of(settings.timeouts, settings.leases))
     private val reception = ReceptionTracker(pauseDetector, delegates)
     private val zoneMonitor = ZoneHealthMonitor(settings.timeouts, settings.tick, settings.controllerZones)
@@ -64,7 +64,7 @@
 
     val partitionedZones: Set<Zone> get() = zoneMonitor.partitionedZones
 
-    fun newTerm() {
+    fun resetForNewTerm() {
         terminator = newTerminator()
     }
 
@@ -132,15 +132,15 @@
 
     /** Clears an old termination request of a worker that sends messages again. */
     fun resetUnansweredTermination(worker: WorkerState, now: MonotonicInstant) {
-        if (now - worker.releaseRequestedAt > SuspectTerminator.REQUEST_RETRY * 2) {
-            worker.releaseRequestedAt = MonotonicInstant.NEVER
+        if (now - worker.terminationRequestedAt > SuspectTerminator.REQUEST_RETRY * 2) {
+            worker.terminationRequestedAt = MonotonicInstant.NEVER
         }
     }
 
     /** Records that the worker's termination was cancelled: it sent a message before the request went out. */
     fun onTerminationCancelled(worker: WorkerState) {
-        if (worker.lastSeenAt > worker.releaseRequestedAt) worker.releaseRequestedAt = MonotonicInstant.NEVER
-        table.dirty = true
+        if (worker.lastSeenAt > worker.terminationRequestedAt) worker.terminationRequestedAt = MonotonicInstant.NEVER
+        table.needsCycle = true
     }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/failuredetection/ProbeRateLimiter.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/ProbeRateLimiter.kt
@@ -20,13 +20,13 @@
      *
      * @param unaccounted the number of machines that the takeover waits for.
      * @param receiving how long this term has been able to receive messages.
-     * @param previousLeaderEnded whether the process that answered the machines before is known to have ended, so that
+     * @param previousLeaderExited whether the process that answered the machines before is known to have ended, so that
      *   none of them is still waiting for its answer.
      */
-    fun allow(unaccounted: Int, receiving: Duration, previousLeaderEnded: Boolean): Int {
+    fun allow(unaccounted: Int, receiving: Duration, previousLeaderExited: Boolean): Int {
         val arrived = previouslyUnaccounted - unaccounted
         previouslyUnaccounted = unaccounted
-        val reconnecting = if (previousLeaderEnded) {
+        val reconnecting = if (previousLeaderExited) {
             arrived > 0 && receiving < PROBE_DELAY_AFTER_LEADER_END
         } else {
             (arrived < 0 || arrived * ARRIVAL_DIVISOR > unaccounted) && receiving < PROBE_DELAY
--- a/src/main/kotlin/org/elderhitch/failuredetection/SuspectTerminator.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/SuspectTerminator.kt
@@ -66,7 +66,7 @@
     }
 
     private fun assessWorker(worker: WorkerState, leadership: LeadershipState.Leader, now: MonotonicInstant): Suspect? {
-        if (now - worker.releaseRequestedAt <= REQUEST_RETRY) return null
+        if (now - worker.terminationRequestedAt <= REQUEST_RETRY) return null
         val reception = view.reception
         val reconnectedAt = view.zones.reconnectedAt(worker.zone)
         val silence = now - maxOf(reception.silentSince(worker, leadership), reconnectedAt)
@@ -123,7 +123,7 @@
     }
 
     private fun recordRequest(suspect: Suspect, now: MonotonicInstant) {
-        table.workers[suspect.id]?.releaseRequestedAt = now
+        table.workers[suspect.id]?.terminationRequestedAt = now
         events.info("worker suspected", suspect.id) {
             "worker suspected machine=${suspect.id} for_ms=${suspect.silence.inWholeMilliseconds} " +
                 "because=${suspect.rule.logValue}"
--- a/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/WorkerProber.kt
@@ -20,7 +20,7 @@
  * Probes workers at their own addresses instead of waiting for their messages: workers that have not reported to a
  * takeover yet, which also learn the new term from the probe, and workers whose heartbeat is overdue. A worker that
  * accepts no connection is most likely dead. All state belongs to one term, so an instance that is replaced with each
- * term needs no [newTerm].
+ * term needs no [resetForNewTerm].
  */
 internal class WorkerProber(
     private val table: TaskTable,
@@ -30,7 +30,7 @@
     private val ports: SchedulerPorts,
     private val ledger: ActionLedger,
 ) {
-    private val overdueAfter: Duration = workerTimeouts.heartbeatDeadline + OVERDUE_MARGIN
+    private val overdueAfter: Duration = workerTimeouts.maxHeartbeatInterval + OVERDUE_MARGIN
     private val probedAt = HashMap<MachineId, MonotonicInstant>()
     private val listedAddresses = HashMap<MachineId, Address>()
     private var listedMachines: Set<MachineId>? = null
@@ -39,7 +39,7 @@
     private var rateLimiter = ProbeRateLimiter()
 
     /** Discards the state of the previous term. */
-    fun newTerm() {
+    fun resetForNewTerm() {
         probedAt.clear()
         listedAddresses.clear()
         listedMachines = null
@@ -93,7 +93,7 @@
 
     private fun probeUnaccounted(leadership: LeadershipState.Leader, now: MonotonicInstant) {
         val receiving = now - maxOf(leadership.claimedAt, pauseDetector.lastPauseEndedAt)
-        var allowed = rateLimiter.allow(takeover.unaccounted.size, receiving, takeover.previousLeaderEnded)
+        var allowed = rateLimiter.allow(takeover.unaccounted.size, receiving, takeover.previousLeaderExited)
         for (machine in takeover.unaccounted) {
             if (allowed == 0) break
             val address = table.workers[machine]?.address ?: listedAddresses[machine]
@@ -109,7 +109,7 @@
         val probedInPartition = HashMap<Zone, Int>()
         for (worker in table.workers.values) {
             if (!isOverdue(worker, leadership, now)) continue
-            if (worker.releaseRequestedAt != MonotonicInstant.NEVER) continue
+            if (worker.terminationRequestedAt != MonotonicInstant.NEVER) continue
             if (isPartitioned(worker.zone)) {
                 val probed = probedInPartition.merge(worker.zone, 1, Int::plus) ?: 1
                 if (probed > MAX_PROBES_PER_PARTITIONED_ZONE) continue
--- a/src/main/kotlin/org/elderhitch/failuredetection/ZoneHealthMonitor.kt
+++ b/src/main/kotlin/org/elderhitch/failuredetection/ZoneHealthMonitor.kt
@@ -64,7 +64,7 @@
         for ((zone, health) in zones) {
             val ticks = ticksWithoutMessage.merge(zone, 1, Int::plus) ?: 1
             val chance = timeouts.heartbeatInterval * (MAX_MISSED_HEARTBEATS / health.workers)
-            val longestPause = SILENCE_MARGIN + minOf(timeouts.heartbeatDeadline, chance)
+            val longestPause = SILENCE_MARGIN + minOf(timeouts.maxHeartbeatInterval, chance)
             if (health.workers >= ZoneHealth.MIN_MACHINES && tick * ticks > longestPause) silent.add(zone)
         }
         return silent
--- a/src/main/kotlin/org/elderhitch/features/FeaturesFile.kt
+++ b/src/main/kotlin/org/elderhitch/features/FeaturesFile.kt
@@ -2,9 +2,9 @@
 
 import org.elderhitch.jobs.ClassRule
 import org.elderhitch.jobs.ClassRules
-import org.elderhitch.settings.BadScript
 import org.elderhitch.settings.LuaScript
 import org.elderhitch.settings.LuaSection
+import org.elderhitch.settings.ScriptException
 import java.io.File
 import java.io.IOException
 
@@ -18,7 +18,7 @@
 
 /** Reads the section of one feature in the features file. */
 public fun interface SectionReader {
-    /** Throws [BadScript] if the section is invalid. */
+    /** Throws [ScriptException] if the section is invalid. */
     public fun read(section: LuaSection, file: File): FeatureFactory
 }
 
@@ -43,17 +43,17 @@
         "sweeps" to "org.elderhitch.sweeps.SweepsSection",
     )
 
-    /** Reads [file]. Throws [BadScript], whose message names file, line and key. */
+    /** Reads [file]. Throws [ScriptException], whose message names file, line and key. */
     public fun load(file: File): Features {
         val script = try {
             file.readText()
         } catch (e: IOException) {
-            throw BadScript("cannot read $file: ${e.message}", e)
+            throw ScriptException("cannot read $file: ${e.message}", e)
         }
         return parse(file, script)
     }
 
-    /** Parses the text of [file]. Throws [BadScript], whose message names file, line and key. */
+    /** Parses the text of [file]. Throws [ScriptException], whose message names file, line and key. */
     public fun parse(file: File, script: String): Features {
         val table = LuaScript.table(file.name, script)
         table.requireKnownKeys(sectionReaders.keys + CLASSES)
--- a/src/main/kotlin/org/elderhitch/fleet/Arrivals.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ArrivalRates.kt
@@ -8,13 +8,13 @@
 import kotlin.time.DurationUnit
 
 /** The recent arrival rate of tasks by job class: an average with exponential decay over [TIME_CONSTANT]. */
-internal class Arrivals {
+internal class ArrivalRates {
     private class ClassRate(val latestSpec: JobSpec, val tasksPerS: Double, val updatedAt: MonotonicInstant)
 
     private val rateByClass = HashMap<String, ClassRate>()
 
     /** Counts the tasks of a job that was opened. */
-    fun add(spec: JobSpec, now: MonotonicInstant) {
+    fun jobOpened(spec: JobSpec, now: MonotonicInstant) {
         val rate = tasksPerSecond(spec.jobClass, now) + spec.tasks / TIME_CONSTANT.toDouble(DurationUnit.SECONDS)
         rateByClass[spec.jobClass] = ClassRate(spec, rate, now)
     }
@@ -23,7 +23,7 @@
         rateByClass[jobClass]?.let { it.tasksPerS * exp(-((now - it.updatedAt) / TIME_CONSTANT)) } ?: 0.0
 
     /** The arrival rate of each class, with the latest job of the class as the model of its tasks. */
-    fun expected(now: MonotonicInstant): List<ExpectedArrivals> = rateByClass.values.map {
+    fun expectedByClass(now: MonotonicInstant): List<ExpectedArrivals> = rateByClass.values.map {
         ExpectedArrivals(it.latestSpec, tasksPerSecond(it.latestSpec.jobClass, now))
     }
 
--- a/src/main/kotlin/org/elderhitch/fleet/CapacityEstimates.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CapacityEstimates.kt
@@ -9,7 +9,7 @@
 
     /** How many tasks arrive during the boot of a machine of [type] plus the headroom time of the policy. */
     fun arrivingTasks(type: TypeInfo, arrivalsPerS: Double, policy: FleetPolicy): Double =
-        arrivalsPerS * (type.bootTime + policy.headroom).inWholeMilliseconds / MS_PER_S
+        arrivalsPerS * (type.bootTime + policy.headroomTime).inWholeMilliseconds / MS_PER_S
 
     /** How many tasks need other machines after the loss of as many machines as the policy provides for. */
     fun displacedTasks(spec: JobSpec, type: TypeInfo, policy: FleetPolicy): Double =
--- a/src/main/kotlin/org/elderhitch/fleet/CloudCallScheduler.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudCallScheduler.kt
@@ -24,7 +24,7 @@
     private var listPageCount = 1
 
     /** Discards the state of the previous term. */
-    fun newTerm() {
+    fun resetForNewTerm() {
         terminations.clear()
         lastTerminationAt = MonotonicInstant.NEVER
         terminationsInFlight = 0
--- a/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/CloudClient.kt
@@ -4,7 +4,7 @@
 import org.elderhitch.http.Response
 import org.elderhitch.http.Transport
 import org.elderhitch.json.Json
-import org.elderhitch.json.decodedFrom
+import org.elderhitch.json.decodeOrDefault
 import org.elderhitch.store.RequestPriority
 import org.elderhitch.store.RequestRateLimiter
 import org.slf4j.LoggerFactory
@@ -48,7 +48,7 @@
     public suspend fun catalog(): Catalog? {
         val response = call("GET", "/flavors", null, RequestPriority.PROGRESS) ?: return null
         if (response.status != STATUS_OK) return null
-        return decodedFrom(PEER, log, null) {
+        return decodeOrDefault(PEER, log, null) {
             val types = CatalogCodec.decodeTypes(Json.parseObject(response.body))
             if (types.isEmpty()) null else Catalog(types.associateBy { it.name })
         }
@@ -69,7 +69,7 @@
         val body = CloudCodec.provisioningRequest(name, market, count)
         val response = call("POST", "/machines", body, RequestPriority.RECORD, maySend)
             ?: return ProvisioningOutcome.Unknown
-        return decodedFrom(PEER, log, ProvisioningOutcome.Unknown) { provisioningOutcome(response) }
+        return decodeOrDefault(PEER, log, ProvisioningOutcome.Unknown) { provisioningOutcome(response) }
     }
 
     private fun provisioningOutcome(response: Response): ProvisioningOutcome = when (response.status) {
@@ -114,7 +114,7 @@
         val target = "/machines?page=$PAGE_SIZE" + (after?.let { "&after=${it.text}" } ?: "")
         val response = call("GET", target, null, priority) ?: return null
         if (response.status != STATUS_OK) return null
-        return decodedFrom(PEER, log, null) { CloudCodec.machinePage(response.body) }
+        return decodeOrDefault(PEER, log, null) { CloudCodec.machinePage(response.body) }
     }
 
     private suspend fun call(
--- a/src/main/kotlin/org/elderhitch/fleet/FleetContext.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetContext.kt
@@ -23,8 +23,8 @@
     val actions = ActionLedger()
 
     /** Discards the state of the previous term. */
-    fun newTerm() {
-        calls.newTerm()
-        actions.newTerm()
+    fun resetForNewTerm() {
+        calls.resetForNewTerm()
+        actions.resetForNewTerm()
     }
 }
--- a/src/main/kotlin/org/elderhitch/fleet/FleetMessage.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetMessage.kt
@@ -34,11 +34,11 @@
         /** The services that have not completed. */
         val services: List<JobSpec>,
         /** Whether the takeover has completed, so that all tasks on machines of earlier terms are known. */
-        val settled: Boolean,
+        val isTakeoverSettled: Boolean,
         /** Zones that this node can't reach, in which no machines are provisioned. */
-        val cutZones: Set<Zone> = emptySet(),
+        val unreachableZones: Set<Zone> = emptySet(),
         /** Sets of machine types to which some work is confined while other work could also run elsewhere. */
-        val scarce: List<Set<MachineType>> = emptyList(),
+        val scarceTypeSets: List<Set<MachineType>> = emptyList(),
     ) : FleetMessage
 
     /** A worker sent a heartbeat from a machine that no provisioning intent of this term names. */
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPlanner.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPlanner.kt
@@ -14,7 +14,7 @@
 internal class FleetPlanner(
     private val fleet: FleetContext,
     private val policy: FleetPolicy,
-    instantClasses: Set<String>,
+    nonPreemptingClasses: Set<String>,
     private val intents: ProvisioningIntentStore,
     private val machines: MachineTracker,
     private val markets: MarketBackoff,
@@ -22,19 +22,19 @@
     private val terminations: TerminationQueue,
 ) {
     private val log = LoggerFactory.getLogger("elderhitch.fleet")
-    private val arrivals = Arrivals()
-    private val headroomCalculator = HeadroomCalculator(arrivals, policy, instantClasses)
+    private val arrivals = ArrivalRates()
+    private val headroomCalculator = HeadroomCalculator(arrivals, policy, nonPreemptingClasses)
     private var demand: FleetMessage.DemandChanged? = null
     private var plannedAt = MonotonicInstant.NEVER
 
     /** Whether the takeover of this term has completed. */
-    val isTakeoverSettled: Boolean get() = demand?.settled == true
+    val isTakeoverSettled: Boolean get() = demand?.isTakeoverSettled == true
 
-    fun newTerm() {
+    fun resetForNewTerm() {
         demand = null
     }
 
-    fun jobOpened(spec: JobSpec) = arrivals.add(spec, fleet.clock.now())
+    fun jobOpened(spec: JobSpec) = arrivals.jobOpened(spec, fleet.clock.now())
 
     fun demandChanged(latest: FleetMessage.DemandChanged) {
         demand = latest
@@ -66,16 +66,16 @@
             unplaced = demand.unplaced,
             headroom = headroom,
             machinesFilledDuringBoot = arrivals.machinesFilledDuringBoot(catalog, now),
-            closedMarkets = markets.closed + marketsOf(demand.cutZones, catalog),
+            closedMarkets = markets.closed + marketsOf(demand.unreachableZones, catalog),
             now = now,
             bootTimeoutMultiple = machines.bootTimes.timeoutMultiple,
             lateBootMultiple = machines.bootTimes.lateMultiple(uses.isNotEmpty()),
-            scarceTypeSets = demand.scarce,
+            scarceTypeSets = demand.scarceTypeSets,
         )
         val output = FleetPlan(input, policy).decide()
         logPlan(existing, input, output)
         // Before the workers of earlier terms have reported, idle capacity can't be distinguished from failed machines.
-        val isTakeoverPending = !demand.settled && now - fleet.term.startedAt < MAX_TAKEOVER_WAIT
+        val isTakeoverPending = !demand.isTakeoverSettled && now - fleet.term.startedAt < MAX_TAKEOVER_WAIT
         if (!isTakeoverPending) carryOut(leadership, output, openIntents = open.size)
     }
 
@@ -103,7 +103,7 @@
 
     private fun sendReservations(headroom: List<Headroom>) {
         val reservations = headroom.filter { it.mustBeFree }.map { CapacityReservation(it.spec, it.tasks) }
-        fleet.ports.scheduler(SchedulerMessage.CapacityReserved(reservations, markets.refused.toSet()))
+        fleet.ports.tellScheduler(SchedulerMessage.CapacityReserved(reservations, markets.refused.toSet()))
     }
 
     private fun marketsOf(zones: Set<Zone>, catalog: Catalog): Set<Market> = zones.flatMapTo(HashSet()) { zone ->
@@ -116,7 +116,7 @@
             "plan machines={} booting={} empty={} unplaced={} headroom={} provision={} terminate={}",
             existing.size,
             existing.count { it.use == null },
-            existing.count { it.use?.idle != null },
+            existing.count { it.use?.idleFor != null },
             input.unplaced.map { "${it.spec.id}:${it.spec.jobClass}x${it.count}" },
             input.headroom.map { it.tasks },
             output.provision,
@@ -132,7 +132,7 @@
             .forEach { requester.add(leadership, it) }
         val idle = output.terminate.filter { machines.machines[it]?.isTerminating == false }
         if (idle.isNotEmpty()) terminations.requestIdle(idle)
-        output.drain?.let { fleet.ports.scheduler(SchedulerMessage.DrainMachine(it)) }
+        output.drain?.let { fleet.ports.tellScheduler(SchedulerMessage.DrainMachine(it)) }
     }
 
     private companion object {
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPolicy.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPolicy.kt
@@ -8,7 +8,7 @@
     /**
      * Spare capacity for services, as a time: it holds the arrivals of this time in addition to those during a boot.
      */
-    val headroom: Duration = 30.seconds,
+    val headroomTime: Duration = 30.seconds,
     /** Spare capacity for production services against machine failures, as a number of machines. */
     val spareMachines: Double = 1.0,
     /** How long an on-demand machine stays idle before it is terminated. */
--- a/src/main/kotlin/org/elderhitch/fleet/FleetPorts.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/FleetPorts.kt
@@ -6,9 +6,9 @@
 
 /** The interface through which the fleet uses the rest of the controller. */
 public interface FleetPorts {
-    public fun scheduler(message: SchedulerMessage)
+    public fun tellScheduler(message: SchedulerMessage)
 
-    public fun leadership(message: LeadershipMessage)
+    public fun tellLeadership(message: LeadershipMessage)
 
     /** Whether this node still leads in the term of [leadershipState] and may send commands at this moment. */
     public fun maySendCommands(leadershipState: LeadershipState.Leader): Boolean
--- a/src/main/kotlin/org/elderhitch/fleet/HeadroomCalculator.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/HeadroomCalculator.kt
@@ -11,10 +11,10 @@
  * the recent arrival rate, and for the services that would be displaced by a machine failure.
  */
 internal class HeadroomCalculator(
-    private val arrivals: Arrivals,
+    private val arrivals: ArrivalRates,
     private val policy: FleetPolicy,
     /** Job classes whose start-time objective leaves no time to preempt other work, so that capacity must be free. */
-    private val instantClasses: Set<String>,
+    private val nonPreemptingClasses: Set<String>,
 ) {
     fun headroom(services: List<JobSpec>, catalog: Catalog, now: MonotonicInstant): List<Headroom> =
         services.groupBy { it.jobClass }.values.flatMap { forServices(it, catalog, now) } + forInstantArrays(now)
@@ -26,16 +26,16 @@
         val rate = minOf(arrivals.tasksPerSecond(spec.jobClass, now), MAX_SERVICES_PER_S)
         val arriving = CapacityEstimates.arrivingTasks(type, rate, policy)
         val displaced = CapacityEstimates.displacedTasks(spec, type, policy)
-        return if (spec.jobClass in instantClasses) {
+        return if (spec.jobClass in nonPreemptingClasses) {
             listOf(Headroom(spec, ceil(arriving).toInt(), mustBeFree = true), Headroom(spec, ceil(displaced).toInt()))
         } else {
             listOf(Headroom(spec, ceil(arriving + displaced).toInt()))
         }
     }
 
-    private fun forInstantArrays(now: MonotonicInstant): List<Headroom> = arrivals.expected(now)
+    private fun forInstantArrays(now: MonotonicInstant): List<Headroom> = arrivals.expectedByClass(now)
         .filter {
-            it.spec.kind == JobKind.ARRAY && it.spec.jobClass in instantClasses && it.spec.priority > Priority.LOW
+            it.spec.kind == JobKind.ARRAY && it.spec.jobClass in nonPreemptingClasses && it.spec.priority > Priority.LOW
         }
         .map { Headroom(it.spec, ceil(it.tasksPerS * PREEMPTION_TIME_S).toInt(), mustBeFree = true) }
 
--- a/src/main/kotlin/org/elderhitch/fleet/InventoryReconciler.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/InventoryReconciler.kt
@@ -27,7 +27,7 @@
     /** When each machine that no intent names was first listed. */
     private val unknownSince = HashMap<MachineId, MonotonicInstant>()
 
-    fun newTerm() = unknownSince.clear()
+    fun resetForNewTerm() = unknownSince.clear()
 
     /** Compares the [listed] machines, which were requested at [requestedAt], with the [known] ones. */
     fun reconcile(
--- a/src/main/kotlin/org/elderhitch/fleet/Machine.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/Machine.kt
@@ -35,15 +35,15 @@
     /** The part of [busy] that production work may preempt. */
     val preemptible: Resources,
     /** The part of [busy] that is expected to be released before a new machine could boot. */
-    val endingSoon: Resources,
+    val releasedSoon: Resources,
     /** The part of [busy] that is used by services. */
     val services: Resources,
     /** Whether new tasks may be placed on the machine. */
-    val usable: Boolean,
+    val isUsable: Boolean,
     /** How long no task has run on the machine; null while a task runs. */
-    val idle: Duration?,
+    val idleFor: Duration?,
     /** Whether the machine caused too many task failures. */
-    val faulty: Boolean,
+    val isFaulty: Boolean,
 )
 
 /** A machine as an input of the fleet plan. */
--- a/src/main/kotlin/org/elderhitch/fleet/MachineLister.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/MachineLister.kt
@@ -21,7 +21,7 @@
 ) {
     private val reconciler = InventoryReconciler(lag)
 
-    fun newTerm() = reconciler.newTerm()
+    fun resetForNewTerm() = reconciler.resetForNewTerm()
 
     fun requestIfDue(leadership: LeadershipState.Leader, now: MonotonicInstant) {
         if (fleet.calls.tryStartListing(now, LIST_INTERVAL)) request(leadership)
@@ -45,7 +45,7 @@
         val listed = message.machines ?: return
         if (!isTakeoverSettled) {
             // During a takeover, machines that have not reported yet are probed. Only the cloud knows their addresses.
-            fleet.ports.scheduler(SchedulerMessage.MachinesListed(listed.associate { it.machine.id to it.address }))
+            fleet.ports.tellScheduler(SchedulerMessage.MachinesListed(listed.associate { it.machine.id to it.address }))
         }
         val differences = reconciler.reconcile(listed, message.requestedAt, machines.machines)
         differences.failed.forEach { machines.machines[it]?.isFailed = true }
--- a/src/main/kotlin/org/elderhitch/fleet/MachineTracker.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/MachineTracker.kt
@@ -17,7 +17,7 @@
 
     val machines: Map<MachineId, ProvisionedMachine> get() = byId
 
-    fun newTerm() = byId.clear()
+    fun resetForNewTerm() = byId.clear()
 
     operator fun contains(id: MachineId): Boolean = id in byId
 
@@ -44,7 +44,7 @@
                 now,
                 isProvisionedInThisTerm = now > term.startedAt && term.isInventorySent,
             )
-        if (term.isInventorySent) fleet.ports.scheduler(SchedulerMessage.MachineProvisioned(machine))
+        if (term.isInventorySent) fleet.ports.tellScheduler(SchedulerMessage.MachineProvisioned(machine))
     }
 
     /**
@@ -58,7 +58,7 @@
         term.isInventorySent = true
         val (mayRunTasks, unused) =
             byId.values.partition { it.machine.id in intents[it.intentName]?.recordedUp.orEmpty() }
-        fleet.ports.scheduler(
+        fleet.ports.tellScheduler(
             SchedulerMessage.InventoryLoaded(
                 leadership.term,
                 mayRunTasks.map { it.machine },
@@ -75,7 +75,7 @@
         recordBootTime(machine, catalog.types[machine.machine.type]?.bootTime)
         machine.cameUpInThisTerm = true
         if (id in intent.recordedUp) {
-            fleet.ports.scheduler(SchedulerMessage.MachineUsable(id))
+            fleet.ports.tellScheduler(SchedulerMessage.MachineUsable(id))
             return
         }
         intent.pendingUp.add(id)
@@ -97,7 +97,7 @@
         if (message.succeeded) {
             intent.recordedUp.addAll(message.machines)
             intent.pendingUp.removeAll(message.machines)
-            message.machines.forEach { fleet.ports.scheduler(SchedulerMessage.MachineUsable(it)) }
+            message.machines.forEach { fleet.ports.tellScheduler(SchedulerMessage.MachineUsable(it)) }
         } else {
             intent.needsRewrite = true
         }
@@ -108,7 +108,7 @@
     fun removeGone(id: MachineId, evidence: String) {
         val removed = byId.remove(id)
         fleet.calls.removeGone(id)
-        fleet.ports.scheduler(SchedulerMessage.MachineTerminated(id, evidence))
+        fleet.ports.tellScheduler(SchedulerMessage.MachineTerminated(id, evidence))
         val leadership = fleet.term.leader ?: return
         val intent = intents[removed?.intentName] ?: return
         if (intent.machines.orEmpty().none { it in byId }) {
--- a/src/main/kotlin/org/elderhitch/fleet/MarketBackoff.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/MarketBackoff.kt
@@ -17,7 +17,7 @@
     val refused: Set<Market> get() = refusals.keys
 
     /** Reopens all markets. The refusal counts, which determine the next backoff time, are kept. */
-    fun newTerm() = closedUntil.clear()
+    fun resetForNewTerm() = closedUntil.clear()
 
     /** Closes the market for a time that doubles with each consecutive refusal, up to [MAX_BACKOFF]. */
     fun close(market: Market, now: MonotonicInstant) {
--- a/src/main/kotlin/org/elderhitch/fleet/OrphanAdoption.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/OrphanAdoption.kt
@@ -18,7 +18,7 @@
     /** When there were last no orphans to adopt. */
     private var lastEmptyAt = MonotonicInstant.NEVER
 
-    fun newTerm() = orphans.clear()
+    fun resetForNewTerm() = orphans.clear()
 
     /** Handles a heartbeat of an orphan. */
     fun detected(machine: Machine) {
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningActor.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningActor.kt
@@ -26,14 +26,14 @@
     store: StateClient,
     policy: FleetPolicy,
     /** Job classes whose start-time objective leaves no time to preempt other work. */
-    instantClasses: Set<String>,
+    nonPreemptingClasses: Set<String>,
     limits: CloudLimits,
     clock: SteadyClock,
     ports: FleetPorts,
 ) : Actor<FleetMessage>(scope) {
     private val fleet = FleetContext(scope, clock, ports, limits, ::tell)
     private val term = fleet.term
-    private val intents = ProvisioningIntentStore(scope, store, ports::leadership, ::tell)
+    private val intents = ProvisioningIntentStore(scope, store, ports::tellLeadership, ::tell)
     private val machines = MachineTracker(fleet, intents)
     private val markets = MarketBackoff()
     private val requester = ProvisioningRequester(fleet, cloud, intents, machines, markets)
@@ -41,7 +41,7 @@
     private val adoption = OrphanAdoption(intents)
     private val lister = MachineLister(fleet, cloud, machines, terminations, adoption, limits.listLag)
     private val planner =
-        FleetPlanner(fleet, policy, instantClasses, intents, machines, markets, requester, terminations)
+        FleetPlanner(fleet, policy, nonPreemptingClasses, intents, machines, markets, requester, terminations)
     private var catalog = Catalog.EMPTY
 
     override fun start() {
@@ -79,12 +79,12 @@
 
     private fun leadershipChanged(state: LeadershipState) {
         if (!term.update(state, fleet.clock)) return
-        machines.newTerm()
-        fleet.newTerm()
-        lister.newTerm()
-        adoption.newTerm()
-        requester.newTerm()
-        planner.newTerm()
+        machines.resetForNewTerm()
+        fleet.resetForNewTerm()
+        lister.resetForNewTerm()
+        adoption.resetForNewTerm()
+        requester.resetForNewTerm()
+        planner.resetForNewTerm()
     }
 
     private fun intentsLoaded(message: FleetMessage.IntentsLoaded) {
--- a/src/main/kotlin/org/elderhitch/fleet/ProvisioningRequester.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ProvisioningRequester.kt
@@ -25,8 +25,8 @@
     /** Sequence number of the next intent in this term. */
     private var nextSequence = 0
 
-    fun newTerm() {
-        markets.newTerm()
+    fun resetForNewTerm() {
+        markets.resetForNewTerm()
         nextSequence = 0
     }
 
@@ -65,7 +65,7 @@
 
     private fun machinesRecorded(leadership: LeadershipState.Leader, intent: ProvisioningIntent) {
         machines.addMachines(intent, fleet.clock.now())
-        intent.recordedUp.forEach { fleet.ports.scheduler(SchedulerMessage.MachineUsable(it)) }
+        intent.recordedUp.forEach { fleet.ports.tellScheduler(SchedulerMessage.MachineUsable(it)) }
         if (intent.pendingUp.isNotEmpty() && !intent.isRecordingUp) intents.recordUp(leadership, intent)
     }
 
--- a/src/main/kotlin/org/elderhitch/fleet/ScaleInPlan.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ScaleInPlan.kt
@@ -40,7 +40,7 @@
         return input.now - planned.provisionedAt > bootTime * input.bootTimeoutMultiple + BOOT_TIMEOUT_MARGIN
     }
 
-    private fun isFaultyAndEmpty(use: MachineUse): Boolean = use.faulty && use.idle != null
+    private fun isFaultyAndEmpty(use: MachineUse): Boolean = use.isFaulty && use.idleFor != null
 
     /**
      * Machines that are not needed. Up to [standby] idle machines are kept for their full idle time. Others are
@@ -48,15 +48,16 @@
      */
     private fun surplus(): List<MachineId> {
         val idle = input.machines
-            .filter { it.use?.idle != null && it.use.faulty.not() && it.machine.id !in reserved }
+            .filter { it.use?.idleFor != null && it.use.isFaulty.not() && it.machine.id !in reserved }
             .sortedWith(
                 compareByDescending<PlannedMachine> { it.machine.spot }
-                    .thenBy { it.use?.idle }
+                    .thenBy { it.use?.idleFor }
                     .thenBy { it.machine.id },
             )
         val surplusBooting = if (idle.size < standby) emptyList() else surplusBooting()
         val idleTooLong = idle.filterIndexed { position, planned ->
-            (planned.use?.idle ?: Duration.ZERO) > idleLimit(position, planned.machine) && isMinimumChargeOver(planned)
+            (planned.use?.idleFor ?: Duration.ZERO) > idleLimit(position, planned.machine) &&
+                isMinimumChargeOver(planned)
         }
         return surplusBooting + idleTooLong.map { it.machine.id }
     }
@@ -93,7 +94,7 @@
 
     private fun serviceHost(planned: PlannedMachine): ServiceHost? {
         val use = planned.use ?: return null
-        if (!use.usable || use.services == Resources.NONE || planned.machine.spot) return null
+        if (!use.isUsable || use.services == Resources.NONE || planned.machine.spot) return null
         val type = input.catalog.types[planned.machine.type] ?: return null
         return ServiceHost(planned.machine, use, type.resources)
     }
--- a/src/main/kotlin/org/elderhitch/fleet/ScaleOutPlan.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/ScaleOutPlan.kt
@@ -50,7 +50,7 @@
         val order = compareByDescending<UnplacedTasks> { it.spec.priority }
             .thenBy { input.catalog.fitting(it.spec).size }
         for (unplaced in input.unplaced.sortedWith(order)) {
-            pack(unplaced.spec, unplaced.count.coerceAtMost(MAX_TASKS_PER_SHAPE), HashMap(unplaced.zones))
+            pack(unplaced.spec, unplaced.count.coerceAtMost(MAX_TASKS_PER_SHAPE), HashMap(unplaced.tasksPerZone))
         }
         packHeadroom()
         return provisioned.map { (market, count) -> ProvisioningRequest(market, count) }
@@ -63,8 +63,8 @@
         when {
             use == null -> if (!isLate(planned, type)) addBin(Bin(machine, machine.market, type.resources))
 
-            use.usable -> {
-                val free = type.resources - use.busy + use.endingSoon
+            use.isUsable -> {
+                val free = type.resources - use.busy + use.releasedSoon
                 addBin(Bin(machine, machine.market, free, isRunning = true))
             }
 
@@ -183,7 +183,7 @@
         for (planned in input.machines) {
             val use = planned.use ?: continue
             val type = input.catalog.types[planned.machine.type] ?: continue
-            if (use.usable) spare.add(SpareMachine(planned.machine, type.resources - use.busy, use.preemptible))
+            if (use.isUsable) spare.add(SpareMachine(planned.machine, type.resources - use.busy, use.preemptible))
         }
         return spare
     }
--- a/src/main/kotlin/org/elderhitch/fleet/TerminationQueue.kt
+++ b/src/main/kotlin/org/elderhitch/fleet/TerminationQueue.kt
@@ -34,7 +34,7 @@
      */
     fun requestIdle(idle: List<MachineId>) {
         idle.forEach { machines[it]?.isTerminating = true }
-        fleet.ports.scheduler(SchedulerMessage.CordonMachines(idle))
+        fleet.ports.tellScheduler(SchedulerMessage.CordonMachines(idle))
     }
 
     /** Handles the scheduler's response: queues the empty machines, and keeps those that are in use by now. */
@@ -50,7 +50,7 @@
         log.info("termination cancelled machine={}", machine)
         fleet.actions.recordNeedless(NeedlessActionKind.TERMINATION_CANCELLED)
         machines[machine]?.isTerminating = false
-        fleet.ports.scheduler(SchedulerMessage.TerminationCancelled(machine))
+        fleet.ports.tellScheduler(SchedulerMessage.TerminationCancelled(machine))
     }
 
     /** Sends the terminations that are due. */
--- a/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatHandler.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/HeartbeatHandler.kt
@@ -119,7 +119,7 @@
         // A worker that was reconciled meanwhile, by its reply to a command or probe, runs no task unknown to this
         // term.
         if (received.heartbeat.term < received.leadership.term && !worker.reconciled) {
-            takeover.heartbeatAnswered(worker.id, received.now)
+            takeover.recordHeartbeatAnswered(worker.id, received.now)
         }
     }
 
--- a/src/main/kotlin/org/elderhitch/heartbeat/MessageRecorder.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/MessageRecorder.kt
@@ -53,14 +53,14 @@
         worker.lastSeenAt = now
         worker.address = message.address
         recordPreemptionNotice(worker, message)
-        if (worker.releaseRequestedAt != MonotonicInstant.NEVER || !worker.reconciled) {
+        if (worker.terminationRequestedAt != MonotonicInstant.NEVER || !worker.reconciled) {
             ports.fleet(FleetMessage.HeartbeatReceived(worker.id))
         }
         failureDetector.recordMessage(worker)
         workerProber.recordMessage(worker.id)
         failureDetector.resetUnansweredTermination(worker, now)
         if (message.machine !in machineRegistry.known) ports.fleet(FleetMessage.OrphanDetected(message))
-        requestClearance(worker, now)
+        requestUpConfirmation(worker, now)
     }
 
     private fun recordLease(
@@ -83,20 +83,20 @@
             events.info("spot notice", worker.id) {
                 "spot notice machine=${message.machine} notice_s=${message.preemptionNotice}"
             }
-            table.dirty = true
+            table.needsCycle = true
         }
         worker.preemptionNotice = message.preemptionNotice
     }
 
     /** Requests that the machine be recorded as up. Until that is recorded, it is assigned no tasks. */
-    private fun requestClearance(worker: WorkerState, now: MonotonicInstant) {
-        if (worker.id !in machineRegistry.known || worker.id in machineRegistry.cleared) return
-        if (now - worker.clearanceRequestedAt <= CLEARANCE_RETRY) return
-        worker.clearanceRequestedAt = now
+    private fun requestUpConfirmation(worker: WorkerState, now: MonotonicInstant) {
+        if (worker.id !in machineRegistry.known || worker.id in machineRegistry.confirmedUp) return
+        if (now - worker.upConfirmationRequestedAt <= UP_CONFIRMATION_RETRY_DELAY) return
+        worker.upConfirmationRequestedAt = now
         ports.fleet(FleetMessage.MachineUp(worker.id))
     }
 
     private companion object {
-        val CLEARANCE_RETRY = 2.seconds
+        val UP_CONFIRMATION_RETRY_DELAY = 2.seconds
     }
 }
--- a/src/main/kotlin/org/elderhitch/heartbeat/WorkerReconciler.kt
+++ b/src/main/kotlin/org/elderhitch/heartbeat/WorkerReconciler.kt
@@ -36,6 +36,6 @@
         events.info("worker settled", worker.id) {
             "worker settled machine=${worker.id} by=report tasks=${message.tasks.size}"
         }
-        table.dirty = true
+        table.needsCycle = true
     }
 }
--- a/src/main/kotlin/org/elderhitch/http/HttpServer.kt
+++ b/src/main/kotlin/org/elderhitch/http/HttpServer.kt
@@ -98,10 +98,10 @@
                 } catch (e: CancellationException) {
                     throw e
                 } catch (e: MalformedMessage) {
-                    refusal(e.status, e.message.orEmpty())
+                    errorResponse(e.status, e.message.orEmpty())
                 } catch (@Suppress("TooGenericExceptionCaught") e: Exception) {
                     log.error("request failed line=\"{}\"", message.startLine, e)
-                    refusal(INTERNAL_ERROR, "internal error")
+                    errorResponse(INTERNAL_ERROR, "internal error")
                 }
                 send(channel, response, message.keepAlive)
                 if (!message.keepAlive) return
@@ -109,7 +109,7 @@
         } catch (e: MalformedMessage) {
             log.info("request refused status={} reason=\"{}\"", e.status, e.message)
             try {
-                send(channel, refusal(e.status, e.message.orEmpty()), keepAlive = false)
+                send(channel, errorResponse(e.status, e.message.orEmpty()), keepAlive = false)
             } catch (io: IOException) {
                 log.debug("refusal not sent: {}", io.message)
             }
@@ -171,7 +171,7 @@
         private val ACCEPT_RETRY_DELAY = 20.milliseconds
 
         /** A response whose body gives [reason] as the error. */
-        public fun refusal(status: Int, reason: String, retryAfter: Duration? = null): Response = Response(
+        public fun errorResponse(status: Int, reason: String, retryAfter: Duration? = null): Response = Response(
             status,
             Json.bytes(mapOf("error" to reason)),
             if (retryAfter == null) {
@@ -182,9 +182,9 @@
         )
 
         /** Serves a path that supports only [method]; answers any other with 405. */
-        public suspend fun only(method: String, request: Request, serve: suspend () -> Response): Response {
+        public suspend fun requireMethod(method: String, request: Request, serve: suspend () -> Response): Response {
             if (request.method == method) return serve()
-            return refusal(METHOD_NOT_ALLOWED, "only $method").let {
+            return errorResponse(METHOD_NOT_ALLOWED, "only $method").let {
                 Response(it.status, it.body, mapOf("Allow" to method))
             }
         }
--- a/src/main/kotlin/org/elderhitch/http/Messages.kt
+++ b/src/main/kotlin/org/elderhitch/http/Messages.kt
@@ -29,7 +29,7 @@
     public val query: Map<String, String>,
     public val body: ByteArray,
     /** The IP address of the sender; null if unknown. */
-    public val from: String? = null,
+    public val remoteAddress: String? = null,
 )
 
 public class Response(
--- a/src/main/kotlin/org/elderhitch/jobs/Admission.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/Admission.kt
@@ -38,7 +38,7 @@
          * Without this bound, a controller accepted jobs until it ran out of memory, and no controller could start
          * again with the recorded jobs.
          */
-        public fun bound(heapBytes: Long): Footprint {
+        public fun limitFor(heapBytes: Long): Footprint {
             val available = (heapBytes - BASE_BYTES).coerceAtLeast(heapBytes / MIN_HEAP_DIVISOR)
             return Footprint((available * HEAP_SHARE).toLong())
         }
--- a/src/main/kotlin/org/elderhitch/jobs/ClassRules.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/ClassRules.kt
@@ -11,7 +11,7 @@
 /** The rules of a deployment by job class; the defaults of [ClassRule] apply to a class without a rule. */
 public class ClassRules(private val rules: Map<String, ClassRule>) {
     /** Whether any class has a rule. */
-    public val any: Boolean get() = rules.isNotEmpty()
+    public val hasRules: Boolean get() = rules.isNotEmpty()
 
     public fun of(jobClass: String): ClassRule = rules[jobClass] ?: DEFAULT
 
--- a/src/main/kotlin/org/elderhitch/jobs/CompletedTasks.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/CompletedTasks.kt
@@ -4,8 +4,8 @@
 import java.util.BitSet
 
 /**
- * The set of completed tasks of a job with [tasks] tasks. The state service stores it in blocks of [BLOCK] tasks, one
- * value per block. A value holds either index ranges relative to the start of the block ("0-5,7") or, if that is
+ * The set of completed tasks of a job with [tasks] tasks. The state service stores it in blocks of [BLOCK_SIZE] tasks,
+ * one value per block. A value holds either index ranges relative to the start of the block ("0-5,7") or, if that is
  * shorter, a marker followed by a base64 bitmap; it has at most [MAX_VALUE_CHARS] characters.
  */
 public class CompletedTasks(public val tasks: Int) {
@@ -14,7 +14,7 @@
     public val count: Int get() = bits.cardinality()
 
     /** Whether all tasks of the job are completed. */
-    public val all: Boolean get() = count == tasks
+    public val allDone: Boolean get() = count == tasks
 
     public operator fun contains(index: Int): Boolean = bits[index]
 
@@ -73,13 +73,13 @@
         return true
     }
 
-    private fun firstTaskOf(block: Int): Int = block * BLOCK
+    private fun firstTaskOf(block: Int): Int = block * BLOCK_SIZE
 
-    private fun endTaskOf(block: Int): Int = minOf(tasks, firstTaskOf(block) + BLOCK)
+    private fun endTaskOf(block: Int): Int = minOf(tasks, firstTaskOf(block) + BLOCK_SIZE)
 
     public companion object {
         /** The number of tasks that one stored value covers. */
-        public const val BLOCK: Int = 4096
+        public const val BLOCK_SIZE: Int = 4096
         private const val BITMAP_MARKER = "b"
         private const val BITS_PER_BYTE = 8
         private const val BASE64_BYTES_IN = 3
@@ -87,10 +87,10 @@
 
         /** The maximum length of a value: the marker and the base64 encoding of one bit per task. */
         public const val MAX_VALUE_CHARS: Int =
-            1 + (BLOCK / BITS_PER_BYTE + BASE64_BYTES_IN - 1) / BASE64_BYTES_IN * BASE64_CHARS_OUT
+            1 + (BLOCK_SIZE / BITS_PER_BYTE + BASE64_BYTES_IN - 1) / BASE64_BYTES_IN * BASE64_CHARS_OUT
 
         /** The number of the block that contains the task. */
-        public fun blockOf(index: Int): Int = index / BLOCK
+        public fun blockOf(index: Int): Int = index / BLOCK_SIZE
 
         private fun decodeBitmap(value: String): BitSet? = try {
             BitSet.valueOf(Base64.getDecoder().decode(value.substring(BITMAP_MARKER.length)))
@@ -111,7 +111,7 @@
         private fun decodeRange(text: String): IntRange? {
             val first = text.substringBefore('-').toIntOrNull() ?: return null
             val last = text.substringAfter('-').toIntOrNull() ?: return null
-            return (first..last).takeIf { first in 0..last && last < BLOCK }
+            return (first..last).takeIf { first in 0..last && last < BLOCK_SIZE }
         }
     }
 }
--- a/src/main/kotlin/org/elderhitch/jobs/CompletionWriter.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/CompletionWriter.kt
@@ -97,7 +97,7 @@
         )
 
     /** A single [CompletionWrite] if the job is complete, and otherwise one per block with newly completed tasks. */
-    internal fun writesOf(batch: CompletionBatch): List<CompletionWrite> = if (batch.completedTasks.all) {
+    internal fun writesOf(batch: CompletionBatch): List<CompletionWrite> = if (batch.completedTasks.allDone) {
         listOf(completionWrite(batch))
     } else {
         batch.newlyCompleted.groupBy(CompletedTasks::blockOf).map { (block, tasks) -> blockWrite(batch, block, tasks) }
--- a/src/main/kotlin/org/elderhitch/jobs/JobAccount.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobAccount.kt
@@ -23,7 +23,7 @@
      * Whether all figures are only lower bounds, because part of the job ran under an earlier term or was not observed
      * by the node that wrote the account.
      */
-    val lowerBound: Boolean,
+    val isLowerBound: Boolean,
 ) {
     /** The stored value. */
     public fun encode(): Map<String, Any?> = linkedMapOf(
@@ -35,7 +35,7 @@
         "wasted" to roundToTenths(lostSeconds),
         "first" to firstStart?.ms,
         "end" to end.ms,
-        "least" to lowerBound,
+        "least" to isLowerBound,
     ).filterValues { it != null }
 
     public companion object {
@@ -56,11 +56,11 @@
             lostSeconds = from.amount("wasted"),
             firstStart = from.longOrNull("first")?.let(::WallTime),
             end = WallTime(from.long("end")),
-            lowerBound = from.boolean("least"),
+            isLowerBound = from.boolean("least"),
         )
 
         /** The account of a job whose execution this node did not observe. */
         public fun unobserved(spec: JobSpec, end: WallTime): JobAccount =
-            JobAccount(spec.team, spec.jobClass, 0, 0, 0.0, 0.0, null, end, lowerBound = true)
+            JobAccount(spec.team, spec.jobClass, 0, 0, 0.0, 0.0, null, end, isLowerBound = true)
     }
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobEvent.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobEvent.kt
@@ -25,5 +25,5 @@
     public data class HoldChanged(val id: JobId, val storedHold: JobHold?) : JobEvent
 
     /** The events before this one include every change of any job up to [since], by the clock of this node. */
-    public data class FreshAsOf(val since: MonotonicInstant) : JobEvent
+    public data class FreshnessConfirmed(val since: MonotonicInstant) : JobEvent
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobMessage.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobMessage.kt
@@ -36,5 +36,5 @@
     public data class RunningCounts(val counts: Map<JobId, Int>) : JobMessage
 
     /** The messages before this one contain everything that was recorded up to [since]. */
-    public data class FreshAsOf(val since: MonotonicInstant) : JobMessage
+    public data class FreshnessConfirmed(val since: MonotonicInstant) : JobMessage
 }
--- a/src/main/kotlin/org/elderhitch/jobs/JobRegistry.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobRegistry.kt
@@ -54,7 +54,7 @@
             is JobMessage.TerminalStateRecorded -> endJob(message.id, message.record)
             is JobMessage.TerminalStateReceived -> endJobIfOpen(message.id, message.record)
             is JobMessage.AbsenceConfirmed -> confirmAbsence(message.id, message.epoch)
-            is JobMessage.FreshAsOf -> onEvent(JobEvent.FreshAsOf(message.since))
+            is JobMessage.FreshnessConfirmed -> onEvent(JobEvent.FreshnessConfirmed(message.since))
             is JobMessage.RunningCounts -> openJobs.forEach { (id, job) -> job.running = message.counts[id] ?: 0 }
         }
     }
--- a/src/main/kotlin/org/elderhitch/jobs/JobSpec.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/JobSpec.kt
@@ -66,7 +66,7 @@
     /** The earlier job that this one repeats. */
     val repeatOf: JobId? = null,
 ) {
-    public val takesCheckpoints: Boolean get() = checkpointInterval > Duration.ZERO
+    public val canCheckpoint: Boolean get() = checkpointInterval > Duration.ZERO
 
     /** The maximum number of the job's tasks that may run in the same zone. */
     public val maxTasksPerZone: Int get() = if (spread) (tasks + 1) / 2 else tasks
--- a/src/main/kotlin/org/elderhitch/jobs/SubmissionPolicy.kt
+++ b/src/main/kotlin/org/elderhitch/jobs/SubmissionPolicy.kt
@@ -37,8 +37,8 @@
     private fun exceedsLimit(team: Team, spec: JobSpec): Boolean {
         val concurrentTasks = if (spec.kind == JobKind.ARRAY) 1 else spec.tasks
         val concurrent = spec.resources * concurrentTasks
-        val exceedsCpus = team.mostCpus != null && concurrent.cpus > team.mostCpus
-        val exceedsGpus = team.mostGpus != null && concurrent.gpus > team.mostGpus
+        val exceedsCpus = team.maxCpus != null && concurrent.cpus > team.maxCpus
+        val exceedsGpus = team.maxGpus != null && concurrent.gpus > team.maxGpus
         return exceedsCpus || exceedsGpus
     }
 
--- a/src/main/kotlin/org/elderhitch/json/Json.kt
+++ b/src/main/kotlin/org/elderhitch/json/Json.kt
@@ -186,7 +186,7 @@
         else -> throw MalformedJson("$name: not an object")
     }
 
-    public fun obj(name: String): JsonObject = objectOrNull(name) ?: missing(name)
+    public fun requireObject(name: String): JsonObject = objectOrNull(name) ?: missing(name)
 
     private fun listOrNull(name: String): List<*>? = when (val value = fields[name]) {
         null -> null
--- a/src/main/kotlin/org/elderhitch/lab/BackgroundUsers.kt
+++ b/src/main/kotlin/org/elderhitch/lab/BackgroundUsers.kt
@@ -9,7 +9,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /** Other users, who submit a job every [SUBMIT_INTERVAL]. Measures the latency of the answers. */
-internal class BackgroundUsers(private val world: SimulatedCluster) {
+internal class BackgroundUsers(private val cluster: SimulatedCluster) {
     private val latencies = ArrayList<Pair<MonotonicInstant, Duration>>()
     private var n = 0
 
@@ -19,12 +19,12 @@
     suspend fun run(scope: CoroutineScope) {
         while (true) {
             scope.launch {
-                val began: MonotonicInstant = world.clock.now()
+                val began: MonotonicInstant = cluster.clock.now()
                 val body =
                     ClassArchiveTraining.exampleJob("req-other-${n++}", "array") +
                         mapOf("crates" to 1, "haulS" to 2.0)
-                world.ask("POST", "/work", body)
-                latencies.add(began to world.clock.now() - began)
+                cluster.ask("POST", "/work", body)
+                latencies.add(began to cluster.clock.now() - began)
             }
             delay(SUBMIT_INTERVAL)
         }
--- a/src/main/kotlin/org/elderhitch/lab/Lab.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Lab.kt
@@ -20,7 +20,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The figures of an experiment, and the first violated invariant; null: all held. */
-internal class LabResult(val figures: Map<String, Any?>, val broken: String?)
+internal class LabResult(val figures: Map<String, Any?>, val failedCheck: String?)
 
 /** Runs an experiment against the stand-ins. Progress goes to standard error, the figures to standard output. */
 internal class LabCommand : CoreCliktCommand(name = "lab") {
@@ -99,7 +99,7 @@
         val text = Json.text(result.figures)
         out?.let { File(it).writeText(text + "\n") }
         echo(text)
-        result.broken?.let {
+        result.failedCheck?.let {
             progress("violated: $it")
             throw ProgramResult(1)
         }
--- a/src/main/kotlin/org/elderhitch/lab/MixJob.kt
+++ b/src/main/kotlin/org/elderhitch/lab/MixJob.kt
@@ -52,4 +52,4 @@
 }
 
 /** How a job of the mix ended: the state that its user was told, and its terminal record. */
-internal class MixOutcome(val told: String?, val record: TerminalRecord?)
+internal class MixOutcome(val answer: String?, val record: TerminalRecord?)
--- a/src/main/kotlin/org/elderhitch/lab/Storms.kt
+++ b/src/main/kotlin/org/elderhitch/lab/Storms.kt
@@ -55,7 +55,7 @@
             "lab" to "storm", "seed" to scheduleOptions.seed, "machines" to scheduleOptions.machines,
             "storms" to outcomes.size,
             "failed" to failed.map { it.schedule.seed },
-            "rules_broken" to outcomes.sumOf { it.broken.size },
+            "rules_broken" to outcomes.sumOf { it.violations.size },
             "not_recovered" to outcomes.count { it.recovered == null },
             "recovered_p50_s" to recovered.getOrNull(recovered.size / 2)?.inWholeSeconds,
             "recovered_max_s" to recovered.lastOrNull()?.inWholeSeconds,
--- a/src/main/kotlin/org/elderhitch/lab/SubmittedJobs.kt
+++ b/src/main/kotlin/org/elderhitch/lab/SubmittedJobs.kt
@@ -19,7 +19,7 @@
             0.0,
             spotAllowed = true,
             jobClass = kind.name,
-            submittedAt = world.clock.now(),
+            submittedAt = cluster.clock.now(),
             cores = kind.cores,
         )
     val body = mapOf(
@@ -62,7 +62,7 @@
             spotAllowed = false,
             jobClass = "service",
             endless = true,
-            submittedAt = world.clock.now(),
+            submittedAt = cluster.clock.now(),
             spread = true,
             cores = 4.0,
         )
@@ -87,7 +87,7 @@
             1.0,
             spotAllowed = true,
             jobClass = "array",
-            submittedAt = world.clock.now(),
+            submittedAt = cluster.clock.now(),
             cores = 5.0,
         )
     val body = mapOf(
@@ -113,7 +113,7 @@
             oneZone = true,
             gang = true,
             jobClass = "gang",
-            submittedAt = world.clock.now(),
+            submittedAt = cluster.clock.now(),
             cores = 43.0,
         )
     val body = mapOf(
@@ -138,7 +138,7 @@
             0.0,
             spotAllowed = true,
             jobClass = "tally",
-            submittedAt = world.clock.now(),
+            submittedAt = cluster.clock.now(),
             cores = 1.0,
         )
     val body = mapOf(
